--- a/crates/azuregate/src/serve/connection.rs
+++ b/crates/azuregate/src/serve/connection.rs
@@ -11,11 +11,10 @@
 
 use super::{
     client_stream,
-    phase::Phase,
+    phase::ShutdownPhase,
     pipeline::{Pipeline, Scanner},
-    request,
+    request, shutdown,
     state::State,
-    stop,
     streaming::Answer,
 };
 
@@ -127,7 +126,7 @@
 /// connection before that is read would cut off a request at a planned stop.
 async fn may_close(state: &State, usage: &Usage) {
     let first_request_by = Instant::now() + Duration::from_millis(FIRST_REQUEST_MS);
-    stop::reached(state, Phase::ClosingIdle).await;
+    shutdown::wait_for_phase(state, ShutdownPhase::ClosingIdle).await;
     if !usage.has_served.get() {
         time::sleep_until(first_request_by).await;
     }
--- a/crates/azuregate/src/serve/listen.rs
+++ b/crates/azuregate/src/serve/listen.rs
@@ -9,7 +9,7 @@
     task::spawn_local,
 };
 
-use super::{ServeError, connection, phase::Phase, state::State, stop};
+use super::{ServeError, connection, phase::ShutdownPhase, shutdown, state::State};
 use crate::accept;
 
 /// Where metrics are served, on every machine.
@@ -62,7 +62,7 @@
 
 /// Accepts connections until the planned stop says that no more are taken.
 pub(super) async fn serve(state: Rc<State>, listener: TcpListener) {
-    let mut closed = pin!(stop::reached(&state, Phase::Closed));
+    let mut closed = pin!(shutdown::wait_for_phase(&state, ShutdownPhase::ListenerClosed));
     loop {
         let (stream, _) = tokio::select! {
             accepted = accept::next(&listener) => accepted,
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -20,7 +20,7 @@
 * `request` takes one request to its answer, `attempt` to one backend server,
   `pool` keeps connections to them.
 * `ports` answers the platform's and the clients' questions.
-* `stop` ends the process without cutting a request off.
+* `shutdown` ends the process without cutting a request off.
 */
 
 mod answer;
@@ -41,8 +41,8 @@
 mod relay;
 mod reload;
 mod request;
+mod shutdown;
 mod state;
-mod stop;
 mod streaming;
 mod tables;
 mod watch;
@@ -60,7 +60,7 @@
     task::{LocalSet, spawn_local},
 };
 
-use self::{listen::Listeners, phase::Phase, ports::Audience, state::State};
+use self::{listen::Listeners, phase::ShutdownPhase, ports::Audience, state::State};
 use crate::stop::Stop;
 
 /// An instance that cannot run.
@@ -107,7 +107,7 @@
     stop: Stop,
 ) -> Result<(), Report<ServeError>> {
     let listeners = Listeners::open(&settings).await?;
-    let (phase, phases) = sync::watch::channel(Phase::Serving);
+    let (phase, phases) = sync::watch::channel(ShutdownPhase::Serving);
     let state = Rc::new(State::new(settings, stop, phases));
     log::info!(instance:% = state.settings.instance, start:% = state.start; "entry instance started");
     watch::start(&state);
@@ -124,7 +124,7 @@
         spawn_local(ports::serve(Rc::clone(&state), metrics, Audience::Operators));
     }
     spawn_local(listen::serve(Rc::clone(&state), listeners.traffic));
-    stop::finish(&state, phase).await;
+    shutdown::run(&state, phase).await;
     log::info!(instance:% = state.settings.instance; "entry instance stopped");
     Ok(())
 }
--- a/crates/azuregate/src/serve/stop.rs
+++ b/crates/azuregate/src/serve/shutdown.rs
@@ -9,38 +9,39 @@
 
 use tokio::{sync::watch, time};
 
-use super::{phase::Phase, ports::KEEP_MS, state::State, watch as tables};
+use super::{phase::ShutdownPhase, ports::KEEP_MS, state::State, watch as tables};
 
 /// Time for the heartbeat that tells of the leave to reach all instances.
-const LEAVE_MS: u64 = 600;
+const LEAVE_PROPAGATION_MS: u64 = 600;
 /// Time before the end of the grace period at which everything is cut off.
-const MARGIN_MS: u64 = 400;
+const FORCED_CLOSE_MARGIN_MS: u64 = 400;
 /// How often connections are counted while the last requests end.
-const CHECK_EVERY_MS: u64 = 50;
+const CONNECTIONS_POLL_INTERVAL_MS: u64 = 50;
 
 /// Resolves when the stop has come as far as `phase`.
-pub(super) async fn reached(state: &State, phase: Phase) {
+pub(super) async fn wait_for_phase(state: &State, phase: ShutdownPhase) {
     // An error means that the process ends.
     let _ = state.phase.clone().wait_for(|&now| now >= phase).await;
 }
 
 /// Waits for the stop, and takes it through its phases until nothing is in
 /// progress.
-pub(super) async fn finish(state: &Rc<State>, phase: watch::Sender<Phase>) {
+pub(super) async fn run(state: &Rc<State>, phase: watch::Sender<ShutdownPhase>) {
     state.stop.clone().wait().await;
     log::info!(connections = state.connections.get(); "planned stop");
-    phase.send_replace(Phase::Leaving);
-    let deadline_ms = state.bounds().grace_ms.saturating_sub(MARGIN_MS);
+    phase.send_replace(ShutdownPhase::Draining);
+    let deadline_ms = state.bounds().grace_ms.saturating_sub(FORCED_CLOSE_MARGIN_MS);
     let deadline = time::Instant::now() + Duration::from_millis(deadline_ms);
     let steps = async {
-        let idle_at = time::Instant::now() + Duration::from_millis(KEEP_MS + LEAVE_MS);
+        let close_idle_at =
+            time::Instant::now() + Duration::from_millis(KEEP_MS + LEAVE_PROPAGATION_MS);
         tables::unregister(state).await;
-        time::sleep_until(idle_at).await;
-        phase.send_replace(Phase::ClosingIdle);
-        time::sleep(Duration::from_millis(LEAVE_MS)).await;
-        phase.send_replace(Phase::Closed);
+        time::sleep_until(close_idle_at).await;
+        phase.send_replace(ShutdownPhase::ClosingIdle);
+        time::sleep(Duration::from_millis(LEAVE_PROPAGATION_MS)).await;
+        phase.send_replace(ShutdownPhase::ListenerClosed);
         while state.connections.get() > 0 {
-            time::sleep(Duration::from_millis(CHECK_EVERY_MS)).await;
+            time::sleep(Duration::from_millis(CONNECTIONS_POLL_INTERVAL_MS)).await;
         }
     };
     if time::timeout_at(deadline, steps).await.is_err() {
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -15,7 +15,9 @@
 use azuregate_platform::settings::{Bounds, Settings};
 use tokio::sync::{Notify, watch};
 
-use super::{encoded::EncodedCache, metrics::Metrics, phase::Phase, pool::Pool, tables::Tables};
+use super::{
+    encoded::EncodedCache, metrics::Metrics, phase::ShutdownPhase, pool::Pool, tables::Tables,
+};
 use crate::{stop::Stop, timer::Timer};
 
 /// The share of the retry budget that is used. Backend servers count when a
@@ -31,7 +33,7 @@
     pub(super) start: StartNumber,
     pub(super) stop: Stop,
     /// How far a planned stop has come.
-    pub(super) phase: watch::Receiver<Phase>,
+    pub(super) phase: watch::Receiver<ShutdownPhase>,
     pub(super) timer: Timer,
     pub(super) balancer: RefCell<Balancer>,
     pub(super) members: RefCell<Members>,
@@ -70,7 +72,11 @@
 }
 
 impl State {
-    pub(super) fn new(settings: Settings, stop: Stop, phase: watch::Receiver<Phase>) -> State {
+    pub(super) fn new(
+        settings: Settings,
+        stop: Stop,
+        phase: watch::Receiver<ShutdownPhase>,
+    ) -> State {
         let balancer = Balancer::new(balance::Settings {
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
