--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -13,16 +13,16 @@
 };
 
 use super::{
-    answer,
     in_flight::InFlight,
     pool::{self, Connection},
+    response,
+    response_body::{ResponseBody, StreamingBody},
     state::State,
-    streaming::{Answer, Streaming},
 };
 
 /// Answers up to this size are read whole before the client gets the first byte,
 /// so that one that breaks off can still be replaced.
-const WHOLE_ANSWER_BYTES: usize = 64 << 10;
+const RESPONSE_BUFFER_BYTES: usize = 64 << 10;
 
 /// A request as it goes to any backend server.
 pub(super) struct Outgoing {
@@ -36,7 +36,7 @@
 /// How one attempt ended.
 pub(super) enum Ended {
     /// The backend server's own answer, complete or streaming.
-    Answer(Response<Answer>),
+    Answer(Response<ResponseBody>),
     /// The request has certainly not run there.
     NotRun(NotRun),
     /// It may have run; there is no answer that can be used.
@@ -192,7 +192,7 @@
     let (mut parts, mut incoming) = head.into_parts();
     let is_failure = parts.status.is_server_error();
     let mut collected = BytesMut::new();
-    while collected.len() <= WHOLE_ANSWER_BYTES {
+    while collected.len() <= RESPONSE_BUFFER_BYTES {
         let Some(frame) = incoming.frame().await else { break };
         let Ok(frame) = frame else {
             in_flight.set_outcome(Outcome::Failed);
@@ -208,19 +208,19 @@
         Outcome::Answered { taken_ms }
     });
     parts.version = Version::HTTP_11;
-    answer::remove_hop_by_hop(&mut parts.headers);
-    answer::remove_internal(&mut parts.headers);
+    response::remove_hop_by_hop_headers(&mut parts.headers);
+    response::remove_internal_headers(&mut parts.headers);
     let collected = collected.freeze();
-    if !incoming.is_end_stream() && collected.len() > WHOLE_ANSWER_BYTES {
-        let rest = Streaming::new(collected, incoming, in_flight);
-        return Ended::Answer(Response::from_parts(parts, Answer::Streaming(Box::new(rest))));
+    if !incoming.is_end_stream() && collected.len() > RESPONSE_BUFFER_BYTES {
+        let rest = StreamingBody::new(collected, incoming, in_flight);
+        return Ended::Answer(Response::from_parts(parts, ResponseBody::Streaming(Box::new(rest))));
     }
     in_flight.keep_connection();
     // A body whose length the server did not tell has a length now.
     if outgoing.method != Method::HEAD {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
-    Ended::Answer(Response::from_parts(parts, Answer::whole(collected)))
+    Ended::Answer(Response::from_parts(parts, ResponseBody::buffered(collected)))
 }
 
 /// Clients take a success only with the server's signature and echo, and without
--- a/crates/azuregate/src/serve/connection.rs
+++ b/crates/azuregate/src/serve/connection.rs
@@ -13,9 +13,10 @@
     client_stream,
     phase::ShutdownPhase,
     pipeline::{Pipeline, Scanner},
-    request, shutdown,
+    request,
+    response_body::ResponseBody,
+    shutdown,
     state::State,
-    streaming::Answer,
 };
 
 /// The smallest buffer that the HTTP server accepts.
@@ -136,7 +137,7 @@
     state: Rc<State>,
     usage: Rc<Usage>,
     request: Request<Incoming>,
-) -> Result<Response<Answer>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     usage.at_work.set(usage.at_work.get() + 1);
     usage.has_served.set(true);
     let (parts, body) = request.into_parts();
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -17,13 +17,12 @@
 * `listen` accepts connections, `connection` serves one, `client_stream` notices
   that its client has left.
 * `pipeline` starts requests that wait behind others on their connection.
-* `request` takes one request to its answer, `attempt` to one backend server,
+* `request` takes one request to its response, `attempt` to one backend server,
   `pool` keeps connections to them.
 * `ports` answers the platform's and the clients' questions.
 * `shutdown` ends the process without cutting a request off.
 */
 
-mod answer;
 mod apply;
 mod attempt;
 mod client_stream;
@@ -41,9 +40,10 @@
 mod relay;
 mod reload;
 mod request;
+mod response;
+mod response_body;
 mod shutdown;
 mod state;
-mod streaming;
 mod tables;
 mod watch;
 
--- a/crates/azuregate/src/serve/pipeline.rs
+++ b/crates/azuregate/src/serve/pipeline.rs
@@ -22,7 +22,7 @@
     time::Instant,
 };
 
-use super::{request as serving, state::State, streaming::Answer};
+use super::{request as serving, response_body::ResponseBody, state::State};
 
 /// Requests of one connection that are started before their turn.
 const EARLY_LIMIT: usize = 16;
@@ -119,7 +119,7 @@
 struct Early {
     uri: Uri,
     id: Option<HeaderValue>,
-    task: JoinHandle<Response<Answer>>,
+    task: JoinHandle<Response<ResponseBody>>,
 }
 
 impl Drop for Early {
@@ -154,7 +154,7 @@
     }
 
     /// The answer of the request whose turn it is, if it was started early.
-    pub(super) async fn answer(&self, parts: &Parts) -> Option<Response<Answer>> {
+    pub(super) async fn answer(&self, parts: &Parts) -> Option<Response<ResponseBody>> {
         let mut early = self.take(parts)?;
         (&mut early.task).await.ok()
     }
--- a/crates/azuregate/src/serve/ports.rs
+++ b/crates/azuregate/src/serve/ports.rs
@@ -12,7 +12,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpListener, task::spawn_local};
 
-use super::{answer::plain, metrics::Gauges, state::State};
+use super::{metrics::Gauges, response::full_response, state::State};
 use crate::accept;
 
 /// For how long clients may keep the answer to a lookup. Short, so that they
@@ -56,7 +56,7 @@
         READY_PATH => ready(state),
         METRICS_PATH if audience == Audience::Operators => metrics(state),
         LOOKUP_PATH => lookup(state, request.uri().query().unwrap_or_default()),
-        _ => plain(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
+        _ => full_response(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
     }
 }
 
@@ -65,7 +65,7 @@
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    plain(status, "text/plain", Vec::new())
+    full_response(status, "text/plain", Vec::new())
 }
 
 fn metrics(state: &State) -> Response<Full<Bytes>> {
@@ -78,7 +78,7 @@
         config_version: state.config().map(|config| config.version()),
         age_ms: state.contact.borrow().age_ms(state.now_ms()),
     };
-    plain(StatusCode::OK, "text/plain", state.metrics.text(gauges).into_bytes())
+    full_response(StatusCode::OK, "text/plain", state.metrics.text(gauges).into_bytes())
 }
 
 fn lookup(state: &State, query: &str) -> Response<Full<Bytes>> {
@@ -91,8 +91,8 @@
     let mut addrs = state.members.borrow().lookup(&lookup.zone, region, state.now_ms());
     addrs.retain(|addr| Some(*addr) != own);
     if addrs.is_empty() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
+        return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
     let keep_ms = KEEP_MS.min(state.bounds().lookup_keep_ms);
-    plain(StatusCode::OK, "application/json", lookup_answer(&addrs, keep_ms))
+    full_response(StatusCode::OK, "application/json", lookup_answer(&addrs, keep_ms))
 }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -18,10 +18,10 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    answer::{self, Refusal},
     attempt::{self, Ended, NotRun, Outgoing},
+    response::{self, RequestError},
+    response_body::ResponseBody,
     state::State,
-    streaming::Answer,
 };
 
 /// How long a client is waited for that names no deadline.
@@ -41,15 +41,15 @@
     parts: Parts,
     body: Option<Incoming>,
     received_at: Instant,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let mut record = Record::new(&parts.headers);
     let result = serve(&state, parts, body, received_at, &mut record).await;
     let taken_ms = u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let response = match result {
         Ok(response) => response,
-        Err(refusal) => {
-            record.code = refusal.code();
-            refusal.answer()
+        Err(error) => {
+            record.code = error.code();
+            error.into_response()
         }
     };
     state.metrics.request(&record.service, &record.route, record.code, taken_ms);
@@ -143,15 +143,19 @@
     body: Option<Incoming>,
     received_at: Instant,
     record: &mut Record,
-) -> Result<Response<Answer>, Refusal> {
-    let Some(config) = state.config() else { return Err(Refusal::NotReady) };
+) -> Result<Response<ResponseBody>, RequestError> {
+    let Some(config) = state.config() else { return Err(RequestError::NotReady) };
     record.version = config.version();
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
-    let Some(host) = host else { return Err(Refusal::BadRequest) };
+    let Some(host) = host else { return Err(RequestError::BadRequest) };
     let Some(route) = config.route(host, parts.uri.path()) else {
         // A client does not come back after a denial, and the route may be new.
         let has_contact = state.contact.borrow().is_fresh(state.now_ms());
-        return Err(if has_contact { Refusal::NoRoute } else { Refusal::OutOfContact });
+        return Err(if has_contact {
+            RequestError::NoRoute
+        } else {
+            RequestError::StoreContactLost
+        });
     };
     let route = Arc::clone(route);
     record.route.push_str(&route.name);
@@ -162,7 +166,7 @@
     record.service.push_str(service.as_str());
     state.count_request(&service);
     if !state.has_backends() {
-        return Err(Refusal::NotReady);
+        return Err(RequestError::NotReady);
     }
     let body_limit = config.limits().body_bytes;
     drop(config);
@@ -192,13 +196,13 @@
     body: Option<Incoming>,
     route: &Route,
     body_limit: usize,
-) -> Result<Outgoing, Refusal> {
+) -> Result<Outgoing, RequestError> {
     let body = match body {
         Some(body) => read_body(body, body_limit).await?,
         None => Bytes::new(),
     };
-    answer::remove_hop_by_hop(&mut parts.headers);
-    answer::remove_internal(&mut parts.headers);
+    response::remove_hop_by_hop_headers(&mut parts.headers);
+    response::remove_internal_headers(&mut parts.headers);
     parts.headers.remove(header::EXPECT);
     parts.headers.remove(header::CONTENT_LENGTH);
     Ok(Outgoing {
@@ -210,16 +214,16 @@
     })
 }
 
-async fn read_body(mut incoming: Incoming, limit: usize) -> Result<Bytes, Refusal> {
+async fn read_body(mut incoming: Incoming, limit: usize) -> Result<Bytes, RequestError> {
     if incoming.size_hint().lower() > limit as u64 {
-        return Err(Refusal::BodyTooLong);
+        return Err(RequestError::BodyTooLarge);
     }
     let mut body = BytesMut::new();
     while let Some(frame) = incoming.frame().await {
-        let frame = frame.map_err(|_| Refusal::BodyBroken)?;
+        let frame = frame.map_err(|_| RequestError::BodyIncomplete)?;
         let Ok(data) = frame.into_data() else { continue };
         if body.len() + data.len() > limit {
-            return Err(Refusal::BodyTooLong);
+            return Err(RequestError::BodyTooLarge);
         }
         body.extend_from_slice(&data);
     }
@@ -240,12 +244,16 @@
 }
 
 impl Progress {
-    fn timed_out(&self) -> Refusal {
-        if self.runs > 0 || self.is_sent { Refusal::TimedOut } else { Refusal::NoRoom }
+    fn timed_out(&self) -> RequestError {
+        if self.runs > 0 || self.is_sent {
+            RequestError::TimedOut
+        } else {
+            RequestError::NoCapacity
+        }
     }
 
-    fn given_up(&self, not_run: Refusal) -> Refusal {
-        if self.runs > 0 { Refusal::AnswerLost } else { not_run }
+    fn given_up(&self, not_run: RequestError) -> RequestError {
+        if self.runs > 0 { RequestError::ResponseLost } else { not_run }
     }
 }
 
@@ -263,7 +271,7 @@
         &self,
         progress: &mut Progress,
         record: &mut Record,
-    ) -> Result<Response<Answer>, Refusal> {
+    ) -> Result<Response<ResponseBody>, RequestError> {
         let mut failure = None;
         loop {
             let left_ms = self.left_ms();
@@ -305,8 +313,8 @@
         }
         match failure {
             Some(response) => Ok(self.passed_on(response)),
-            None if progress.sends == 0 => Err(Refusal::NoRoom),
-            None => Err(progress.given_up(Refusal::Rejected)),
+            None if progress.sends == 0 => Err(RequestError::NoCapacity),
+            None => Err(progress.given_up(RequestError::Rejected)),
         }
     }
 
@@ -349,7 +357,7 @@
     /// A status that promises that the request has not run must be true. A backend
     /// server says so by a header; one that uses the status without it may have
     /// run the request, and only its signature keeps the status as it is.
-    fn passed_on(&self, mut response: Response<Answer>) -> Response<Answer> {
+    fn passed_on(&self, mut response: Response<ResponseBody>) -> Response<ResponseBody> {
         let is_promise = matches!(
             response.status(),
             StatusCode::SERVICE_UNAVAILABLE
--- a/crates/azuregate/src/serve/answer.rs
+++ b/crates/azuregate/src/serve/response.rs
@@ -9,48 +9,48 @@
     header::{self, HeaderName},
 };
 
-use super::streaming::Answer;
+use super::response_body::ResponseBody;
 
 /// Why the instance answers a request itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Refusal {
+pub(super) enum RequestError {
     /// No configuration or no list of backend servers yet.
     NotReady,
     /// No route matches.
     NoRoute,
     /// No route matches by what was known when contact with the store was lost; it
     /// has not run.
-    OutOfContact,
+    StoreContactLost,
     /// The request is malformed.
     BadRequest,
     /// The body is longer than allowed.
-    BodyTooLong,
+    BodyTooLarge,
     /// The client's body ended early or took too long.
-    BodyBroken,
+    BodyIncomplete,
     /// No backend server has room; the request has not run.
-    NoRoom,
+    NoCapacity,
     /// Every backend server that was asked rejected it; it has not run.
     Rejected,
     /// The time was over before an answer came.
     TimedOut,
     /// The answer was lost or cannot be used; the request may have run.
-    AnswerLost,
+    ResponseLost,
 }
 
-impl Refusal {
-    /// The refusal's name in logs and metrics.
+impl RequestError {
+    /// The error's name in logs and metrics.
     pub(super) fn code(self) -> &'static str {
         match self {
-            Refusal::NotReady => "not-ready",
-            Refusal::NoRoute => "no-route",
-            Refusal::OutOfContact => "out-of-contact",
-            Refusal::BadRequest => "bad-request",
-            Refusal::BodyTooLong => "body-too-long",
-            Refusal::BodyBroken => "body-broken",
-            Refusal::NoRoom => "no-room",
-            Refusal::Rejected => "rejected",
-            Refusal::TimedOut => "timed-out",
-            Refusal::AnswerLost => "answer-lost",
+            RequestError::NotReady => "not-ready",
+            RequestError::NoRoute => "no-route",
+            RequestError::StoreContactLost => "out-of-contact",
+            RequestError::BadRequest => "bad-request",
+            RequestError::BodyTooLarge => "body-too-long",
+            RequestError::BodyIncomplete => "body-broken",
+            RequestError::NoCapacity => "no-room",
+            RequestError::Rejected => "rejected",
+            RequestError::TimedOut => "timed-out",
+            RequestError::ResponseLost => "answer-lost",
         }
     }
 
@@ -58,28 +58,31 @@
     /// again.
     fn not_served(self) -> Option<NotServed> {
         match self {
-            Refusal::NotReady | Refusal::OutOfContact => Some(NotServed::KnowsTooLittle),
-            Refusal::NoRoom | Refusal::Rejected => Some(NotServed::NoPlace),
+            RequestError::NotReady | RequestError::StoreContactLost => {
+                Some(NotServed::KnowsTooLittle)
+            }
+            RequestError::NoCapacity | RequestError::Rejected => Some(NotServed::NoPlace),
             _ => None,
         }
     }
 
     fn status(self) -> StatusCode {
         match self {
-            Refusal::NotReady | Refusal::OutOfContact | Refusal::NoRoom | Refusal::Rejected => {
-                StatusCode::SERVICE_UNAVAILABLE
-            }
-            Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::BadRequest | Refusal::BodyBroken => StatusCode::BAD_REQUEST,
-            Refusal::BodyTooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::TimedOut => StatusCode::GATEWAY_TIMEOUT,
-            Refusal::AnswerLost => StatusCode::BAD_GATEWAY,
+            RequestError::NotReady
+            | RequestError::StoreContactLost
+            | RequestError::NoCapacity
+            | RequestError::Rejected => StatusCode::SERVICE_UNAVAILABLE,
+            RequestError::NoRoute => StatusCode::NOT_FOUND,
+            RequestError::BadRequest | RequestError::BodyIncomplete => StatusCode::BAD_REQUEST,
+            RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            RequestError::ResponseLost => StatusCode::BAD_GATEWAY,
         }
     }
 
     /// The answer; it tells clients when to come back if the request has not run.
-    pub(super) fn answer(self) -> Response<Answer> {
-        let mut response = Response::new(Answer::whole(Bytes::new()));
+    pub(super) fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
         *response.status_mut() = self.status();
         if let Some(not_served) = self.not_served() {
             let retry_after_ms = fastrand::u64(not_served.return_after_ms());
@@ -92,7 +95,7 @@
 }
 
 /// A plain answer with a short body.
-pub(super) fn plain(
+pub(super) fn full_response(
     status: StatusCode,
     content_type: &'static str,
     text: Vec<u8>,
@@ -105,7 +108,7 @@
 }
 
 /// Headers that concern one connection only.
-const HOP_BY_HOP: [HeaderName; 7] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
     header::TE,
@@ -116,7 +119,7 @@
 ];
 
 /// Removes the headers that concern one connection only.
-pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
+pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -124,7 +127,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in listed.iter().chain(&HOP_BY_HOP) {
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
     headers.remove("keep-alive");
@@ -132,7 +135,7 @@
 }
 
 /// Removes what a backend server tells only us.
-pub(super) fn remove_internal(headers: &mut HeaderMap) {
+pub(super) fn remove_internal_headers(headers: &mut HeaderMap) {
     for name in [request::LOAD, request::BACKEND, request::COLD_MS, request::NOT_RUN] {
         headers.remove(name);
     }
--- /dev/null
+++ b/crates/azuregate/src/serve/response_body.rs
@@ -0,0 +1,89 @@
+//! Bodies of answers to clients.
+
+use std::{
+    pin::Pin,
+    task::{Context, Poll},
+};
+
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+
+use super::in_flight::InFlight;
+
+/// The body of an answer.
+pub(super) enum ResponseBody {
+    /// It is held in memory.
+    Buffered(Full<Bytes>),
+    /// It still arrives.
+    Streaming(Box<StreamingBody>),
+}
+
+impl ResponseBody {
+    pub(super) fn buffered(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Buffered(Full::new(bytes))
+    }
+}
+
+/// A long answer, of which a part has arrived.
+pub(super) struct StreamingBody {
+    buffered: Option<Bytes>,
+    incoming: Incoming,
+    /// Ends when the client has the whole answer or has left.
+    in_flight: InFlight,
+}
+
+impl StreamingBody {
+    pub(super) fn new(buffered: Bytes, incoming: Incoming, in_flight: InFlight) -> StreamingBody {
+        StreamingBody { buffered: Some(buffered), incoming, in_flight }
+    }
+}
+
+impl Body for ResponseBody {
+    type Data = Bytes;
+    type Error = hyper::Error;
+
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
+        match &mut *self {
+            ResponseBody::Buffered(full) => {
+                Pin::new(full).poll_frame(cx).map_err(|never| match never {})
+            }
+            ResponseBody::Streaming(streaming) => streaming.poll_frame(cx),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            ResponseBody::Buffered(full) => full.is_end_stream(),
+            ResponseBody::Streaming(streaming) => {
+                streaming.buffered.is_none() && streaming.incoming.is_end_stream()
+            }
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Buffered(full) => full.size_hint(),
+            ResponseBody::Streaming(_) => SizeHint::default(),
+        }
+    }
+}
+
+impl StreamingBody {
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
+        if let Some(buffered) = self.buffered.take() {
+            return Poll::Ready(Some(Ok(Frame::data(buffered))));
+        }
+        let polled = Pin::new(&mut self.incoming).poll_frame(cx);
+        if matches!(polled, Poll::Ready(None)) {
+            self.in_flight.keep_connection();
+        }
+        polled
+    }
+}
