--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -13,7 +13,7 @@
 };
 
 use super::{
-    in_flight::InFlight,
+    in_flight::InFlightRequest,
     pool::{self, Connection},
     response,
     response_body::{ResponseBody, StreamingBody},
@@ -25,7 +25,7 @@
 const RESPONSE_BUFFER_BYTES: usize = 64 << 10;
 
 /// A request as it goes to any backend server.
-pub(super) struct Outgoing {
+pub(super) struct OutgoingRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
     pub(super) headers: HeaderMap,
@@ -34,36 +34,36 @@
 }
 
 /// How one attempt ended.
-pub(super) enum Ended {
+pub(super) enum AttemptResult {
     /// The backend server's own answer, complete or streaming.
-    Answer(Response<ResponseBody>),
+    Response(Response<ResponseBody>),
     /// The request has certainly not run there.
-    NotRun(NotRun),
+    NotExecuted(NotExecuted),
     /// It may have run; there is no answer that can be used.
     Unknown(&'static str),
 }
 
 /// Why a request has not run at a server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum NotRun {
+pub(super) enum NotExecuted {
     /// No connection could be opened.
     Unreachable,
     /// A new connection was closed before the request was sent.
-    Closed,
+    ClosedBeforeSend,
     /// The server said so.
     Rejected,
     /// Another server has its address by now.
-    AnotherServer,
+    WrongServer,
 }
 
-impl NotRun {
+impl NotExecuted {
     /// The name for the log.
-    pub(super) fn name(self) -> &'static str {
+    pub(super) fn as_str(self) -> &'static str {
         match self {
-            NotRun::Unreachable => "unreachable",
-            NotRun::Closed => "closed",
-            NotRun::Rejected => "rejected",
-            NotRun::AnotherServer => "another server",
+            NotExecuted::Unreachable => "unreachable",
+            NotExecuted::ClosedBeforeSend => "closed",
+            NotExecuted::Rejected => "rejected",
+            NotExecuted::WrongServer => "another server",
         }
     }
 }
@@ -74,13 +74,13 @@
 pub(super) async fn send(
     state: &Rc<State>,
     choice: &Choice,
-    outgoing: &Outgoing,
-    left_ms: u64,
-) -> Ended {
-    let mut in_flight = InFlight::new(state, choice, left_ms);
+    outgoing: &OutgoingRequest,
+    remaining_ms: u64,
+) -> AttemptResult {
+    let mut in_flight = InFlightRequest::new(state, choice, remaining_ms);
     let sent_at = Instant::now();
-    let must_be_fresh = !outgoing.is_idempotent;
-    let mut pooled = state.pool.take(choice.handle, must_be_fresh, state.now_ms());
+    let is_non_idempotent = !outgoing.is_idempotent;
+    let mut pooled = state.pool.take(choice.handle, is_non_idempotent, state.now_ms());
     let head = loop {
         let connection = match pooled.take() {
             Some(connection) => connection,
@@ -88,118 +88,126 @@
                 Ok(connection) => connection,
                 Err(_) => {
                     in_flight.set_outcome(Outcome::Unreachable);
-                    return Ended::NotRun(NotRun::Unreachable);
+                    return AttemptResult::NotExecuted(NotExecuted::Unreachable);
                 }
             },
         };
         let is_reused = connection.is_reused;
         let connection = in_flight.connection.insert(connection);
-        match send_on(connection, choice, outgoing, left_ms).await {
+        match send_on_connection(connection, choice, outgoing, remaining_ms).await {
             Ok(head) => break head,
             // An idle connection that the server closed: nothing was sent.
-            Err(SendError::Unsent) if is_reused => in_flight.connection = None,
-            Err(SendError::Unsent) => {
+            Err(SendError::NotSent) if is_reused => in_flight.connection = None,
+            Err(SendError::NotSent) => {
                 in_flight.set_outcome(Outcome::Unreachable);
-                return Ended::NotRun(NotRun::Closed);
+                return AttemptResult::NotExecuted(NotExecuted::ClosedBeforeSend);
             }
-            Err(SendError::Broken) => {
+            Err(SendError::ConnectionBroken) => {
                 in_flight.set_outcome(Outcome::AnswerLost);
-                return Ended::Unknown("connection broke");
+                return AttemptResult::Unknown("connection broke");
             }
         }
     };
     let taken_ms = u64::try_from(sent_at.elapsed().as_millis()).unwrap_or(u64::MAX);
-    take_reports(state, choice, head.headers());
-    read_answer(state, choice, outgoing, in_flight, head, taken_ms).await
+    apply_warmup_header(state, choice, head.headers());
+    read_response(state, choice, outgoing, in_flight, head, taken_ms).await
 }
 
 enum SendError {
-    Unsent,
-    Broken,
+    NotSent,
+    ConnectionBroken,
 }
 
-async fn send_on(
+async fn send_on_connection(
     connection: &mut Connection,
     choice: &Choice,
-    outgoing: &Outgoing,
-    left_ms: u64,
+    outgoing: &OutgoingRequest,
+    remaining_ms: u64,
 ) -> Result<Response<Incoming>, SendError> {
-    let request = build(choice, outgoing, left_ms);
+    let request = build_request(choice, outgoing, remaining_ms);
     match connection.sender.try_send_request(request).await {
         Ok(head) => Ok(head),
         Err(mut e) => match e.take_message() {
-            Some(_) => Err(SendError::Unsent),
-            None => Err(SendError::Broken),
+            Some(_) => Err(SendError::NotSent),
+            None => Err(SendError::ConnectionBroken),
         },
     }
 }
 
-fn build(choice: &Choice, outgoing: &Outgoing, left_ms: u64) -> Request<Full<Bytes>> {
+fn build_request(
+    choice: &Choice,
+    outgoing: &OutgoingRequest,
+    remaining_ms: u64,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(outgoing.body.clone()));
     *request.method_mut() = outgoing.method.clone();
     *request.uri_mut() = outgoing.uri.clone();
     *request.version_mut() = Version::HTTP_11;
     *request.headers_mut() = outgoing.headers.clone();
     let headers = request.headers_mut();
-    headers.insert(request::DEADLINE_MS, HeaderValue::from(left_ms));
+    headers.insert(request::DEADLINE_MS, HeaderValue::from(remaining_ms));
     if let Ok(id) = HeaderValue::from_str(choice.backend.id.as_str()) {
         headers.insert(request::EXPECTED_BACKEND, id);
     }
     request
 }
 
-fn take_reports(state: &State, choice: &Choice, headers: &HeaderMap) {
+fn apply_warmup_header(state: &State, choice: &Choice, headers: &HeaderMap) {
     let now_ms = state.now_ms();
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-    if let Some(left_ms) = text(request::COLD_MS).and_then(|text| text.parse().ok()) {
-        state.balancer.borrow_mut().set_cold(choice.handle, left_ms, now_ms);
+    if let Some(remaining_ms) = text(request::COLD_MS).and_then(|text| text.parse().ok()) {
+        state.balancer.borrow_mut().set_cold(choice.handle, remaining_ms, now_ms);
     }
 }
 
-async fn read_answer(
+async fn read_response(
     state: &Rc<State>,
     choice: &Choice,
-    outgoing: &Outgoing,
-    mut in_flight: InFlight,
+    outgoing: &OutgoingRequest,
+    mut in_flight: InFlightRequest,
     head: Response<Incoming>,
     taken_ms: u64,
-) -> Ended {
-    let echoed = head.headers().get(request::REQUEST_ID);
-    let sent = outgoing.headers.get(request::REQUEST_ID);
-    let is_rejection = head.headers().contains_key(request::NOT_RUN)
+) -> AttemptResult {
+    let echoed_id = head.headers().get(request::REQUEST_ID);
+    let sent_id = outgoing.headers.get(request::REQUEST_ID);
+    let is_rejected = head.headers().contains_key(request::NOT_RUN)
         || head.status() == StatusCode::MISDIRECTED_REQUEST;
     // An answer to an earlier request on this connection, which came twice: ours
     // is still under way, and its answer cannot be told from what follows.
-    if echoed.is_some() && echoed != sent {
+    if echoed_id.is_some() && echoed_id != sent_id {
         in_flight.set_outcome(Outcome::Failed);
-        return Ended::Unknown("answer to another request");
+        return AttemptResult::Unknown("answer to another request");
     }
-    if is_rejection {
-        let is_other = head.status() == StatusCode::MISDIRECTED_REQUEST;
-        if is_other {
+    if is_rejected {
+        let is_misdirected = head.status() == StatusCode::MISDIRECTED_REQUEST;
+        if is_misdirected {
             state.balancer.borrow_mut().set_leaving(choice.handle);
         }
         in_flight.set_outcome(Outcome::Full);
         if head.into_body().collect().await.is_ok() {
-            in_flight.keep_connection();
+            in_flight.release_connection();
         }
-        return Ended::NotRun(if is_other { NotRun::AnotherServer } else { NotRun::Rejected });
+        return AttemptResult::NotExecuted(if is_misdirected {
+            NotExecuted::WrongServer
+        } else {
+            NotExecuted::Rejected
+        });
     }
-    if head.status().is_success() && !is_usable_success(head.headers()) {
+    if head.status().is_success() && !is_valid_success(head.headers()) {
         in_flight.set_outcome(Outcome::Failed);
-        return Ended::Unknown("malformed answer");
+        return AttemptResult::Unknown("malformed answer");
     }
     let (mut parts, mut incoming) = head.into_parts();
     let is_failure = parts.status.is_server_error();
-    let mut collected = BytesMut::new();
-    while collected.len() <= RESPONSE_BUFFER_BYTES {
+    let mut buffered = BytesMut::new();
+    while buffered.len() <= RESPONSE_BUFFER_BYTES {
         let Some(frame) = incoming.frame().await else { break };
         let Ok(frame) = frame else {
             in_flight.set_outcome(Outcome::Failed);
-            return Ended::Unknown("answer ended early");
+            return AttemptResult::Unknown("answer ended early");
         };
         if let Ok(data) = frame.into_data() {
-            collected.extend_from_slice(&data);
+            buffered.extend_from_slice(&data);
         }
     }
     in_flight.set_outcome(if is_failure {
@@ -210,22 +218,25 @@
     parts.version = Version::HTTP_11;
     response::remove_hop_by_hop_headers(&mut parts.headers);
     response::remove_internal_headers(&mut parts.headers);
-    let collected = collected.freeze();
-    if !incoming.is_end_stream() && collected.len() > RESPONSE_BUFFER_BYTES {
-        let rest = StreamingBody::new(collected, incoming, in_flight);
-        return Ended::Answer(Response::from_parts(parts, ResponseBody::Streaming(Box::new(rest))));
+    let buffered = buffered.freeze();
+    if !incoming.is_end_stream() && buffered.len() > RESPONSE_BUFFER_BYTES {
+        let body = StreamingBody::new(buffered, incoming, in_flight);
+        return AttemptResult::Response(Response::from_parts(
+            parts,
+            ResponseBody::Streaming(Box::new(body)),
+        ));
     }
-    in_flight.keep_connection();
+    in_flight.release_connection();
     // A body whose length the server did not tell has a length now.
     if outgoing.method != Method::HEAD {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
-    Ended::Answer(Response::from_parts(parts, ResponseBody::buffered(collected)))
+    AttemptResult::Response(Response::from_parts(parts, ResponseBody::buffered(buffered)))
 }
 
 /// Clients take a success only with the server's signature and echo, and without
 /// an encoding that they did not ask for.
-fn is_usable_success(headers: &HeaderMap) -> bool {
+fn is_valid_success(headers: &HeaderMap) -> bool {
     headers.contains_key(request::SIGNATURE)
         && headers.contains_key(request::REQUEST_ID)
         && !headers.contains_key(header::CONTENT_ENCODING)
--- a/crates/azuregate/src/serve/in_flight.rs
+++ b/crates/azuregate/src/serve/in_flight.rs
@@ -7,11 +7,11 @@
 use super::{pool::Connection, state::State};
 
 /// How much a timer and the clock may differ by rounding.
-const TIMER_SLACK_MS: u64 = 2;
+const TIMER_TOLERANCE_MS: u64 = 2;
 
 /// Counts a request at a backend server until it is dropped, and closes the
 /// connection unless the answer was read to its end.
-pub(super) struct InFlight {
+pub(super) struct InFlightRequest {
     pub(super) handle: BackendHandle,
     pub(super) connection: Option<Connection>,
     state: Rc<State>,
@@ -21,16 +21,16 @@
     deadline_ms: u64,
 }
 
-impl InFlight {
-    pub(super) fn new(state: &Rc<State>, choice: &Choice, left_ms: u64) -> InFlight {
+impl InFlightRequest {
+    pub(super) fn new(state: &Rc<State>, choice: &Choice, remaining_ms: u64) -> InFlightRequest {
         let sent_at_ms = state.now_ms();
-        InFlight {
+        InFlightRequest {
             handle: choice.handle,
             connection: None,
             state: Rc::clone(state),
             outcome: Outcome::Cancelled,
             sent_at_ms,
-            deadline_ms: sent_at_ms + left_ms,
+            deadline_ms: sent_at_ms + remaining_ms,
         }
     }
 
@@ -40,20 +40,20 @@
     }
 
     /// Keeps the connection for the next request.
-    pub(super) fn keep_connection(&mut self) {
+    pub(super) fn release_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
             self.state.pool.put(self.handle, connection, self.state.now_ms());
         }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightRequest {
     /// A request that is dropped without an outcome was cancelled by its client, or
     /// its time was over. The second tells that the server is slow: one that takes
     /// longer than any request may would otherwise never be noticed.
     fn drop(&mut self) {
         let now_ms = self.state.now_ms();
-        if self.outcome == Outcome::Cancelled && now_ms + TIMER_SLACK_MS >= self.deadline_ms {
+        if self.outcome == Outcome::Cancelled && now_ms + TIMER_TOLERANCE_MS >= self.deadline_ms {
             let taken_ms = now_ms.saturating_sub(self.sent_at_ms);
             self.outcome = Outcome::TimedOut { taken_ms };
         }
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -117,7 +117,7 @@
     spawn_local(heartbeat::serve(Rc::clone(&state), listeners.heartbeats));
     spawn_local(relay::serve(Rc::clone(&state), listeners.followers));
     spawn_local(follow::serve(Rc::clone(&state)));
-    spawn_local(close_idle(Rc::clone(&state)));
+    spawn_local(evict_idle_connections(Rc::clone(&state)));
     spawn_local(ports::serve(Rc::clone(&state), listeners.ready, Audience::Clients));
     spawn_local(ports::serve(Rc::clone(&state), listeners.lookups, Audience::Clients));
     if let Some(metrics) = listeners.metrics {
@@ -130,9 +130,9 @@
 }
 
 /// Closes idle connections to backend servers until the process ends.
-async fn close_idle(state: Rc<State>) {
-    let mut ticks = state.timer.subscribe(pool::SWEEP_EVERY_MS);
+async fn evict_idle_connections(state: Rc<State>) {
+    let mut ticks = state.timer.subscribe(pool::EVICTION_INTERVAL_MS);
     while ticks.recv().await.is_some() {
-        state.pool.sweep(state.now_ms());
+        state.pool.evict_idle(state.now_ms());
     }
 }
--- a/crates/azuregate/src/serve/pool.rs
+++ b/crates/azuregate/src/serve/pool.rs
@@ -19,17 +19,17 @@
 const CONNECT_TIMEOUT_MS: u64 = 200;
 /// How long sent bytes may stay without acknowledgement. A server that lost power
 /// keeps silent, and requests to it would wait until their time is over.
-const UNACKED_LIMIT_MS: u64 = 350;
+const UNACKED_DATA_TIMEOUT_MS: u64 = 350;
 /// How long a connection may be idle and still be used. Servers close theirs
 /// after some seconds, and a request that meets the close may have run.
-const IDLE_LIMIT_MS: u64 = 4_000;
+const MAX_IDLE_MS: u64 = 4_000;
 /// The same for requests that must not run twice, for which a connection that
 /// went silent costs an answer and not just time.
-const FRESH_LIMIT_MS: u64 = 1_000;
+const MAX_IDLE_NON_IDEMPOTENT_MS: u64 = 1_000;
 /// Idle connections that are kept to one server.
-const IDLE_CONNECTIONS: usize = 6;
+const MAX_IDLE_PER_SERVER: usize = 6;
 /// How often idle connections are to be looked through.
-pub(super) const SWEEP_EVERY_MS: u64 = 1_000;
+pub(super) const EVICTION_INTERVAL_MS: u64 = 1_000;
 
 /// A connection that is used for one request at a time.
 pub(super) struct Connection {
@@ -50,23 +50,23 @@
 
 /// Idle connections to all backend servers.
 #[derive(Default)]
-pub(super) struct Pool {
+pub(super) struct ConnectionPool {
     idle: RefCell<HashMap<BackendHandle, Vec<Connection>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// An idle connection that is fit for use, the one used last.
     pub(super) fn take(
         &self,
         handle: BackendHandle,
-        must_be_fresh: bool,
+        is_non_idempotent: bool,
         now_ms: u64,
     ) -> Option<Connection> {
-        let limit_ms = if must_be_fresh { FRESH_LIMIT_MS } else { IDLE_LIMIT_MS };
+        let max_idle_ms = if is_non_idempotent { MAX_IDLE_NON_IDEMPOTENT_MS } else { MAX_IDLE_MS };
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&handle)?;
         while let Some(connection) = connections.pop() {
-            if now_ms.saturating_sub(connection.idle_since_ms) > limit_ms {
+            if now_ms.saturating_sub(connection.idle_since_ms) > max_idle_ms {
                 connections.push(connection);
                 return None;
             }
@@ -86,17 +86,17 @@
         connection.is_reused = true;
         let mut idle = self.idle.borrow_mut();
         let connections = idle.entry(handle).or_default();
-        if connections.len() < IDLE_CONNECTIONS {
+        if connections.len() < MAX_IDLE_PER_SERVER {
             connections.push(connection);
         }
     }
 
     /// Closes connections that were idle for too long.
-    pub(super) fn sweep(&self, now_ms: u64) {
+    pub(super) fn evict_idle(&self, now_ms: u64) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| {
                 let idle_ms = now_ms.saturating_sub(connection.idle_since_ms);
-                idle_ms <= IDLE_LIMIT_MS && !connection.sender.is_closed()
+                idle_ms <= MAX_IDLE_MS && !connection.sender.is_closed()
             });
             !connections.is_empty()
         });
@@ -109,11 +109,11 @@
 ///
 /// When there is none in time.
 pub(super) async fn connect(addr: SocketAddr) -> std::io::Result<Connection> {
-    let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
-    let stream = time::timeout(limit, TcpStream::connect(addr)).await??;
+    let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
+    let stream = time::timeout(connect_timeout, TcpStream::connect(addr)).await??;
     stream.set_nodelay(true)?;
-    let unacked = Duration::from_millis(UNACKED_LIMIT_MS);
-    SockRef::from(&stream).set_tcp_user_timeout(Some(unacked))?;
+    let unacked_timeout = Duration::from_millis(UNACKED_DATA_TIMEOUT_MS);
+    SockRef::from(&stream).set_tcp_user_timeout(Some(unacked_timeout))?;
     let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -18,7 +18,7 @@
 use tokio::time::{self, Instant};
 
 use super::{
-    attempt::{self, Ended, NotRun, Outgoing},
+    attempt::{self, AttemptResult, NotExecuted, OutgoingRequest},
     response::{self, RequestError},
     response_body::ResponseBody,
     state::State,
@@ -196,7 +196,7 @@
     body: Option<Incoming>,
     route: &Route,
     body_limit: usize,
-) -> Result<Outgoing, RequestError> {
+) -> Result<OutgoingRequest, RequestError> {
     let body = match body {
         Some(body) => read_body(body, body_limit).await?,
         None => Bytes::new(),
@@ -205,7 +205,7 @@
     response::remove_internal_headers(&mut parts.headers);
     parts.headers.remove(header::EXPECT);
     parts.headers.remove(header::CONTENT_LENGTH);
-    Ok(Outgoing {
+    Ok(OutgoingRequest {
         method: parts.method,
         uri: parts.uri,
         headers: parts.headers,
@@ -262,7 +262,7 @@
     state: &'a Rc<State>,
     route: &'a Route,
     service: &'a ServiceName,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     deadline: Instant,
 }
 
@@ -287,7 +287,7 @@
             let ended = attempt::send(self.state, &choice, &self.outgoing, left_ms).await;
             progress.is_sent = false;
             match ended {
-                Ended::Answer(response) => {
+                AttemptResult::Response(response) => {
                     progress.runs += 1;
                     let is_failure = response.status().is_server_error();
                     if !is_failure || !self.outgoing.is_idempotent {
@@ -296,13 +296,13 @@
                     record.failed("failure");
                     failure = Some(response);
                 }
-                Ended::NotRun(cause) => {
-                    record.failed(cause.name());
-                    if cause == NotRun::Rejected && choice.had_free_slot() {
+                AttemptResult::NotExecuted(cause) => {
+                    record.failed(cause.as_str());
+                    if cause == NotExecuted::Rejected && choice.had_free_slot() {
                         progress.tried.pop();
                     }
                 }
-                Ended::Unknown(cause) => {
+                AttemptResult::Unknown(cause) => {
                     progress.runs += 1;
                     record.failed(cause);
                     if !self.outgoing.is_idempotent {
--- a/crates/azuregate/src/serve/response_body.rs
+++ b/crates/azuregate/src/serve/response_body.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 
-use super::in_flight::InFlight;
+use super::in_flight::InFlightRequest;
 
 /// The body of an answer.
 pub(super) enum ResponseBody {
@@ -30,11 +30,15 @@
     buffered: Option<Bytes>,
     incoming: Incoming,
     /// Ends when the client has the whole answer or has left.
-    in_flight: InFlight,
+    in_flight: InFlightRequest,
 }
 
 impl StreamingBody {
-    pub(super) fn new(buffered: Bytes, incoming: Incoming, in_flight: InFlight) -> StreamingBody {
+    pub(super) fn new(
+        buffered: Bytes,
+        incoming: Incoming,
+        in_flight: InFlightRequest,
+    ) -> StreamingBody {
         StreamingBody { buffered: Some(buffered), incoming, in_flight }
     }
 }
@@ -82,7 +86,7 @@
         }
         let polled = Pin::new(&mut self.incoming).poll_frame(cx);
         if matches!(polled, Poll::Ready(None)) {
-            self.in_flight.keep_connection();
+            self.in_flight.release_connection();
         }
         polled
     }
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -16,7 +16,8 @@
 use tokio::sync::{Notify, watch};
 
 use super::{
-    encoded::EncodedCache, metrics::Metrics, phase::ShutdownPhase, pool::Pool, tables::Tables,
+    encoded::EncodedCache, metrics::Metrics, phase::ShutdownPhase, pool::ConnectionPool,
+    tables::Tables,
 };
 use crate::{stop::Stop, timer::Timer};
 
@@ -37,7 +38,7 @@
     pub(super) timer: Timer,
     pub(super) balancer: RefCell<Balancer>,
     pub(super) members: RefCell<Members>,
-    pub(super) pool: Pool,
+    pub(super) pool: ConnectionPool,
     pub(super) metrics: Metrics,
     /// Copies of the store's tables.
     pub(super) tables: RefCell<Tables>,
@@ -93,7 +94,7 @@
             timer: Timer::start(),
             balancer: RefCell::new(balancer),
             members: RefCell::new(members),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             metrics: Metrics::default(),
             tables: RefCell::default(),
             encoded: RefCell::default(),
