--- a/crates/azuregate/src/serve/pipeline.rs
+++ b/crates/azuregate/src/serve/pipeline.rs
@@ -144,7 +144,7 @@
         let mut waiting = self.waiting.borrow_mut();
         *waiting += 1;
         let mut early = self.early.borrow_mut();
-        if *waiting < 2 || early.len() >= EARLY_LIMIT || !serving::may_start_early(state, &parts) {
+        if *waiting < 2 || early.len() >= EARLY_LIMIT || !serving::can_start_early(state, &parts) {
             return;
         }
         let uri = parts.uri.clone();
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -31,9 +31,9 @@
 const LARGE_BODY_BYTES: usize = 20_000;
 /// Servers that may reject a request before it is given up, beyond the attempts
 /// of its route.
-const REJECTIONS: u32 = 1;
+const EXTRA_SENDS_AFTER_REJECTION: u32 = 1;
 /// Time that must be left for another attempt to be of use.
-const LEAST_LEFT_MS: u64 = 20;
+const MIN_RETRY_REMAINING_MS: u64 = 20;
 
 /// Answers one request of a client, whose head arrived at `received_at`.
 pub(super) async fn handle(
@@ -42,23 +42,23 @@
     body: Option<Incoming>,
     received_at: Instant,
 ) -> Response<ResponseBody> {
-    let mut record = Record::new(&parts.headers);
-    let result = serve(&state, parts, body, received_at, &mut record).await;
+    let mut log_entry = AccessLogEntry::new(&parts.headers);
+    let result = serve(&state, parts, body, received_at, &mut log_entry).await;
     let taken_ms = u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX);
     let response = match result {
         Ok(response) => response,
         Err(error) => {
-            record.code = error.code();
+            log_entry.code = error.code();
             error.into_response()
         }
     };
-    state.metrics.request(&record.service, &record.route, record.code, taken_ms);
-    record.log(response.status(), taken_ms);
+    state.metrics.request(&log_entry.service, &log_entry.route, log_entry.code, taken_ms);
+    log_entry.log(response.status(), taken_ms);
     response
 }
 
 /// Whether a request may run although its connection may end before its turn.
-pub(super) fn may_start_early(state: &State, parts: &Parts) -> bool {
+pub(super) fn can_start_early(state: &State, parts: &Parts) -> bool {
     let Some(config) = state.config() else { return false };
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let route = host.and_then(|host| config.route(host, parts.uri.path()));
@@ -66,15 +66,15 @@
 }
 
 /// What the log says of a request.
-struct Record {
+struct AccessLogEntry {
     id: String,
     object: String,
     route: String,
     service: String,
     version: u64,
     backend: String,
-    tries: usize,
-    causes: String,
+    attempts: usize,
+    failures: String,
     in_flight: u32,
     deadline_ms: u64,
     /// What a refusal is based on, empty for others.
@@ -82,18 +82,18 @@
     code: &'static str,
 }
 
-impl Record {
-    fn new(headers: &HeaderMap) -> Record {
+impl AccessLogEntry {
+    fn new(headers: &HeaderMap) -> AccessLogEntry {
         let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-        Record {
+        AccessLogEntry {
             id: text(request::REQUEST_ID).unwrap_or_default().to_owned(),
             object: text(request::OBJECT_KEY).unwrap_or_default().to_owned(),
             route: String::new(),
             service: String::new(),
             version: 0,
             backend: String::new(),
-            tries: 0,
-            causes: String::new(),
+            attempts: 0,
+            failures: String::new(),
             in_flight: 0,
             deadline_ms: 0,
             basis: String::new(),
@@ -101,19 +101,19 @@
         }
     }
 
-    fn tried(&mut self, choice: &Choice) {
-        self.tries += 1;
+    fn record_attempt(&mut self, choice: &Choice) {
+        self.attempts += 1;
         self.in_flight = choice.in_flight;
         self.backend = choice.backend.id.as_str().to_owned();
     }
 
-    fn failed(&mut self, cause: &str) {
-        if !self.causes.is_empty() {
-            self.causes.push(',');
+    fn record_failure(&mut self, cause: &str) {
+        if !self.failures.is_empty() {
+            self.failures.push(',');
         }
-        self.causes.push_str(&self.backend);
-        self.causes.push(':');
-        self.causes.push_str(cause);
+        self.failures.push_str(&self.backend);
+        self.failures.push(':');
+        self.failures.push_str(cause);
     }
 
     fn log(&self, status: StatusCode, taken_ms: u64) {
@@ -126,8 +126,8 @@
             object = self.object.as_str(),
             version = self.version,
             backend = self.backend.as_str(),
-            tries = self.tries,
-            failed = self.causes.as_str(),
+            tries = self.attempts,
+            failed = self.failures.as_str(),
             in_flight = self.in_flight,
             basis = self.basis.as_str(),
             deadline_ms = self.deadline_ms,
@@ -142,10 +142,10 @@
     parts: Parts,
     body: Option<Incoming>,
     received_at: Instant,
-    record: &mut Record,
+    log_entry: &mut AccessLogEntry,
 ) -> Result<Response<ResponseBody>, RequestError> {
     let Some(config) = state.config() else { return Err(RequestError::NotReady) };
-    record.version = config.version();
+    log_entry.version = config.version();
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let Some(host) = host else { return Err(RequestError::BadRequest) };
     let Some(route) = config.route(host, parts.uri.path()) else {
@@ -158,12 +158,12 @@
         });
     };
     let route = Arc::clone(route);
-    record.route.push_str(&route.name);
-    let wait_ms = deadline_ms(&parts.headers).min(route.timeout_ms);
-    record.deadline_ms = wait_ms;
-    let deadline = received_at + Duration::from_millis(wait_ms);
+    log_entry.route.push_str(&route.name);
+    let timeout_ms = deadline_ms(&parts.headers).min(route.timeout_ms);
+    log_entry.deadline_ms = timeout_ms;
+    let deadline = received_at + Duration::from_millis(timeout_ms);
     let service = state.next_service(&route);
-    record.service.push_str(service.as_str());
+    log_entry.service.push_str(service.as_str());
     state.count_request(&service);
     if !state.has_backends() {
         return Err(RequestError::NotReady);
@@ -171,16 +171,16 @@
     let body_limit = config.limits().body_bytes;
     drop(config);
 
-    let mut progress = Progress::default();
+    let mut attempts = AttemptState::default();
     let work = async {
-        let outgoing = read(parts, body, &route, body_limit).await?;
-        Task { state, route: &route, service: &service, outgoing, deadline }
-            .run(&mut progress, record)
+        let outgoing = read_request(parts, body, &route, body_limit).await?;
+        Forwarder { state, route: &route, service: &service, outgoing, deadline }
+            .forward(&mut attempts, log_entry)
             .await
     };
     match time::timeout_at(deadline, work).await {
         Ok(result) => result,
-        Err(_) => Err(progress.timed_out()),
+        Err(_) => Err(attempts.timeout_error()),
     }
 }
 
@@ -191,7 +191,7 @@
 
 /// Reads the whole body, so that no backend server waits for a slow client and a
 /// server that rejects the request can be replaced by another.
-async fn read(
+async fn read_request(
     mut parts: Parts,
     body: Option<Incoming>,
     route: &Route,
@@ -232,33 +232,33 @@
 
 /// What has become of a request so far.
 #[derive(Default)]
-struct Progress {
+struct AttemptState {
     /// Servers that are not asked again.
     tried: Vec<BackendHandle>,
     /// How often it was sent to a server.
     sends: u32,
     /// Servers that may have run it.
-    runs: u32,
+    possible_executions: u32,
     /// Whether it is at a server now.
-    is_sent: bool,
+    is_in_flight: bool,
 }
 
-impl Progress {
-    fn timed_out(&self) -> RequestError {
-        if self.runs > 0 || self.is_sent {
+impl AttemptState {
+    fn timeout_error(&self) -> RequestError {
+        if self.possible_executions > 0 || self.is_in_flight {
             RequestError::TimedOut
         } else {
             RequestError::NoCapacity
         }
     }
 
-    fn given_up(&self, not_run: RequestError) -> RequestError {
-        if self.runs > 0 { RequestError::ResponseLost } else { not_run }
+    fn attempts_exhausted(&self, not_executed: RequestError) -> RequestError {
+        if self.possible_executions > 0 { RequestError::ResponseLost } else { not_executed }
     }
 }
 
 /// A request that looks for a backend server.
-struct Task<'a> {
+struct Forwarder<'a> {
     state: &'a Rc<State>,
     route: &'a Route,
     service: &'a ServiceName,
@@ -266,45 +266,45 @@
     deadline: Instant,
 }
 
-impl Task<'_> {
-    async fn run(
+impl Forwarder<'_> {
+    async fn forward(
         &self,
-        progress: &mut Progress,
-        record: &mut Record,
+        attempts: &mut AttemptState,
+        log_entry: &mut AccessLogEntry,
     ) -> Result<Response<ResponseBody>, RequestError> {
         let mut failure = None;
         loop {
-            let left_ms = self.left_ms();
-            let is_retry = progress.sends > 0;
-            if is_retry && !self.may_retry(progress, left_ms) {
+            let remaining_ms = self.remaining_ms();
+            let is_retry = attempts.sends > 0;
+            if is_retry && !self.can_retry(attempts, remaining_ms) {
                 break;
             }
-            let Some(choice) = self.choose(progress, record) else { break };
-            record.tried(&choice);
-            progress.tried.push(choice.handle);
-            progress.sends += 1;
-            progress.is_sent = true;
-            let ended = attempt::send(self.state, &choice, &self.outgoing, left_ms).await;
-            progress.is_sent = false;
-            match ended {
+            let Some(choice) = self.choose(attempts, log_entry) else { break };
+            log_entry.record_attempt(&choice);
+            attempts.tried.push(choice.handle);
+            attempts.sends += 1;
+            attempts.is_in_flight = true;
+            let result = attempt::send(self.state, &choice, &self.outgoing, remaining_ms).await;
+            attempts.is_in_flight = false;
+            match result {
                 AttemptResult::Response(response) => {
-                    progress.runs += 1;
+                    attempts.possible_executions += 1;
                     let is_failure = response.status().is_server_error();
                     if !is_failure || !self.outgoing.is_idempotent {
-                        return Ok(self.passed_on(response));
+                        return Ok(self.mask_unsigned_rejection(response));
                     }
-                    record.failed("failure");
+                    log_entry.record_failure("failure");
                     failure = Some(response);
                 }
                 AttemptResult::NotExecuted(cause) => {
-                    record.failed(cause.as_str());
+                    log_entry.record_failure(cause.as_str());
                     if cause == NotExecuted::Rejected && choice.had_free_slot() {
-                        progress.tried.pop();
+                        attempts.tried.pop();
                     }
                 }
                 AttemptResult::Unknown(cause) => {
-                    progress.runs += 1;
-                    record.failed(cause);
+                    attempts.possible_executions += 1;
+                    log_entry.record_failure(cause);
                     if !self.outgoing.is_idempotent {
                         break;
                     }
@@ -312,44 +312,45 @@
             }
         }
         match failure {
-            Some(response) => Ok(self.passed_on(response)),
-            None if progress.sends == 0 => Err(RequestError::NoCapacity),
-            None => Err(progress.given_up(RequestError::Rejected)),
+            Some(response) => Ok(self.mask_unsigned_rejection(response)),
+            None if attempts.sends == 0 => Err(RequestError::NoCapacity),
+            None => Err(attempts.attempts_exhausted(RequestError::Rejected)),
         }
     }
 
-    fn left_ms(&self) -> u64 {
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        u64::try_from(left.as_millis()).unwrap_or(u64::MAX)
+    fn remaining_ms(&self) -> u64 {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)
     }
 
-    fn may_retry(&self, progress: &Progress, left_ms: u64) -> bool {
-        progress.runs < self.route.attempts
-            && progress.sends < self.route.attempts + REJECTIONS
-            && left_ms > LEAST_LEFT_MS
+    fn can_retry(&self, attempts: &AttemptState, remaining_ms: u64) -> bool {
+        attempts.possible_executions < self.route.attempts
+            && attempts.sends < self.route.attempts + EXTRA_SENDS_AFTER_REJECTION
+            && remaining_ms > MIN_RETRY_REMAINING_MS
             && self.state.take_retry(self.service)
     }
 
-    fn choose(&self, progress: &Progress, record: &mut Record) -> Option<Choice> {
+    fn choose(&self, attempts: &AttemptState, log_entry: &mut AccessLogEntry) -> Option<Choice> {
         let headers = &self.outgoing.headers;
-        let known = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
-        let known = known.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
-        let object = known.unwrap_or_else(|| fastrand::u64(..));
+        let object_hash = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
+        let object_hash =
+            object_hash.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
+        let object = object_hash.unwrap_or_else(|| fastrand::u64(..));
         let query = Query {
             service: self.service,
             object,
             is_large: self.outgoing.body.len() > LARGE_BODY_BYTES,
-            tried: &progress.tried,
+            tried: &attempts.tried,
             home_regions: &self.route.home_regions,
         };
         let now_ms = self.state.now_ms();
         let mut balancer = self.state.balancer.borrow_mut();
-        if let Some(object) = known {
+        if let Some(object) = object_hash {
             balancer.requested(object, now_ms);
         }
         let choice = balancer.choose(&query, now_ms);
         if choice.is_none() {
-            record.basis = balancer.basis(&query, now_ms).to_string();
+            log_entry.basis = balancer.basis(&query, now_ms).to_string();
         }
         choice
     }
@@ -357,15 +358,18 @@
     /// A status that promises that the request has not run must be true. A backend
     /// server says so by a header; one that uses the status without it may have
     /// run the request, and only its signature keeps the status as it is.
-    fn passed_on(&self, mut response: Response<ResponseBody>) -> Response<ResponseBody> {
-        let is_promise = matches!(
+    fn mask_unsigned_rejection(
+        &self,
+        mut response: Response<ResponseBody>,
+    ) -> Response<ResponseBody> {
+        let implies_not_executed = matches!(
             response.status(),
             StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::REQUEST_TIMEOUT
         );
         let is_signed = response.headers().contains_key(request::SIGNATURE);
-        if is_promise && !is_signed && !self.outgoing.is_idempotent {
+        if implies_not_executed && !is_signed && !self.outgoing.is_idempotent {
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response.headers_mut().remove(header::RETRY_AFTER);
         }
