--- a/crates/azuregate/src/serve/pipeline.rs
+++ b/crates/azuregate/src/serve/pipeline.rs
@@ -4,7 +4,7 @@
 //! back in order. The HTTP server takes the next request only when the one before
 //! is answered, so a request behind one that takes long would reach a backend
 //! server late: one in eight reads did under load, after more than half of its
-//! latency objective. [`Scanner`] finds the requests in the bytes as they arrive,
+//! latency objective. [`RequestScanner`] finds the requests in the bytes as they arrive,
 //! and [`Pipeline`] starts them; when the HTTP server comes to a request, its
 //! answer is on the way or there.
 
@@ -22,75 +22,75 @@
     time::Instant,
 };
 
-use super::{request as serving, response_body::ResponseBody, state::State};
+use super::{request as handler, response_body::ResponseBody, state::State};
 
 /// Requests of one connection that are started before their turn.
-const EARLY_LIMIT: usize = 16;
+const MAX_STARTED_REQUESTS: usize = 16;
 /// Headers of a request that is started early; one with more waits for its turn.
-const HEADERS_LIMIT: usize = 48;
+const MAX_HEADERS: usize = 48;
 /// The longest head that is looked at.
-const HEAD_LIMIT_BYTES: usize = 16 << 10;
+const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// Finds requests without a body in the bytes of a connection.
 #[derive(Debug, Default)]
-pub(super) struct Scanner {
+pub(super) struct RequestScanner {
     bytes: BytesMut,
     /// Bytes of a body that are passed over.
-    body_left: usize,
+    body_remaining_bytes: usize,
     /// Whether something came whose end cannot be told here.
-    is_lost: bool,
+    is_disabled: bool,
 }
 
-impl Scanner {
+impl RequestScanner {
     /// Takes in the next bytes of the connection.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
-        if !self.is_lost {
+        if !self.is_disabled {
             self.bytes.extend_from_slice(bytes);
         }
     }
 
     /// Whether a part of a head has come and the rest has not.
-    pub(super) fn is_in_head(&self) -> bool {
-        !self.is_lost && self.body_left == 0 && !self.bytes.is_empty()
+    pub(super) fn has_partial_head(&self) -> bool {
+        !self.is_disabled && self.body_remaining_bytes == 0 && !self.bytes.is_empty()
     }
 
     /// The next whole head of a request that has no body; heads of others are
     /// passed over with their bodies.
-    pub(super) fn next(&mut self) -> Option<Parts> {
+    pub(super) fn next_get(&mut self) -> Option<Parts> {
         loop {
-            let passed = self.body_left.min(self.bytes.len());
-            self.bytes.advance(passed);
-            self.body_left -= passed;
-            if self.is_lost || self.body_left > 0 || self.bytes.is_empty() {
+            let skipped = self.body_remaining_bytes.min(self.bytes.len());
+            self.bytes.advance(skipped);
+            self.body_remaining_bytes -= skipped;
+            if self.is_disabled || self.body_remaining_bytes > 0 || self.bytes.is_empty() {
                 return None;
             }
-            let mut headers = [httparse::EMPTY_HEADER; HEADERS_LIMIT];
+            let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
             let mut head = httparse::Request::new(&mut headers);
             let length = match head.parse(&self.bytes) {
                 Ok(httparse::Status::Complete(length)) => length,
-                Ok(httparse::Status::Partial) if self.bytes.len() < HEAD_LIMIT_BYTES => {
+                Ok(httparse::Status::Partial) if self.bytes.len() < MAX_HEAD_BYTES => {
                     return None;
                 }
-                Ok(httparse::Status::Partial) | Err(_) => return self.lose(),
+                Ok(httparse::Status::Partial) | Err(_) => return self.disable(),
             };
-            let Some(parts) = parts(&head) else { return self.lose() };
-            let Some(body_length) = body_length(&parts.headers) else { return self.lose() };
+            let Some(parts) = request_parts(&head) else { return self.disable() };
+            let Some(body_length) = body_length(&parts.headers) else { return self.disable() };
             self.bytes.advance(length);
-            self.body_left = body_length;
+            self.body_remaining_bytes = body_length;
             if body_length == 0 && parts.method == Method::GET {
                 return Some(parts);
             }
         }
     }
 
-    fn lose(&mut self) -> Option<Parts> {
-        self.is_lost = true;
+    fn disable(&mut self) -> Option<Parts> {
+        self.is_disabled = true;
         self.bytes = BytesMut::new();
         None
     }
 }
 
-fn parts(head: &httparse::Request<'_, '_>) -> Option<Parts> {
+fn request_parts(head: &httparse::Request<'_, '_>) -> Option<Parts> {
     let mut request = Request::new(());
     *request.method_mut() = head.method?.parse().ok()?;
     *request.uri_mut() = head.path?.parse().ok()?;
@@ -116,13 +116,13 @@
 }
 
 /// A request that was started before its turn.
-struct Early {
+struct StartedRequest {
     uri: Uri,
     id: Option<HeaderValue>,
     task: JoinHandle<Response<ResponseBody>>,
 }
 
-impl Drop for Early {
+impl Drop for StartedRequest {
     /// The client has left, or the request is served in another way.
     fn drop(&mut self) {
         self.task.abort();
@@ -132,47 +132,51 @@
 /// The requests of one connection that were started before their turn.
 #[derive(Default)]
 pub(super) struct Pipeline {
-    early: RefCell<VecDeque<Early>>,
+    started: RefCell<VecDeque<StartedRequest>>,
     /// Requests that were found and have not had their turn, the current one
     /// included.
-    waiting: RefCell<usize>,
+    unanswered: RefCell<usize>,
 }
 
 impl Pipeline {
     /// Takes in a request as it arrives, and starts it if others are before it.
-    pub(super) fn arrived(&self, state: &Rc<State>, parts: Parts) {
-        let mut waiting = self.waiting.borrow_mut();
-        *waiting += 1;
-        let mut early = self.early.borrow_mut();
-        if *waiting < 2 || early.len() >= EARLY_LIMIT || !serving::can_start_early(state, &parts) {
+    pub(super) fn push(&self, state: &Rc<State>, parts: Parts) {
+        let mut unanswered = self.unanswered.borrow_mut();
+        *unanswered += 1;
+        let mut started = self.started.borrow_mut();
+        if *unanswered < 2
+            || started.len() >= MAX_STARTED_REQUESTS
+            || !handler::can_start_early(state, &parts)
+        {
             return;
         }
         let uri = parts.uri.clone();
         let id = parts.headers.get(request::REQUEST_ID).cloned();
-        let task = spawn_local(serving::handle(Rc::clone(state), parts, None, Instant::now()));
-        early.push_back(Early { uri, id, task });
+        let task = spawn_local(handler::handle(Rc::clone(state), parts, None, Instant::now()));
+        started.push_back(StartedRequest { uri, id, task });
     }
 
     /// The answer of the request whose turn it is, if it was started early.
-    pub(super) async fn answer(&self, parts: &Parts) -> Option<Response<ResponseBody>> {
-        let mut early = self.take(parts)?;
-        (&mut early.task).await.ok()
+    pub(super) async fn take_response(&self, parts: &Parts) -> Option<Response<ResponseBody>> {
+        let mut started = self.take(parts)?;
+        (&mut started.task).await.ok()
     }
 
     /// Notes that a request has been answered.
-    pub(super) fn answered(&self) {
-        let mut waiting = self.waiting.borrow_mut();
-        *waiting = waiting.saturating_sub(1);
+    pub(super) fn finish_current(&self) {
+        let mut unanswered = self.unanswered.borrow_mut();
+        *unanswered = unanswered.saturating_sub(1);
     }
 
     /// Requests that are passed over here make the rest wait in vain at worst: an
     /// early one is used only for the very request that it was started for.
-    fn take(&self, parts: &Parts) -> Option<Early> {
+    fn take(&self, parts: &Parts) -> Option<StartedRequest> {
         let id = parts.headers.get(request::REQUEST_ID);
-        let mut early = self.early.borrow_mut();
-        let is_same = |early: &Early| early.uri == parts.uri && early.id.as_ref() == id;
-        let position = early.iter().position(is_same)?;
-        early.drain(..position);
-        early.pop_front()
+        let mut started = self.started.borrow_mut();
+        let is_same_request =
+            |started: &StartedRequest| started.uri == parts.uri && started.id.as_ref() == id;
+        let position = started.iter().position(is_same_request)?;
+        started.drain(..position);
+        started.pop_front()
     }
 }
