--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -14,30 +14,31 @@
 
 impl State {
     /// Takes in changes of a table.
-    pub(super) fn take(&self, table: Table, changes: Changes) {
-        let news = self.tables.borrow_mut().get_mut(table).take(changes);
-        self.apply(table, &news);
+    pub(super) fn apply_changes(&self, table: Table, changes: Changes) {
+        let rows = self.tables.borrow_mut().get_mut(table).take(changes);
+        self.apply_rows(table, &rows);
     }
 
     /// Takes in a table that was read whole.
-    pub(super) fn replace(&self, table: Table, whole: Changes) -> Result<(), Stale> {
-        let news = self.tables.borrow_mut().get_mut(table).replace(whole.rows, whole.version)?;
-        self.apply(table, &news);
+    pub(super) fn replace_table(&self, table: Table, snapshot: Changes) -> Result<(), Stale> {
+        let rows =
+            self.tables.borrow_mut().get_mut(table).replace(snapshot.rows, snapshot.version)?;
+        self.apply_rows(table, &rows);
         Ok(())
     }
 
-    fn apply(&self, table: Table, news: &[Row]) {
-        for row in news {
+    fn apply_rows(&self, table: Table, rows: &[Row]) {
+        for row in rows {
             match table {
                 Table::Operator => self.apply_operator(row),
                 Table::Backends => self.apply_backend(row),
                 Table::Members => self.apply_member(row),
             }
         }
-        if table == Table::Members && !news.is_empty() {
+        if table == Table::Members && !rows.is_empty() {
             self.balancer.borrow_mut().set_cold_limits(&self.members.borrow());
         }
-        self.changed.send_replace(());
+        self.tables_changed.send_replace(());
     }
 
     fn apply_operator(&self, row: &Row) {
@@ -50,7 +51,7 @@
                     log::info!(zone:% = zone, evacuated = is_evacuated, row_version = row.version; "evacuation of a zone");
                 }
             }
-            OperatorRow::Config => match config::decode(value(row)) {
+            OperatorRow::Config => match config::decode(row_value(row)) {
                 Ok(config) => self.set_config(config),
                 Err(e) => {
                     log::warn!(key = key, row_version = row.version, error:% = e; "configuration ignored");
@@ -66,7 +67,7 @@
             return self.remove_backend(row);
         }
         self.lapsed.borrow_mut().is_back(key);
-        let backend = match backend::decode(key, value(row)) {
+        let backend = match backend::decode(key, row_value(row)) {
             Ok(backend) => backend,
             Err(e) => {
                 log::warn!(backend = key, row_version = row.version, error:% = e; "backend server's row ignored");
@@ -95,7 +96,7 @@
         if row.is_removed {
             return self.members.borrow_mut().remove(key);
         }
-        match member::decode(key, value(row)) {
+        match member::decode(key, row_value(row)) {
             Ok(member) => self.members.borrow_mut().put(member),
             Err(e) => log::warn!(instance = key, error:% = e; "instance's row ignored"),
         }
@@ -104,6 +105,6 @@
 
 /// What a row holds; one that cannot be read is like an empty one, which no
 /// decoder accepts.
-fn value(row: &Row) -> &[u8] {
+fn row_value(row: &Row) -> &[u8] {
     row.value.as_deref().unwrap_or_default().as_bytes()
 }
--- a/crates/azuregate/src/serve/encoded.rs
+++ b/crates/azuregate/src/serve/encoding.rs
@@ -15,18 +15,18 @@
 /// Changes of several tables.
 pub(super) type ChangeSet = Vec<(Table, Changes)>;
 /// For each table the versions from which and to which changes lead.
-pub(super) type Span = Vec<(Table, u64, u64)>;
+pub(super) type VersionRanges = Vec<(Table, u64, u64)>;
 
 /// Sets from this size are compressed.
-const COMPRESSED_FROM_BYTES: usize = 1 << 10;
+const COMPRESSION_THRESHOLD_BYTES: usize = 1 << 10;
 /// The largest set that is taken, before compression.
-const LIMIT_BYTES: u64 = 64 << 20;
+const MAX_DECODED_BYTES: u64 = 64 << 20;
 /// Sets that are kept. Most followers lack the same changes at the same time.
-const KEPT: usize = 4;
+const CACHE_CAPACITY: usize = 4;
 
 /// How a set is written.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub(super) enum Coding {
+pub(super) enum Encoding {
     /// CBOR.
     Plain,
     /// CBOR, compressed. A configuration repeats its fields for each route, and is
@@ -36,27 +36,27 @@
 
 /// A set of changes as bytes.
 #[derive(Clone, Debug)]
-pub(super) struct Encoded {
-    pub(super) coding: Coding,
+pub(super) struct EncodedChanges {
+    pub(super) coding: Encoding,
     pub(super) bytes: Bytes,
 }
 
-impl Encoded {
+impl EncodedChanges {
     /// Writes a set down.
     ///
     /// # Errors
     ///
     /// When it cannot be written as CBOR.
-    pub(super) fn new(changes: &ChangeSet) -> Result<Encoded, LinkError> {
-        let mut plain = Vec::new();
-        ciborium::into_writer(changes, &mut plain).map_err(broken)?;
-        if plain.len() < COMPRESSED_FROM_BYTES {
-            return Ok(Encoded { coding: Coding::Plain, bytes: Bytes::from(plain) });
+    pub(super) fn new(changes: &ChangeSet) -> Result<EncodedChanges, LinkError> {
+        let mut cbor = Vec::new();
+        ciborium::into_writer(changes, &mut cbor).map_err(codec_error)?;
+        if cbor.len() < COMPRESSION_THRESHOLD_BYTES {
+            return Ok(EncodedChanges { coding: Encoding::Plain, bytes: Bytes::from(cbor) });
         }
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        encoder.write_all(&plain).map_err(broken)?;
-        let bytes = Bytes::from(encoder.finish().map_err(broken)?);
-        Ok(Encoded { coding: Coding::Deflate, bytes })
+        encoder.write_all(&cbor).map_err(codec_error)?;
+        let bytes = Bytes::from(encoder.finish().map_err(codec_error)?);
+        Ok(EncodedChanges { coding: Encoding::Deflate, bytes })
     }
 
     /// Reads a set.
@@ -66,12 +66,12 @@
     /// When it cannot be read, or is larger than any table.
     pub(super) fn decode(&self) -> Result<ChangeSet, LinkError> {
         match self.coding {
-            Coding::Plain => ciborium::from_reader(self.bytes.as_ref()).map_err(broken),
-            Coding::Deflate => {
-                let mut plain = Vec::new();
+            Encoding::Plain => ciborium::from_reader(self.bytes.as_ref()).map_err(codec_error),
+            Encoding::Deflate => {
+                let mut cbor = Vec::new();
                 let decoder = DeflateDecoder::new(self.bytes.as_ref());
-                decoder.take(LIMIT_BYTES).read_to_end(&mut plain).map_err(broken)?;
-                ciborium::from_reader(plain.as_slice()).map_err(broken)
+                decoder.take(MAX_DECODED_BYTES).read_to_end(&mut cbor).map_err(codec_error)?;
+                ciborium::from_reader(cbor.as_slice()).map_err(codec_error)
             }
         }
     }
@@ -79,31 +79,31 @@
 
 /// The sets that were sent last.
 #[derive(Debug, Default)]
-pub(super) struct EncodedCache {
-    kept: VecDeque<(Span, Encoded)>,
+pub(super) struct EncodedChangesCache {
+    entries: VecDeque<(VersionRanges, EncodedChanges)>,
 }
 
-impl EncodedCache {
-    /// The changes of `span`, which are written down by `encode` if they are not kept.
+impl EncodedChangesCache {
+    /// The changes of `ranges`, which are written down by `encode` if they are not kept.
     ///
     /// # Errors
     ///
     /// Those of `encode`.
     pub(super) fn get(
         &mut self,
-        span: Span,
-        encode: impl FnOnce() -> Result<Encoded, LinkError>,
-    ) -> Result<Encoded, LinkError> {
-        if let Some((_, encoded)) = self.kept.iter().find(|(kept, _)| *kept == span) {
+        ranges: VersionRanges,
+        encode: impl FnOnce() -> Result<EncodedChanges, LinkError>,
+    ) -> Result<EncodedChanges, LinkError> {
+        if let Some((_, encoded)) = self.entries.iter().find(|(cached, _)| *cached == ranges) {
             return Ok(encoded.clone());
         }
         let encoded = encode()?;
-        self.kept.truncate(KEPT - 1);
-        self.kept.push_front((span, encoded.clone()));
+        self.entries.truncate(CACHE_CAPACITY - 1);
+        self.entries.push_front((ranges, encoded.clone()));
         Ok(encoded)
     }
 }
 
-fn broken(e: impl std::fmt::Display) -> LinkError {
+fn codec_error(e: impl std::fmt::Display) -> LinkError {
     LinkError::new(e.to_string())
 }
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -104,7 +104,7 @@
         false => Vec::new(),
     };
     let tables = state.tables.borrow();
-    let since_ms = state.has_store_since_ms.get();
+    let since_ms = state.store_reachable_since_ms.get();
     Datagram::Heartbeat(Heartbeat {
         instance: state.settings.instance.as_str().to_owned(),
         start: state.start,
@@ -192,7 +192,7 @@
         };
         let is_behind = self.operator_version > operator || self.backends_version > backends;
         if lasts(&mut self.beats_behind, is_behind) {
-            state.behind.notify_waiters();
+            state.lag_detected.notify_waiters();
         }
         let heard_unknown = std::mem::take(&mut self.heard_unknown);
         if lasts(&mut self.beats_with_unknown, heard_unknown) {
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -12,8 +12,8 @@
 lock, which the request path would pay for on every request.
 
 * `tables` holds copies of the store's tables, `apply` does what their rows ask for.
-  `watch` brings changes from the store, `follow` from other instances, `relay`
-  passes them on, `encoded` writes them down. `heartbeat` tells which other instances live.
+  `watch` brings changes from the store, `follower` from other instances, `relay`
+  passes them on, `encoding` writes them down. `heartbeat` tells which other instances live.
 * `listen` accepts connections, `connection` serves one, `client_stream` notices
   that its client has left.
 * `pipeline` starts requests that wait behind others on their connection.
@@ -27,8 +27,8 @@
 mod attempt;
 mod client_stream;
 mod connection;
-mod encoded;
-mod follow;
+mod encoding;
+mod follower;
 mod heartbeat;
 mod in_flight;
 mod listen;
@@ -116,7 +116,7 @@
     }
     spawn_local(heartbeat::serve(Rc::clone(&state), listeners.heartbeats));
     spawn_local(relay::serve(Rc::clone(&state), listeners.followers));
-    spawn_local(follow::serve(Rc::clone(&state)));
+    spawn_local(follower::serve(Rc::clone(&state)));
     spawn_local(evict_idle_connections(Rc::clone(&state)));
     spawn_local(ports::serve(Rc::clone(&state), listeners.ready, Audience::Clients));
     spawn_local(ports::serve(Rc::clone(&state), listeners.lookups, Audience::Clients));
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -12,7 +12,7 @@
 };
 
 use super::{
-    encoded::{Coding, Encoded, Span},
+    encoding::{EncodedChanges, Encoding, VersionRanges},
     metrics::count,
     state::State,
 };
@@ -25,40 +25,40 @@
 };
 
 /// Where followers connect to.
-pub(super) const PATH: &str = "/v1/changes";
+pub(super) const CHANGES_PATH: &str = "/v1/changes";
 /// Opening takes two ways there and back.
-pub(super) const LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 700 };
+pub(super) const SOCKET_LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 700 };
 /// Time between two updates if nothing changes: three fit into the time after which
 /// followers take a source for lost.
-const UPDATE_EVERY_MS: u64 = 400;
+const RESPONSE_INTERVAL_MS: u64 = 400;
 /// How much newer the sender's knowledge must be to be told at once. Ages add up along
 /// the way, and would exceed what followers rely on if each had to wait for a tick.
-const NEWER_MS: u64 = 200;
+const MIN_FRESHNESS_GAIN_MS: u64 = 200;
 /// Bytes of changes that go into one frame. The time limits of both sides hold for a
 /// frame, so that a large set on a slow link is not broken off while it moves.
-const CHUNK_BYTES: usize = 16 << 10;
+const MAX_CHUNK_BYTES: usize = 16 << 10;
 /// How long a frame may take to be sent. A follower that is frozen takes nothing.
-const SEND_MS: u64 = 2_000;
+const SEND_TIMEOUT_MS: u64 = 2_000;
 /// How long a follower may take to ask again: its time to take in a set.
-const ASK_MS: u64 = 5_000;
+const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
 /// What a follower asks, again after each update. It has one update under way at the
 /// most, so that none waits behind others on a slow link.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct Follow {
+pub(super) struct ChangesRequest {
     /// The versions up to which it has the tables.
     pub(super) versions: BTreeMap<Table, u64>,
 }
 
 /// What followers are told. The changes that it announces follow in frames of bytes.
 #[derive(Debug, Deserialize, Serialize)]
-pub(super) struct Update {
+pub(super) struct ChangesResponse {
     /// How long the question was held back, since there was nothing to tell.
     pub(super) held_ms: u64,
     /// How old the sender's knowledge is; `None` if it has none.
     pub(super) age_ms: Option<u64>,
     /// How the changes are written.
-    pub(super) coding: Coding,
+    pub(super) coding: Encoding,
     /// The length of the changes; 0 if there are none.
     pub(super) changes_bytes: usize,
 }
@@ -94,27 +94,30 @@
 }
 
 async fn serve_follower(state: &State, stream: TcpStream) -> Result<(), LinkError> {
-    let mut socket = CborSocket::accept(stream, LIMITS).await?;
+    let mut socket = CborSocket::accept(stream, SOCKET_LIMITS).await?;
     let _guard = FollowerGuard::new(state);
-    let mut ticks = state.timer.subscribe(UPDATE_EVERY_MS);
-    let mut told_at_ms = 0;
+    let mut ticks = state.timer.subscribe(RESPONSE_INTERVAL_MS);
+    let mut sent_known_at_ms = 0;
     loop {
-        let ask = time::timeout(Duration::from_millis(ASK_MS), socket.recv::<Follow>());
-        let ask = ask.await.map_err(|_| LinkError::new("asks nothing"))?;
-        let Some(Follow { versions }) = ask? else { return Ok(()) };
-        let asked_at = Instant::now();
+        let request = time::timeout(
+            Duration::from_millis(REQUEST_TIMEOUT_MS),
+            socket.recv::<ChangesRequest>(),
+        );
+        let request = request.await.map_err(|_| LinkError::new("asks nothing"))?;
+        let Some(ChangesRequest { versions }) = request? else { return Ok(()) };
+        let received_at = Instant::now();
         tokio::select! {
-            () = until_news(state, &versions, told_at_ms) => {}
+            () = wait_for_changes(state, &versions, sent_known_at_ms) => {}
             tick = ticks.recv() => {
                 if tick.is_none() {
                     return Ok(());
                 }
             }
             // A follower that waits says nothing but that it leaves.
-            frame = socket.recv::<Follow>() => return frame.map(drop),
+            frame = socket.recv::<ChangesRequest>() => return frame.map(drop),
         }
-        told_at_ms = known_at_ms(state);
-        send_update(state, &mut socket, &versions, asked_at).await?;
+        sent_known_at_ms = known_at_ms(state);
+        send_changes(state, &mut socket, &versions, received_at).await?;
     }
 }
 
@@ -123,10 +126,12 @@
 }
 
 /// Waits until there is a change that one with these `versions` lacks, or what is
-/// known is newer than at `told_at_ms`.
-async fn until_news(state: &State, versions: &BTreeMap<Table, u64>, told_at_ms: u64) {
-    let mut changed = state.changed.subscribe();
-    while span(state, versions).is_empty() && known_at_ms(state) < told_at_ms + NEWER_MS {
+/// known is newer than at `sent_known_at_ms`.
+async fn wait_for_changes(state: &State, versions: &BTreeMap<Table, u64>, sent_known_at_ms: u64) {
+    let mut changed = state.tables_changed.subscribe();
+    while missing_ranges(state, versions).is_empty()
+        && known_at_ms(state) < sent_known_at_ms + MIN_FRESHNESS_GAIN_MS
+    {
         // An error means that the process ends.
         if changed.changed().await.is_err() {
             return;
@@ -135,52 +140,54 @@
 }
 
 /// What one with these `versions` lacks.
-fn span(state: &State, versions: &BTreeMap<Table, u64>) -> Span {
+fn missing_ranges(state: &State, versions: &BTreeMap<Table, u64>) -> VersionRanges {
     let tables = state.tables.borrow();
-    let lacks = |table| {
+    let missing = |table| {
         let from = versions.get(&table).copied().unwrap_or_default();
         let to = tables.get(table).version();
         (to > from).then_some((table, from, to))
     };
-    Table::ALL.into_iter().filter_map(lacks).collect()
+    Table::ALL.into_iter().filter_map(missing).collect()
 }
 
-async fn send_update(
+async fn send_changes(
     state: &State,
     socket: &mut CborSocket,
     versions: &BTreeMap<Table, u64>,
-    asked_at: Instant,
+    received_at: Instant,
 ) -> Result<(), LinkError> {
-    let encoded = encoded_changes(state, span(state, versions))?;
-    let update = Update {
-        held_ms: u64::try_from(asked_at.elapsed().as_millis()).unwrap_or(u64::MAX),
+    let encoded = encoded_changes(state, missing_ranges(state, versions))?;
+    let response = ChangesResponse {
+        held_ms: u64::try_from(received_at.elapsed().as_millis()).unwrap_or(u64::MAX),
         age_ms: state.contact.borrow().age_ms(state.now_ms()),
         coding: encoded.coding,
         changes_bytes: encoded.bytes.len(),
     };
-    in_time(socket.send(&update)).await?;
+    with_send_timeout(socket.send(&response)).await?;
     count(&state.metrics.changes.sent_bytes, encoded.bytes.len() as u64);
     let mut rest = encoded.bytes;
     while !rest.is_empty() {
-        let chunk = rest.split_to(rest.len().min(CHUNK_BYTES));
-        in_time(socket.send_bytes(chunk)).await?;
+        let chunk = rest.split_to(rest.len().min(MAX_CHUNK_BYTES));
+        with_send_timeout(socket.send_bytes(chunk)).await?;
     }
     Ok(())
 }
 
-async fn in_time(sending: impl Future<Output = Result<(), LinkError>>) -> Result<(), LinkError> {
-    let sent = time::timeout(Duration::from_millis(SEND_MS), sending).await;
+async fn with_send_timeout(
+    sending: impl Future<Output = Result<(), LinkError>>,
+) -> Result<(), LinkError> {
+    let sent = time::timeout(Duration::from_millis(SEND_TIMEOUT_MS), sending).await;
     sent.unwrap_or_else(|_| Err(LinkError::new("takes nothing")))
 }
 
-fn encoded_changes(state: &State, span: Span) -> Result<Encoded, LinkError> {
-    if span.is_empty() {
-        return Ok(Encoded { coding: Coding::Plain, bytes: Bytes::new() });
+fn encoded_changes(state: &State, ranges: VersionRanges) -> Result<EncodedChanges, LinkError> {
+    if ranges.is_empty() {
+        return Ok(EncodedChanges { coding: Encoding::Plain, bytes: Bytes::new() });
     }
-    state.encoded.borrow_mut().get(span.clone(), || {
+    state.encoded_cache.borrow_mut().get(ranges.clone(), || {
         let tables = state.tables.borrow();
         let changes =
-            span.into_iter().map(|(table, from, _)| (table, tables.get(table).since(from)));
-        Encoded::new(&changes.collect())
+            ranges.into_iter().map(|(table, from, _)| (table, tables.get(table).since(from)));
+        EncodedChanges::new(&changes.collect())
     })
 }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -164,7 +164,7 @@
     let deadline = received_at + Duration::from_millis(timeout_ms);
     let service = state.next_service(&route);
     log_entry.service.push_str(service.as_str());
-    state.count_request(&service);
+    state.record_request(&service);
     if !state.has_backends() {
         return Err(RequestError::NotReady);
     }
@@ -327,7 +327,7 @@
         attempts.possible_executions < self.route.attempts
             && attempts.sends < self.route.attempts + EXTRA_SENDS_AFTER_REJECTION
             && remaining_ms > MIN_RETRY_REMAINING_MS
-            && self.state.take_retry(self.service)
+            && self.state.try_take_retry(self.service)
     }
 
     fn choose(&self, attempts: &AttemptState, log_entry: &mut AccessLogEntry) -> Option<Choice> {
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -16,17 +16,17 @@
 use tokio::sync::{Notify, watch};
 
 use super::{
-    encoded::EncodedCache, metrics::Metrics, phase::ShutdownPhase, pool::ConnectionPool,
+    encoding::EncodedChangesCache, metrics::Metrics, phase::ShutdownPhase, pool::ConnectionPool,
     tables::Tables,
 };
 use crate::{stop::Stop, timer::Timer};
 
 /// The share of the retry budget that is used. Backend servers count when a
 /// request arrives and instances when it is sent, so the windows differ a little.
-const RETRY_SHARE: f64 = 0.85;
+const RETRY_BUDGET_MARGIN: f64 = 0.85;
 /// Heartbeats of an instance that stay out for this long end its being named to
 /// clients: four of them, which packet loss alone hardly takes.
-const SILENCE_MS: u64 = 2_000;
+const HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
 
 /// What an entry instance believes.
 pub(super) struct State {
@@ -43,33 +43,33 @@
     /// Copies of the store's tables.
     pub(super) tables: RefCell<Tables>,
     /// Changes as they were passed on last.
-    pub(super) encoded: RefCell<EncodedCache>,
+    pub(super) encoded_cache: RefCell<EncodedChangesCache>,
     /// Wakes what passes changes on.
-    pub(super) changed: watch::Sender<()>,
+    pub(super) tables_changed: watch::Sender<()>,
     /// How old the last sign of the store is, by the own watch and by sources.
     pub(super) contact: RefCell<Contact>,
     /// Whether this instance watches the store itself.
     pub(super) is_watching: watch::Sender<bool>,
     /// Whether it does so because others need it.
-    pub(super) watches_for_others: Cell<bool>,
+    pub(super) is_designated_watcher: Cell<bool>,
     /// Instances that follow this one.
     pub(super) followers: Cell<usize>,
     /// Backend servers whose rows are missing, but may come back.
     pub(super) lapsed: RefCell<Lapsed>,
     /// Since when the store has been there without a break, by any way; `None`
     /// while it is not.
-    pub(super) has_store_since_ms: Cell<Option<u64>>,
+    pub(super) store_reachable_since_ms: Cell<Option<u64>>,
     /// Wakes the watches when another instance has seen more.
-    pub(super) behind: Notify,
+    pub(super) lag_detected: Notify,
     /// Wakes the watch of members when an unknown instance was heard.
     pub(super) unknown_member: Notify,
     /// Open connections of clients.
     pub(super) connections: Cell<usize>,
     config: RefCell<Option<Arc<Config>>>,
     bounds: RefCell<Bounds>,
-    retries: RefCell<HashMap<ServiceName, RetryBudget>>,
-    splits: RefCell<HashMap<String, Split>>,
-    origin: Instant,
+    retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
+    traffic_splits: RefCell<HashMap<String, Split>>,
+    started_at: Instant,
 }
 
 impl State {
@@ -85,7 +85,8 @@
             cold_rate_factor: settings.bounds.cold_rate_factor,
             cold_rate_slack: settings.bounds.cold_rate_slack,
         });
-        let members = Members::new(settings.instance.clone(), settings.zones.clone(), SILENCE_MS);
+        let members =
+            Members::new(settings.instance.clone(), settings.zones.clone(), HEARTBEAT_TIMEOUT_MS);
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         State {
             start: StartNumber(u64::try_from(epoch.as_millis()).unwrap_or(u64::MAX)),
@@ -97,29 +98,29 @@
             pool: ConnectionPool::default(),
             metrics: Metrics::default(),
             tables: RefCell::default(),
-            encoded: RefCell::default(),
-            changed: watch::Sender::new(()),
+            encoded_cache: RefCell::default(),
+            tables_changed: watch::Sender::new(()),
             contact: RefCell::new(Contact::new(settings.bounds.change_ms)),
             is_watching: watch::Sender::new(true),
-            watches_for_others: Cell::new(false),
+            is_designated_watcher: Cell::new(false),
             followers: Cell::new(0),
             lapsed: RefCell::default(),
-            has_store_since_ms: Cell::new(None),
-            behind: Notify::new(),
+            store_reachable_since_ms: Cell::new(None),
+            lag_detected: Notify::new(),
             unknown_member: Notify::new(),
             connections: Cell::new(0),
             config: RefCell::new(None),
             bounds: RefCell::new(settings.bounds.clone()),
-            retries: RefCell::default(),
-            splits: RefCell::default(),
-            origin: Instant::now(),
+            retry_budgets: RefCell::default(),
+            traffic_splits: RefCell::default(),
+            started_at: Instant::now(),
             settings,
         }
     }
 
     /// Monotonic time since the start.
     pub(super) fn now_ms(&self) -> u64 {
-        u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
     /// The configuration in force, `None` before the first one.
@@ -143,7 +144,7 @@
         self.contact.borrow_mut().set_change_ms(bounds.change_ms);
         *self.bounds.borrow_mut() = bounds;
         // They are made anew with the new share, and start empty, which allows less.
-        self.retries.borrow_mut().clear();
+        self.retry_budgets.borrow_mut().clear();
         true
     }
 
@@ -153,18 +154,18 @@
     }
 
     /// Notes when the store is lost and when it is back.
-    pub(super) fn check_contact(&self) {
+    pub(super) fn update_store_contact(&self) {
         let now_ms = self.now_ms();
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
-        match (self.has_store_since_ms.get(), is_fresh) {
+        match (self.store_reachable_since_ms.get(), is_fresh) {
             (None, true) => {
                 self.lapsed.borrow_mut().store_regained(now_ms);
-                self.has_store_since_ms.set(Some(now_ms));
+                self.store_reachable_since_ms.set(Some(now_ms));
                 log::info!("contact with the store");
             }
             (Some(since_ms), false) => {
                 self.lapsed.borrow_mut().store_lost();
-                self.has_store_since_ms.set(None);
+                self.store_reachable_since_ms.set(None);
                 log::warn!(had_ms = now_ms.saturating_sub(since_ms); "no contact with the store");
             }
             (None, false) | (Some(_), true) => {}
@@ -211,31 +212,36 @@
         if let [only] = destinations.as_slice() {
             return only.service.clone();
         }
-        let mut splits = self.splits.borrow_mut();
-        let split = splits.entry(route.name.clone()).or_default();
+        let mut traffic_splits = self.traffic_splits.borrow_mut();
+        let split = traffic_splits.entry(route.name.clone()).or_default();
         destinations[split.next(destinations)].service.clone()
     }
 
     /// Counts a request of a client for `service`.
-    pub(super) fn count_request(&self, service: &ServiceName) {
+    pub(super) fn record_request(&self, service: &ServiceName) {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.request(now_ms));
+        self.with_retry_budget(service, |budget| budget.request(now_ms));
     }
 
     /// Takes a retry from the budget of `service`, if there is room.
-    pub(super) fn take_retry(&self, service: &ServiceName) -> bool {
+    pub(super) fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.take(now_ms))
+        self.with_retry_budget(service, |budget| budget.take(now_ms))
     }
 
-    fn with_retries<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_retry_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let bounds = self.bounds.borrow();
-        let mut retries = self.retries.borrow_mut();
-        if !retries.contains_key(service) {
-            let budget = RetryBudget::new(bounds.retry_ratio * RETRY_SHARE, bounds.retry_window_ms);
-            retries.insert(service.clone(), budget);
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        if !retry_budgets.contains_key(service) {
+            let budget =
+                RetryBudget::new(bounds.retry_ratio * RETRY_BUDGET_MARGIN, bounds.retry_window_ms);
+            retry_budgets.insert(service.clone(), budget);
         }
-        f(retries.get_mut(service).expect("it was just added"))
+        f(retry_budgets.get_mut(service).expect("it was just added"))
     }
 
     /// Zones and their regions, by which lookups are answered.
