--- a/crates/azuregate/src/serve/connection.rs
+++ b/crates/azuregate/src/serve/connection.rs
@@ -11,11 +11,11 @@
 
 use super::{
     client_stream,
-    phase::ShutdownPhase,
     pipeline::{Pipeline, RequestScanner},
     request,
     response_body::ResponseBody,
     shutdown,
+    shutdown_phase::ShutdownPhase,
     state::State,
 };
 
--- a/crates/azuregate/src/serve/ports.rs
+++ b/crates/azuregate/src/serve/endpoints.rs
@@ -17,7 +17,7 @@
 
 /// For how long clients may keep the answer to a lookup. Short, so that they
 /// learn soon of an instance that has left; each client asks that often.
-pub(super) const KEEP_MS: u64 = 2_000;
+pub(super) const LOOKUP_TTL_MS: u64 = 2_000;
 
 /// Where metrics are served.
 const METRICS_PATH: &str = "/metrics";
@@ -78,7 +78,7 @@
         config_version: state.config().map(|config| config.version()),
         age_ms: state.contact.borrow().age_ms(state.now_ms()),
     };
-    full_response(StatusCode::OK, "text/plain", state.metrics.text(gauges).into_bytes())
+    full_response(StatusCode::OK, "text/plain", state.metrics.render(gauges).into_bytes())
 }
 
 fn lookup(state: &State, query: &str) -> Response<Full<Bytes>> {
@@ -93,6 +93,6 @@
     if addrs.is_empty() {
         return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
-    let keep_ms = KEEP_MS.min(state.bounds().lookup_keep_ms);
-    full_response(StatusCode::OK, "application/json", lookup_answer(&addrs, keep_ms))
+    let ttl_ms = LOOKUP_TTL_MS.min(state.bounds().lookup_keep_ms);
+    full_response(StatusCode::OK, "application/json", lookup_answer(&addrs, ttl_ms))
 }
--- a/crates/azuregate/src/serve/follower.rs
+++ b/crates/azuregate/src/serve/follower.rs
@@ -12,7 +12,7 @@
 
 use super::{
     encoding::{ChangeSet, EncodedChanges},
-    metrics::count,
+    metrics::inc_by,
     relay::{CHANGES_PATH, ChangesRequest, ChangesResponse, SOCKET_LIMITS},
     state::State,
 };
@@ -81,7 +81,7 @@
             _ = &mut stopped => break,
         };
         let error = lost.err().unwrap_or_else(|| LinkError::new("closed"));
-        count(&state.metrics.changes.sources_lost, 1);
+        inc_by(&state.metrics.changes.sources_lost, 1);
         log::info!(source:% = source.instance, error:% = error; "source lost");
         state.contact.borrow_mut().forget(&source.instance);
         tokio::select! {
--- a/crates/azuregate/src/serve/listen.rs
+++ b/crates/azuregate/src/serve/listen.rs
@@ -9,7 +9,7 @@
     task::spawn_local,
 };
 
-use super::{ServeError, connection, phase::ShutdownPhase, shutdown, state::State};
+use super::{ServeError, connection, shutdown, shutdown_phase::ShutdownPhase, state::State};
 use crate::accept;
 
 /// Where metrics are served, on every machine.
@@ -18,7 +18,7 @@
 /// Open ports that nobody serves yet.
 pub(super) struct Listeners {
     pub(super) traffic: TcpListener,
-    pub(super) ready: TcpListener,
+    pub(super) readiness: TcpListener,
     pub(super) lookups: TcpListener,
     pub(super) heartbeats: UdpSocket,
     /// For instances that follow this one.
@@ -44,7 +44,7 @@
         };
         Ok(Listeners {
             traffic: bind(settings.traffic_addr).await?,
-            ready: bind(settings.ready_addr).await?,
+            readiness: bind(settings.ready_addr).await?,
             lookups: bind(settings.lookup_addr).await?,
             heartbeats,
             followers: bind(heartbeats_addr).await?,
--- a/crates/azuregate/src/serve/metrics.rs
+++ b/crates/azuregate/src/serve/metrics.rs
@@ -9,9 +9,9 @@
 use hdrhistogram::Histogram;
 
 /// The longest latency that is told apart.
-const LATENCY_LIMIT_MS: u64 = 60_000;
+const MAX_LATENCY_MS: u64 = 60_000;
 /// Series that are kept at the most; routes come and go with the configuration.
-const SERIES_LIMIT: usize = 256;
+const MAX_SERIES: usize = 256;
 
 /// Counters and histograms of one instance.
 #[derive(Default)]
@@ -34,8 +34,8 @@
 }
 
 /// Adds to a counter.
-pub(super) fn count(counter: &Cell<u64>, more: u64) {
-    counter.set(counter.get().saturating_add(more));
+pub(super) fn inc_by(counter: &Cell<u64>, amount: u64) {
+    counter.set(counter.get().saturating_add(amount));
 }
 
 /// What is true of the instance at one moment.
@@ -66,7 +66,7 @@
 }
 
 impl ChangeCounters {
-    fn named(&self) -> [(&'static str, &Cell<u64>); 4] {
+    fn with_names(&self) -> [(&'static str, &Cell<u64>); 4] {
         [
             ("changes_sent_bytes", &self.sent_bytes),
             ("sources_lost", &self.sources_lost),
@@ -78,20 +78,26 @@
 
 impl Metrics {
     /// Takes in one request.
-    pub(super) fn request(&self, service: &str, route: &str, code: &'static str, taken_ms: u64) {
+    pub(super) fn record_request(
+        &self,
+        service: &str,
+        route: &str,
+        code: &'static str,
+        taken_ms: u64,
+    ) {
         let mut series = self.series.borrow_mut();
         let key = Labels { service: service.to_owned(), route: route.to_owned(), code };
-        if series.len() >= SERIES_LIMIT && !series.contains_key(&key) {
+        if series.len() >= MAX_SERIES && !series.contains_key(&key) {
             return;
         }
         let histogram = series.entry(key).or_insert_with(|| {
-            Histogram::new_with_max(LATENCY_LIMIT_MS, 2).expect("the bounds are valid constants")
+            Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the bounds are valid constants")
         });
         histogram.saturating_record(taken_ms);
     }
 
     /// All of them as text, a line each.
-    pub(super) fn text(&self, gauges: Gauges) -> String {
+    pub(super) fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |line: std::fmt::Arguments<'_>| {
             let _ = text.write_fmt(line);
@@ -108,7 +114,7 @@
         if let Some(age_ms) = gauges.age_ms {
             line(format_args!("azuregate_knowledge_age_ms {age_ms}"));
         }
-        for (name, counter) in self.changes.named() {
+        for (name, counter) in self.changes.with_names() {
             line(format_args!("azuregate_{name}_total {}", counter.get()));
         }
         for (Labels { service, route, code }, histogram) in self.series.borrow().iter() {
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -19,7 +19,7 @@
 * `pipeline` starts requests that wait behind others on their connection.
 * `request` takes one request to its response, `attempt` to one backend server,
   `pool` keeps connections to them.
-* `ports` answers the platform's and the clients' questions.
+* `endpoints` answers the platform's and the clients' questions.
 * `shutdown` ends the process without cutting a request off.
 */
 
@@ -28,21 +28,21 @@
 mod client_stream;
 mod connection;
 mod encoding;
+mod endpoints;
 mod follower;
 mod heartbeat;
 mod in_flight;
 mod listen;
 mod metrics;
-mod phase;
 mod pipeline;
 mod pool;
-mod ports;
 mod relay;
 mod reload;
 mod request;
 mod response;
 mod response_body;
 mod shutdown;
+mod shutdown_phase;
 mod state;
 mod tables;
 mod watch;
@@ -60,7 +60,7 @@
     task::{LocalSet, spawn_local},
 };
 
-use self::{listen::Listeners, phase::ShutdownPhase, ports::Audience, state::State};
+use self::{endpoints::Audience, listen::Listeners, shutdown_phase::ShutdownPhase, state::State};
 use crate::stop::Stop;
 
 /// An instance that cannot run.
@@ -118,10 +118,10 @@
     spawn_local(relay::serve(Rc::clone(&state), listeners.followers));
     spawn_local(follower::serve(Rc::clone(&state)));
     spawn_local(evict_idle_connections(Rc::clone(&state)));
-    spawn_local(ports::serve(Rc::clone(&state), listeners.ready, Audience::Clients));
-    spawn_local(ports::serve(Rc::clone(&state), listeners.lookups, Audience::Clients));
+    spawn_local(endpoints::serve(Rc::clone(&state), listeners.readiness, Audience::Clients));
+    spawn_local(endpoints::serve(Rc::clone(&state), listeners.lookups, Audience::Clients));
     if let Some(metrics) = listeners.metrics {
-        spawn_local(ports::serve(Rc::clone(&state), metrics, Audience::Operators));
+        spawn_local(endpoints::serve(Rc::clone(&state), metrics, Audience::Operators));
     }
     spawn_local(listen::serve(Rc::clone(&state), listeners.traffic));
     shutdown::run(&state, phase).await;
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -13,7 +13,7 @@
 
 use super::{
     encoding::{EncodedChanges, Encoding, VersionRanges},
-    metrics::count,
+    metrics::inc_by,
     state::State,
 };
 use crate::{
@@ -70,7 +70,7 @@
         let state = Rc::clone(&state);
         spawn_local(async move {
             if let Err(e) = serve_follower(&state, stream).await {
-                count(&state.metrics.changes.followers_lost, 1);
+                inc_by(&state.metrics.changes.followers_lost, 1);
                 log::info!(error:% = e; "follower lost");
             }
         });
@@ -164,7 +164,7 @@
         changes_bytes: encoded.bytes.len(),
     };
     with_send_timeout(socket.send(&response)).await?;
-    count(&state.metrics.changes.sent_bytes, encoded.bytes.len() as u64);
+    inc_by(&state.metrics.changes.sent_bytes, encoded.bytes.len() as u64);
     let mut rest = encoded.bytes;
     while !rest.is_empty() {
         let chunk = rest.split_to(rest.len().min(MAX_CHUNK_BYTES));
--- a/crates/azuregate/src/serve/reload.rs
+++ b/crates/azuregate/src/serve/reload.rs
@@ -9,14 +9,14 @@
 
 /// How often the file is read: it may change without a signal, and what it says
 /// must be in force within seconds.
-const CHECK_EVERY_MS: u64 = 2_000;
+const POLL_INTERVAL_MS: u64 = 2_000;
 
 /// Takes in the settings file when it changes, until the process ends.
 ///
 /// Only what the whole deployment agrees on can change. Addresses and names belong
 /// to one start of the process; it is started anew when they change.
 pub(super) async fn serve(state: Rc<State>, path: PathBuf) {
-    let mut ticks = state.timer.subscribe(CHECK_EVERY_MS);
+    let mut ticks = state.timer.subscribe(POLL_INTERVAL_MS);
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => Some(hangups),
@@ -26,7 +26,7 @@
         }
     };
     loop {
-        let is_asked = tokio::select! {
+        let is_requested = tokio::select! {
             tick = ticks.recv() => {
                 if tick.is_none() {
                     return;
@@ -35,34 +35,34 @@
             }
             Some(()) = async { hangups.as_mut()?.recv().await } => true,
         };
-        let newest = match std::fs::read_to_string(&path) {
-            Ok(newest) => newest,
+        let new_text = match std::fs::read_to_string(&path) {
+            Ok(new_text) => new_text,
             Err(e) => {
                 log::warn!(path:% = path.display(), error:% = e; "settings cannot be read, the old ones stay");
                 continue;
             }
         };
-        if newest == text && !is_asked {
+        if new_text == text && !is_requested {
             continue;
         }
-        match Settings::parse(&newest) {
-            Ok(settings) => reload(&state, &settings),
+        match Settings::parse(&new_text) {
+            Ok(settings) => apply(&state, &settings),
             Err(e) => log::warn!(error:% = e; "settings are wrong, the old ones stay"),
         }
-        text = newest;
+        text = new_text;
     }
 }
 
-fn reload(state: &State, settings: &Settings) {
+fn apply(state: &State, settings: &Settings) {
     let old = &state.settings;
-    let needs_start = settings.instance != old.instance
+    let needs_restart = settings.instance != old.instance
         || settings.traffic_addr != old.traffic_addr
         || settings.ready_addr != old.ready_addr
         || settings.lookup_addr != old.lookup_addr
         || settings.store_addr != old.store_addr
         || settings.peer_port != old.peer_port
         || settings.zones != old.zones;
-    if needs_start {
+    if needs_restart {
         log::warn!("names or addresses in the settings have changed; they need a new start");
     }
     let has_changed = state.set_bounds(settings.bounds.clone());
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -52,7 +52,7 @@
             error.into_response()
         }
     };
-    state.metrics.request(&log_entry.service, &log_entry.route, log_entry.code, taken_ms);
+    state.metrics.record_request(&log_entry.service, &log_entry.route, log_entry.code, taken_ms);
     log_entry.log(response.status(), taken_ms);
     response
 }
--- a/crates/azuregate/src/serve/shutdown.rs
+++ b/crates/azuregate/src/serve/shutdown.rs
@@ -9,7 +9,9 @@
 
 use tokio::{sync::watch, time};
 
-use super::{phase::ShutdownPhase, ports::KEEP_MS, state::State, watch as tables};
+use super::{
+    endpoints::LOOKUP_TTL_MS, shutdown_phase::ShutdownPhase, state::State, watch as tables,
+};
 
 /// Time for the heartbeat that tells of the leave to reach all instances.
 const LEAVE_PROPAGATION_MS: u64 = 600;
@@ -34,7 +36,7 @@
     let deadline = time::Instant::now() + Duration::from_millis(deadline_ms);
     let steps = async {
         let close_idle_at =
-            time::Instant::now() + Duration::from_millis(KEEP_MS + LEAVE_PROPAGATION_MS);
+            time::Instant::now() + Duration::from_millis(LOOKUP_TTL_MS + LEAVE_PROPAGATION_MS);
         tables::unregister(state).await;
         time::sleep_until(close_idle_at).await;
         phase.send_replace(ShutdownPhase::ClosingIdle);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -16,8 +16,8 @@
 use tokio::sync::{Notify, watch};
 
 use super::{
-    encoding::EncodedChangesCache, metrics::Metrics, phase::ShutdownPhase, pool::ConnectionPool,
-    tables::Tables,
+    encoding::EncodedChangesCache, metrics::Metrics, pool::ConnectionPool,
+    shutdown_phase::ShutdownPhase, tables::Tables,
 };
 use crate::{stop::Stop, timer::Timer};
 
--- a/crates/azuregate/src/serve/watch.rs
+++ b/crates/azuregate/src/serve/watch.rs
@@ -12,7 +12,7 @@
 };
 use tokio::{sync::Notify, task::spawn_local, time};
 
-use super::{metrics::count, state::State};
+use super::{metrics::inc_by, state::State};
 
 /// The longest time for which the watch of members waits. Heartbeats tell of an
 /// unknown member sooner.
@@ -188,7 +188,7 @@
         let replaced = self.state.replace_table(self.table, snapshot);
         replaced.map_err(|e| StoreError::BadAnswer(e.to_string()))?;
         self.needs_full_read = false;
-        count(&self.state.metrics.changes.tables_read, 1);
+        inc_by(&self.state.metrics.changes.tables_read, 1);
         Ok(())
     }
 
