--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -12,7 +12,7 @@
 lock, which the request path would pay for on every request.
 
 * `tables` holds copies of the store's tables, `apply` does what their rows ask for.
-  `watch` brings changes from the store, `follower` from other instances, `relay`
+  `table_watch` brings changes from the store, `follower` from other instances, `relay`
   passes them on, `encoding` writes them down. `heartbeat` tells which other instances live.
 * `listen` accepts connections, `connection` serves one, `client_stream` notices
   that its client has left.
@@ -44,8 +44,8 @@
 mod shutdown;
 mod shutdown_phase;
 mod state;
+mod table_watch;
 mod tables;
-mod watch;
 
 use std::{
     fmt, fs,
@@ -110,7 +110,7 @@
     let (phase, phases) = sync::watch::channel(ShutdownPhase::Serving);
     let state = Rc::new(State::new(settings, stop, phases));
     log::info!(instance:% = state.settings.instance, start:% = state.start; "entry instance started");
-    watch::start(&state);
+    table_watch::start(&state);
     if let Some(file) = file {
         spawn_local(reload::serve(Rc::clone(&state), file));
     }
--- a/crates/azuregate/src/serve/shutdown.rs
+++ b/crates/azuregate/src/serve/shutdown.rs
@@ -9,9 +9,7 @@
 
 use tokio::{sync::watch, time};
 
-use super::{
-    endpoints::LOOKUP_TTL_MS, shutdown_phase::ShutdownPhase, state::State, watch as tables,
-};
+use super::{endpoints::LOOKUP_TTL_MS, shutdown_phase::ShutdownPhase, state::State, table_watch};
 
 /// Time for the heartbeat that tells of the leave to reach all instances.
 const LEAVE_PROPAGATION_MS: u64 = 600;
@@ -37,7 +35,7 @@
     let steps = async {
         let close_idle_at =
             time::Instant::now() + Duration::from_millis(LOOKUP_TTL_MS + LEAVE_PROPAGATION_MS);
-        tables::unregister(state).await;
+        table_watch::unregister(state).await;
         time::sleep_until(close_idle_at).await;
         phase.send_replace(ShutdownPhase::ClosingIdle);
         time::sleep(Duration::from_millis(LEAVE_PROPAGATION_MS)).await;
