--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -2,7 +2,7 @@
 
 use azuregate_platform::stand_in::Behaviour;
 
-use crate::world::{World, read_request, write_request};
+use crate::cluster::{TestCluster, get_request, post_request};
 
 /// A server closes the connection after it got a write. It may have run it, so no
 /// other server gets it, and the client is promised nothing.
@@ -15,13 +15,13 @@
         Behaviour::AnswerToAnother,
         Behaviour::Fail,
     ] {
-        let world = World::start(3).await;
-        let entry = world.instance(1).await;
-        world.backends.iter().for_each(|backend| backend.set(behaviour.clone()));
-        let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-        assert!(matches!(answer.status, 500 | 502), "{behaviour:?} gave {}", answer.status);
-        assert_eq!(answer.header("retry-after"), None);
-        assert_eq!(world.arrivals("w1"), 1, "{behaviour:?}");
+        let cluster = TestCluster::start(3).await;
+        let instance = cluster.start_ready_instance(1).await;
+        cluster.backends.iter().for_each(|backend| backend.set(behaviour.clone()));
+        let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+        assert!(matches!(response.status, 500 | 502), "{behaviour:?} gave {}", response.status);
+        assert_eq!(response.header("retry-after"), None);
+        assert_eq!(cluster.request_count("w1"), 1, "{behaviour:?}");
     }
 }
 
@@ -30,14 +30,14 @@
 #[tokio::test]
 async fn a_write_that_was_rejected_runs_elsewhere() {
     for behaviour in [Behaviour::Reject, Behaviour::AnotherServer] {
-        let world = World::start(2).await;
-        let entry = world.instance(1).await;
-        entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let cluster = TestCluster::start(2).await;
+        let instance = cluster.start_ready_instance(1).await;
+        instance.send(&get_request("/read/x", "first")).await.unwrap();
+        let used = cluster.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
         used.set(behaviour.clone());
-        let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-        assert_eq!(answer.status, 200, "{behaviour:?}");
-        let other = world.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
+        let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+        assert_eq!(response.status, 200, "{behaviour:?}");
+        let other = cluster.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
         assert_eq!(other.seen()[0].body, b"body");
     }
 }
@@ -46,13 +46,13 @@
 /// come back, at once.
 #[tokio::test]
 async fn a_request_that_all_reject_is_refused_at_once() {
-    let world = World::start(2).await;
-    let entry = world.instance(1).await;
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Reject));
+    let cluster = TestCluster::start(2).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Reject));
     let start = std::time::Instant::now();
-    let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-    assert_eq!(answer.status, 503);
-    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+    assert_eq!(response.status, 503);
+    let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!((0.03..=0.15).contains(&retry_after), "{retry_after}");
     assert!(start.elapsed().as_millis() < 2_000);
 }
@@ -60,14 +60,14 @@
 /// No server listens any more. Nothing was sent, and the client may come back.
 #[tokio::test]
 async fn a_request_that_reached_no_server_is_refused() {
-    let world = World::start(0).await;
+    let cluster = TestCluster::start(0).await;
     let gone = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
     let row = azuregate_platform::stand_in::backend_row("shop", gone, "zone-a", "ready");
-    world.store.put("servers", "gone", row);
-    let entry = world.instance(1).await;
-    let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-    assert_eq!(answer.status, 503);
+    cluster.store.put("servers", "gone", row);
+    let instance = cluster.start_ready_instance(1).await;
+    let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+    assert_eq!(response.status, 503);
 }
--- a/crates/azuregate/tests/serve/servers.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -5,17 +5,17 @@
 use azuregate_platform::stand_in::{Behaviour, StoreFault, backend_row};
 use tokio::time;
 
-use crate::world::{Instance, SERVICE, World, eventually, read_request};
+use crate::cluster::{Instance, SERVICE, TestCluster, eventually, get_request};
 
 /// Sends reads about many objects, and returns how many reached each server.
-async fn spread(world: &World, entry: &Instance, name: &str) -> Vec<usize> {
+async fn spread(cluster: &TestCluster, instance: &Instance, name: &str) -> Vec<usize> {
     for number in 0..30 {
-        let request = read_request("/read/x", &format!("{name}-{number}"));
+        let request = get_request("/read/x", &format!("{name}-{number}"));
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
-        entry.send(&request).await.unwrap();
+        instance.send(&request).await.unwrap();
     }
     let count = |seen: &azuregate_platform::stand_in::Seen| seen.id.starts_with(name);
-    world
+    cluster
         .backends
         .iter()
         .map(|backend| backend.seen().iter().filter(|s| count(s)).count())
@@ -24,9 +24,9 @@
 
 #[tokio::test]
 async fn objects_are_spread_over_all_servers() {
-    let world = World::start(3).await;
-    let entry = world.instance(1).await;
-    let counts = spread(&world, &entry, "all").await;
+    let cluster = TestCluster::start(3).await;
+    let instance = cluster.start_ready_instance(1).await;
+    let counts = spread(&cluster, &instance, "all").await;
     assert!(counts.iter().all(|&count| count > 0), "{counts:?}");
 }
 
@@ -35,20 +35,20 @@
 #[tokio::test]
 async fn a_server_that_leaves_gets_nothing_new() {
     for is_announced in [true, false] {
-        let world = World::start(3).await;
-        let entry = world.instance(1).await;
-        let leaving = &world.backends[1];
+        let cluster = TestCluster::start(3).await;
+        let instance = cluster.start_ready_instance(1).await;
+        let leaving = &cluster.backends[1];
         match is_announced {
             true => {
                 let row = backend_row(SERVICE, leaving.addr(), "zone-a", "draining");
-                world.store.put("servers", leaving.id(), row);
+                cluster.store.put("servers", leaving.id(), row);
             }
-            false => world.store.remove("servers", leaving.id()),
+            false => cluster.store.remove("servers", leaving.id()),
         }
         let mut round = 0;
         eventually("nothing new reaches it", async || {
             round += 1;
-            let counts = spread(&world, &entry, &format!("round{round}")).await;
+            let counts = spread(&cluster, &instance, &format!("round{round}")).await;
             counts[1] == 0 && counts.iter().sum::<usize>() == 30
         })
         .await;
@@ -58,19 +58,19 @@
 /// An operator evacuates a zone, and takes it back.
 #[tokio::test]
 async fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
-    let mut world = World::start(1).await;
-    let away = world.add_backend("zone-c").await;
-    let entry = world.instance(1).await;
-    world.store.put("op", "evacuate/zone-c", "{}");
+    let mut cluster = TestCluster::start(1).await;
+    let away = cluster.add_backend("zone-c").await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.put("op", "evacuate/zone-c", "{}");
     let mut round = 0;
     eventually("nothing new reaches the zone", async || {
         round += 1;
-        spread(&world, &entry, &format!("round{round}")).await == [30, 0]
+        spread(&cluster, &instance, &format!("round{round}")).await == [30, 0]
     })
     .await;
-    world.store.remove("op", "evacuate/zone-c");
+    cluster.store.remove("op", "evacuate/zone-c");
     eventually("the zone serves again", async || {
-        spread(&world, &entry, "back").await;
+        spread(&cluster, &instance, "back").await;
         away.seen().iter().any(|seen| seen.id.starts_with("back"))
     })
     .await;
@@ -81,20 +81,20 @@
 /// written its row yet.
 #[tokio::test]
 async fn rows_that_ran_out_while_the_store_was_away_are_still_believed() {
-    let world = World::start(2).await;
-    let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Refuse(503));
+    let cluster = TestCluster::start(2).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.set_fault(StoreFault::Refuse(503));
     time::sleep(Duration::from_millis(1_500)).await;
-    world.backends.iter().for_each(|backend| world.store.remove("servers", backend.id()));
-    world.store.set_fault(StoreFault::None);
+    cluster.backends.iter().for_each(|backend| cluster.store.remove("servers", backend.id()));
+    cluster.store.set_fault(StoreFault::None);
     let start = time::Instant::now();
     while start.elapsed() < Duration::from_millis(1_500) {
-        let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
-        assert_eq!(answer.status, 200, "after {:?}", start.elapsed());
+        let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
+        assert_eq!(response.status, 200, "after {:?}", start.elapsed());
         time::sleep(Duration::from_millis(50)).await;
     }
     eventually("servers without rows are given up", async || {
-        entry.send(&read_request("/read/x", "r2")).await.unwrap().status == 503
+        instance.send(&get_request("/read/x", "r2")).await.unwrap().status == 503
     })
     .await;
 }
@@ -104,14 +104,14 @@
 /// if requests that ran out of time count.
 #[tokio::test]
 async fn a_server_that_never_answers_in_time_is_avoided() {
-    let mut world = World::start(3).await;
-    world.configure(|config| config.timeout_ms = 200);
-    let entry = world.instance(1).await;
-    world.backends[1].set(Behaviour::Slow(Duration::from_secs(5)));
+    let mut cluster = TestCluster::start(3).await;
+    cluster.update_config(|config| config.timeout_ms = 200);
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends[1].set(Behaviour::Slow(Duration::from_secs(5)));
     let mut round = 0;
     eventually("nothing new reaches it", async || {
         round += 1;
-        spread(&world, &entry, &format!("round{round}")).await[1] == 0
+        spread(&cluster, &instance, &format!("round{round}")).await[1] == 0
     })
     .await;
 }
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -4,7 +4,7 @@
 
 use azuregate_platform::stand_in::Behaviour;
 
-use crate::world::{Client, World, eventually, read_request, write_request};
+use crate::cluster::{Client, TestCluster, eventually, get_request, post_request};
 
 /// The client closes its connection while a server works for it, in the second
 /// case with another request waiting behind. The server is told long before it is
@@ -12,15 +12,15 @@
 #[tokio::test]
 async fn a_client_that_leaves_cancels_its_work() {
     for waiting in [0, 1] {
-        let mut world = World::start(1).await;
+        let mut cluster = TestCluster::start(1).await;
         // Neither the route's time nor the deadline ends the work before the check.
-        world.configure(|config| config.timeout_ms = 10_000);
-        let entry = world.instance(1).await;
-        let backend = world.backends[0].clone();
+        cluster.update_config(|config| config.timeout_ms = 10_000);
+        let instance = cluster.start_ready_instance(1).await;
+        let backend = cluster.backends[0].clone();
         backend.set(Behaviour::Slow(Duration::from_secs(5)));
-        let mut client = Client::connect(entry.traffic).await;
+        let mut client = Client::connect(instance.traffic_addr).await;
         for number in 0..=waiting {
-            client.send(&read_request("/read/x", &format!("r{number}"))).await;
+            client.send(&get_request("/read/x", &format!("r{number}"))).await;
         }
         eventually("all arrive", async || backend.seen().len() > waiting).await;
         let left_at = Instant::now();
@@ -37,18 +37,18 @@
 /// answered, and the answers come in the order of the requests.
 #[tokio::test]
 async fn reads_that_wait_behind_others_start_at_once() {
-    let world = World::start(3).await;
-    let entry = world.instance(1).await;
+    let cluster = TestCluster::start(3).await;
+    let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(800);
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
-    let mut client = Client::connect(entry.traffic).await;
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    let mut client = Client::connect(instance.traffic_addr).await;
     let requests: String = (0..3)
-        .map(|number| read_request(&format!("/read/{number}"), &format!("r{number}")))
+        .map(|number| get_request(&format!("/read/{number}"), &format!("r{number}")))
         .collect();
     let start = Instant::now();
     client.send(&requests).await;
     for number in 0..3 {
-        assert_eq!(client.answer().await.unwrap().body, format!("answer to r{number}"));
+        assert_eq!(client.response().await.unwrap().body, format!("answer to r{number}"));
     }
     assert!(start.elapsed() < pause * 2, "one after the other: {:?}", start.elapsed());
 }
@@ -57,52 +57,52 @@
 /// connection ends before, the client sends it again, and it must not run twice.
 #[tokio::test]
 async fn writes_wait_for_their_turn() {
-    let world = World::start(2).await;
-    let entry = world.instance(1).await;
+    let cluster = TestCluster::start(2).await;
+    let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(300);
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
-    let mut client = Client::connect(entry.traffic).await;
-    client.send(&read_request("/read/x", "r1")).await;
-    client.send(&write_request("/write/x", "w1", "body")).await;
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    let mut client = Client::connect(instance.traffic_addr).await;
+    client.send(&get_request("/read/x", "r1")).await;
+    client.send(&post_request("/write/x", "w1", "body")).await;
     tokio::time::sleep(pause / 2).await;
-    assert_eq!((world.arrivals("r1"), world.arrivals("w1")), (1, 0));
-    assert_eq!(client.answer().await.unwrap().body, "answer to r1");
-    assert_eq!(client.answer().await.unwrap().body, "answer to w1");
+    assert_eq!((cluster.request_count("r1"), cluster.request_count("w1")), (1, 0));
+    assert_eq!(client.response().await.unwrap().body, "answer to r1");
+    assert_eq!(client.response().await.unwrap().body, "answer to w1");
 }
 
 /// A body in chunks that holds what looks like a request is a body and nothing
 /// else: no server sees the request inside.
 #[tokio::test]
 async fn a_request_inside_a_body_is_not_a_request() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    let inside = read_request("/read/inside", "inside");
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    let inside = get_request("/read/inside", "inside");
     let head = "POST /write/x HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: w1\r\n\
                 X-Deadline-Ms: 3000\r\nTransfer-Encoding: chunked\r\n\r\n";
     let request = format!("{head}{:x}\r\n{inside}\r\n0\r\n\r\n", inside.len());
-    let answer = entry.send(&request).await.unwrap();
-    assert_eq!(answer.status, 200);
-    assert_eq!(world.arrivals("inside"), 0);
-    assert_eq!(world.backends[0].seen()[0].body, inside.as_bytes());
+    let response = instance.send(&request).await.unwrap();
+    assert_eq!(response.status, 200);
+    assert_eq!(cluster.request_count("inside"), 0);
+    assert_eq!(cluster.backends[0].seen()[0].body, inside.as_bytes());
 }
 
 #[tokio::test]
 async fn what_is_not_allowed_is_refused_without_a_server() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
     let too_long = "x".repeat((1 << 20) + 1);
     let cases = [
-        (read_request("/nowhere/x", "n1"), 404),
-        (read_request("/read", "n2"), 404),
-        (read_request("/read/x", "n3").replace("shop.example", "other.example"), 404),
-        (write_request("/write/x", "n4", &too_long), 413),
+        (get_request("/nowhere/x", "n1"), 404),
+        (get_request("/read", "n2"), 404),
+        (get_request("/read/x", "n3").replace("shop.example", "other.example"), 404),
+        (post_request("/write/x", "n4", &too_long), 413),
     ];
     for (request, status) in cases {
         let line = request.lines().next().unwrap().to_owned();
-        let answer = entry.send(&request).await;
-        assert_eq!(answer.map(|answer| answer.status), Some(status), "{line}");
+        let response = instance.send(&request).await;
+        assert_eq!(response.map(|response| response.status), Some(status), "{line}");
     }
-    assert!(world.backends[0].seen().is_empty());
+    assert!(cluster.backends[0].seen().is_empty());
 }
 
 /// A client sends half a head and then nothing, once on a new connection and once
@@ -110,22 +110,22 @@
 /// that a head may take; one that is only idle stays open.
 #[tokio::test]
 async fn a_head_that_never_ends_is_not_waited_for() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
     let half = "GET /read/x HTTP/1.1\r\nHost: sh";
-    let mut fresh = Client::connect(entry.traffic).await;
-    let mut used = Client::connect(entry.traffic).await;
-    let mut idle = Client::connect(entry.traffic).await;
+    let mut fresh = Client::connect(instance.traffic_addr).await;
+    let mut used = Client::connect(instance.traffic_addr).await;
+    let mut idle = Client::connect(instance.traffic_addr).await;
     for (client, id) in [(&mut used, "r1"), (&mut idle, "r2")] {
-        client.send(&read_request("/read/x", id)).await;
-        assert_eq!(client.answer().await.unwrap().status, 200);
+        client.send(&get_request("/read/x", id)).await;
+        assert_eq!(client.response().await.unwrap().status, 200);
     }
     fresh.send(half).await;
     used.send(half).await;
     let sent_at = Instant::now();
     // The configuration allows three seconds.
-    assert!(fresh.answer().await.is_none() && used.answer().await.is_none());
+    assert!(fresh.response().await.is_none() && used.response().await.is_none());
     assert!(sent_at.elapsed() > Duration::from_secs(3), "{:?}", sent_at.elapsed());
-    idle.send(&read_request("/read/x", "r3")).await;
-    assert_eq!(idle.answer().await.unwrap().status, 200);
+    idle.send(&get_request("/read/x", "r3")).await;
+    assert_eq!(idle.response().await.unwrap().status, 200);
 }
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/cluster.rs
@@ -30,32 +30,32 @@
 /// Where `deploy/system.toml` says that metrics are.
 const METRICS_PORT: u16 = 9_464;
 /// How long anything may take that must happen at last.
-const LIMIT: Duration = Duration::from_secs(10);
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-static NETWORKS: AtomicU32 = AtomicU32::new(0);
+static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
 
 /// Everything outside the instances.
-pub(crate) struct World {
+pub(crate) struct TestCluster {
     pub(crate) store: StoreStandIn,
     pub(crate) backends: Vec<BackendStandIn>,
     pub(crate) config: ConfigText,
     pub(crate) network: String,
 }
 
-impl World {
+impl TestCluster {
     /// A store with a configuration and `count` backend servers.
-    pub(crate) async fn start(count: usize) -> World {
+    pub(crate) async fn start(count: usize) -> TestCluster {
         // Other test processes run at the same time.
         let process = std::process::id() % 200 + 20;
-        let network = format!("127.{process}.{}", NETWORKS.fetch_add(1, Ordering::Relaxed));
+        let network = format!("127.{process}.{}", NEXT_NETWORK.fetch_add(1, Ordering::Relaxed));
         let store = StoreStandIn::start("127.0.0.1").await;
         let config = ConfigText::new(SERVICE);
         store.put("op", "config", config_row(&config));
-        let mut world = World { store, backends: Vec::new(), config, network };
+        let mut cluster = TestCluster { store, backends: Vec::new(), config, network };
         for _ in 0..count {
-            world.add_backend("zone-a").await;
+            cluster.add_backend("zone-a").await;
         }
-        world
+        cluster
     }
 
     /// Starts one more backend server and registers it.
@@ -68,16 +68,16 @@
     }
 
     /// Changes the configuration.
-    pub(crate) fn configure(&mut self, change: impl FnOnce(&mut ConfigText)) {
+    pub(crate) fn update_config(&mut self, change: impl FnOnce(&mut ConfigText)) {
         self.config.version += 1;
         change(&mut self.config);
         self.store.put("op", "config", config_row(&self.config));
     }
 
     /// Starts an instance and waits until it is ready.
-    pub(crate) async fn instance(&self, number: u8) -> Instance {
+    pub(crate) async fn start_ready_instance(&self, number: u8) -> Instance {
         let instance = self.start_instance(number);
-        eventually("the instance is ready", async || instance.ready().await == 200).await;
+        eventually("the instance is ready", async || instance.readiness().await == 200).await;
         instance
     }
 
@@ -101,7 +101,7 @@
         let text = change(self.settings_text(number));
         let settings = Settings::parse(&text).expect("the settings are complete");
         std::fs::write(self.settings_file(number), text).expect("the file can be written");
-        let (traffic, ready, lookups) =
+        let (traffic_addr, readiness_addr, lookup_addr) =
             (settings.traffic_addr, settings.ready_addr, settings.lookup_addr);
         let file = self.settings_file(number);
         let (stopper, stop) = stop::channel();
@@ -110,8 +110,8 @@
             let runtime = runtime.expect("a runtime can be built");
             runtime.block_on(serve::run(settings, Some(file), stop)).expect("the ports are free");
         });
-        let metrics = SocketAddr::new(traffic.ip(), METRICS_PORT);
-        Instance { traffic, ready, lookups, metrics, stopper, thread }
+        let metrics_addr = SocketAddr::new(traffic_addr.ip(), METRICS_PORT);
+        Instance { traffic_addr, readiness_addr, lookup_addr, metrics_addr, stopper, thread }
     }
 
     /// The settings of an instance.
@@ -127,7 +127,7 @@
     }
 
     /// Requests of all backend servers with the id `id`.
-    pub(crate) fn arrivals(&self, id: &str) -> usize {
+    pub(crate) fn request_count(&self, id: &str) -> usize {
         let seen = self.backends.iter().flat_map(BackendStandIn::seen);
         seen.filter(|seen| seen.id == id).count()
     }
@@ -135,35 +135,35 @@
 
 /// A running entry instance.
 pub(crate) struct Instance {
-    pub(crate) traffic: SocketAddr,
-    pub(crate) ready: SocketAddr,
-    pub(crate) lookups: SocketAddr,
-    pub(crate) metrics: SocketAddr,
+    pub(crate) traffic_addr: SocketAddr,
+    pub(crate) readiness_addr: SocketAddr,
+    pub(crate) lookup_addr: SocketAddr,
+    pub(crate) metrics_addr: SocketAddr,
     pub(crate) stopper: Stopper,
     pub(crate) thread: JoinHandle<()>,
 }
 
 impl Instance {
     /// The status of the question whether it is ready; 0 if there is no answer.
-    pub(crate) async fn ready(&self) -> u16 {
-        readiness(self.ready).await
+    pub(crate) async fn readiness(&self) -> u16 {
+        readiness_status(self.readiness_addr).await
     }
 
     /// Which instances a client in `zone` of `region` is told to use.
     pub(crate) async fn lookup(&self, zone: &str, region: &str) -> Vec<SocketAddr> {
-        look_up(self.lookups, zone, region).await
+        lookup(self.lookup_addr, zone, region).await
     }
 
     /// Sends one request on a connection of its own.
-    pub(crate) async fn send(&self, request: &str) -> Option<Answer> {
-        let mut client = Client::connect(self.traffic).await;
+    pub(crate) async fn send(&self, request: &str) -> Option<HttpResponse> {
+        let mut client = Client::connect(self.traffic_addr).await;
         client.send(request).await;
-        client.answer().await
+        client.response().await
     }
 }
 
 /// A request without a body.
-pub(crate) fn read_request(path: &str, id: &str) -> String {
+pub(crate) fn get_request(path: &str, id: &str) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\n\
          X-Affinity-Key: 17\r\nX-Deadline-Ms: 3000\r\n\r\n"
@@ -171,7 +171,7 @@
 }
 
 /// A request with a body.
-pub(crate) fn write_request(path: &str, id: &str, body: &str) -> String {
+pub(crate) fn post_request(path: &str, id: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\n\
          X-Affinity-Key: 17\r\nX-Deadline-Ms: 3000\r\nContent-Length: {}\r\n\r\n{body}",
@@ -181,13 +181,13 @@
 
 /// What a client got.
 #[derive(Clone, Debug)]
-pub(crate) struct Answer {
+pub(crate) struct HttpResponse {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
 }
 
-impl Answer {
+impl HttpResponse {
     /// A header's value.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|line| line.split_once(':'));
@@ -219,11 +219,13 @@
     }
 
     /// The next whole answer, or `None` if the connection ends first.
-    pub(crate) async fn answer(&mut self) -> Option<Answer> {
-        time::timeout(LIMIT, self.read_answer()).await.expect("an answer or an end comes in time")
+    pub(crate) async fn response(&mut self) -> Option<HttpResponse> {
+        time::timeout(TIMEOUT, self.read_response())
+            .await
+            .expect("an answer or an end comes in time")
     }
 
-    async fn read_answer(&mut self) -> Option<Answer> {
+    async fn read_response(&mut self) -> Option<HttpResponse> {
         let end = loop {
             if let Some(at) = self.bytes.windows(4).position(|window| window == b"\r\n\r\n") {
                 break at + 4;
@@ -232,15 +234,15 @@
         };
         let head = String::from_utf8_lossy(&self.bytes[..end]).into_owned();
         let status = head.split(' ').nth(1).and_then(|status| status.parse().ok())?;
-        let mut answer = Answer { status, head, body: String::new() };
-        let length = answer.header("content-length").and_then(|text| text.parse().ok());
+        let mut response = HttpResponse { status, head, body: String::new() };
+        let length = response.header("content-length").and_then(|text| text.parse().ok());
         let length: usize = length.unwrap_or(0);
         while self.bytes.len() < end + length {
             self.fill().await?;
         }
-        answer.body = String::from_utf8_lossy(&self.bytes[end..end + length]).into_owned();
+        response.body = String::from_utf8_lossy(&self.bytes[end..end + length]).into_owned();
         self.bytes.drain(..end + length);
-        Some(answer)
+        Some(response)
     }
 
     async fn fill(&mut self) -> Option<()> {
@@ -255,23 +257,23 @@
     }
 }
 
-pub(crate) async fn get(addr: SocketAddr, path: &str) -> Option<Answer> {
+pub(crate) async fn get(addr: SocketAddr, path: &str) -> Option<HttpResponse> {
     let mut client = Client::try_connect(addr).await?;
     client.send(&format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n")).await;
-    client.answer().await
+    client.response().await
 }
 
 /// The status of the question at `addr` whether an instance is ready; 0 if there is
 /// no answer.
-pub(crate) async fn readiness(addr: SocketAddr) -> u16 {
-    get(addr, "/-/readyz").await.map_or(0, |answer| answer.status)
+pub(crate) async fn readiness_status(addr: SocketAddr) -> u16 {
+    get(addr, "/-/readyz").await.map_or(0, |response| response.status)
 }
 
 /// Which instances the one at `addr` tells a client in `zone` of `region` to use.
-pub(crate) async fn look_up(addr: SocketAddr, zone: &str, region: &str) -> Vec<SocketAddr> {
+pub(crate) async fn lookup(addr: SocketAddr, zone: &str, region: &str) -> Vec<SocketAddr> {
     let path = format!("/-/resolve?name=shop.example&region={region}&zone={zone}");
-    let Some(answer) = get(addr, &path).await else { return Vec::new() };
-    let Ok(body) = serde_json::from_str::<serde_json::Value>(&answer.body) else {
+    let Some(response) = get(addr, &path).await else { return Vec::new() };
+    let Ok(body) = serde_json::from_str::<serde_json::Value>(&response.body) else {
         return Vec::new();
     };
     let addrs = body["addresses"].as_array().cloned().unwrap_or_default();
@@ -286,7 +288,7 @@
 pub(crate) async fn eventually(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < LIMIT, "not in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/azuregate/tests/serve/main.rs
+++ b/crates/azuregate/tests/serve/main.rs
@@ -3,15 +3,15 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
-mod answers;
 mod at_most_once;
+mod backends;
 mod clients;
+mod cluster;
 mod configuration;
 mod links;
 mod lookups;
 mod relay;
 mod reload;
-mod servers;
+mod responses;
+mod shutdown;
 mod slow_links;
-mod stops;
-mod world;
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -5,28 +5,28 @@
 use azuregate_platform::stand_in::StoreFault;
 use tokio::time;
 
-use crate::world::{Instance, World, eventually, get, read_request};
+use crate::cluster::{Instance, TestCluster, eventually, get, get_request};
 
 /// Time in which instances find out whom to follow.
 const SETTLED: Duration = Duration::from_millis(3_000);
 
 /// So many instances, which have found out whom to follow.
-async fn settled(world: &World, count: u8) -> Vec<Instance> {
-    let mut entries = Vec::new();
+async fn settled(cluster: &TestCluster, count: u8) -> Vec<Instance> {
+    let mut instances = Vec::new();
     for number in 1..=count {
-        entries.push(world.instance(number).await);
+        instances.push(cluster.start_ready_instance(number).await);
     }
     time::sleep(SETTLED).await;
-    entries
+    instances
 }
 
-async fn serves(entry: &Instance, path: &str) -> bool {
-    let answer = entry.send(&read_request(path, "r1")).await;
-    answer.is_some_and(|answer| answer.status == 200)
+async fn serves(instance: &Instance, path: &str) -> bool {
+    let response = instance.send(&get_request(path, "r1")).await;
+    response.is_some_and(|response| response.status == 200)
 }
 
-fn watches_of_backends(world: &World) -> usize {
-    let calls = world.store.calls();
+fn watches_of_backends(cluster: &TestCluster) -> usize {
+    let calls = cluster.store.calls();
     calls.iter().filter(|call| call.starts_with("/-/rows-feed?table=servers")).count()
 }
 
@@ -34,20 +34,20 @@
 /// instance learns of each, and only two ask the store.
 #[tokio::test]
 async fn a_change_costs_calls_of_two_instances_only() {
-    let mut world = World::start(1).await;
-    let entries = settled(&world, 5).await;
-    let before = watches_of_backends(&world);
+    let mut cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 5).await;
+    let before = watches_of_backends(&cluster);
     let changes = 6;
     for _ in 0..changes {
-        world.add_backend("zone-a").await;
+        cluster.add_backend("zone-a").await;
         time::sleep(Duration::from_millis(400)).await;
     }
     // A call for each change, and one for a wait that ended before it.
-    let calls = watches_of_backends(&world) - before;
+    let calls = watches_of_backends(&cluster) - before;
     assert!(calls <= 2 * 2 * changes, "{calls} calls for {changes} changes");
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
-    for entry in &entries {
-        eventually("the change is in force", async || serves(entry, "/new/x").await).await;
+    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    for instance in &instances {
+        eventually("the change is in force", async || serves(instance, "/new/x").await).await;
     }
 }
 
@@ -55,14 +55,14 @@
 /// that is left has a change in force that comes right after.
 #[tokio::test]
 async fn whoever_is_left_watches_the_store() {
-    let mut world = World::start(1).await;
-    let mut entries = settled(&world, 4).await;
-    let last = entries.remove(0);
-    entries.iter().for_each(|entry| entry.stopper.stop());
-    for entry in entries {
-        eventually("the instance has stopped", async || entry.thread.is_finished()).await;
+    let mut cluster = TestCluster::start(1).await;
+    let mut instances = settled(&cluster, 4).await;
+    let last = instances.remove(0);
+    instances.iter().for_each(|instance| instance.stopper.stop());
+    for instance in instances {
+        eventually("the instance has stopped", async || instance.thread.is_finished()).await;
     }
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     let changed_at = time::Instant::now();
     eventually("the change is in force", async || serves(&last, "/new/x").await).await;
     assert!(changed_at.elapsed() < Duration::from_millis(2_000));
@@ -72,31 +72,31 @@
 /// for every table and not all the time, and are back in contact soon after it.
 #[tokio::test]
 async fn a_store_that_is_away_is_asked_seldom() {
-    let mut world = World::start(1).await;
-    let entries = settled(&world, 4).await;
-    world.store.set_fault(StoreFault::Refuse(503));
+    let mut cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 4).await;
+    cluster.store.set_fault(StoreFault::Refuse(503));
     // The first calls fail within a wait, and the pauses grow after that.
     time::sleep(Duration::from_millis(2_500)).await;
-    let before = world.store.calls().len();
+    let before = cluster.store.calls().len();
     time::sleep(Duration::from_millis(4_000)).await;
-    let calls = world.store.calls().len() - before;
-    assert!(calls <= 4 * entries.len() + 2, "{calls} calls in four seconds");
-    world.store.set_fault(StoreFault::None);
+    let calls = cluster.store.calls().len() - before;
+    assert!(calls <= 4 * instances.len() + 2, "{calls} calls in four seconds");
+    cluster.store.set_fault(StoreFault::None);
     let returned_at = time::Instant::now();
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
-    for entry in &entries {
-        eventually("the change is in force", async || serves(entry, "/new/x").await).await;
+    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    for instance in &instances {
+        eventually("the change is in force", async || serves(instance, "/new/x").await).await;
     }
     assert!(returned_at.elapsed() < Duration::from_millis(3_500));
 }
 
 #[tokio::test]
 async fn metrics_tell_where_changes_come_from() {
-    let world = World::start(1).await;
-    let entries = settled(&world, 4).await;
+    let cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 4).await;
     let mut watching = 0;
-    for entry in &entries {
-        let text = get(entry.metrics, "/metrics").await.unwrap().body;
+    for instance in &instances {
+        let text = get(instance.metrics_addr, "/metrics").await.unwrap().body;
         let value = |name: &str| -> u64 {
             let line = text.lines().find(|line| line.split(' ').next() == Some(name));
             line.and_then(|line| line.split(' ').nth(1)?.parse().ok()).expect(name)
--- a/crates/azuregate/tests/serve/reload.rs
+++ b/crates/azuregate/tests/serve/reload.rs
@@ -9,21 +9,21 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time;
 
-use crate::world::{World, eventually, get};
+use crate::cluster::{TestCluster, eventually, get};
 
 /// The file changes without a signal: the time for which clients may keep an
 /// answer is shorter soon. A file that is wrong changes nothing.
 #[tokio::test]
 async fn a_changed_file_is_in_force_without_a_signal() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
     let path = "/-/resolve?name=shop.example&region=region-1&zone=zone-a";
-    let keep = async || get(entry.lookups, path).await.unwrap().body;
+    let keep = async || get(instance.lookup_addr, path).await.unwrap().body;
     assert!(keep().await.contains("\"ttlS\":2.0"));
-    let text = world.settings_text(1) + "terms.bounds.ttl_max_s=1\n";
-    std::fs::write(world.settings_file(1), &text).unwrap();
+    let text = cluster.settings_text(1) + "terms.bounds.ttl_max_s=1\n";
+    std::fs::write(cluster.settings_file(1), &text).unwrap();
     eventually("the new bound holds", async || keep().await.contains("\"ttlS\":1.0")).await;
-    std::fs::write(world.settings_file(1), text.replace("ttl_max_s=1", "ttl_max_s=x")).unwrap();
+    std::fs::write(cluster.settings_file(1), text.replace("ttl_max_s=1", "ttl_max_s=x")).unwrap();
     time::sleep(Duration::from_millis(2_500)).await;
     assert!(keep().await.contains("\"ttlS\":1.0"));
 }
@@ -32,16 +32,16 @@
 /// ends by itself with status 0. Its log tells of start, reload and stop.
 #[tokio::test]
 async fn the_program_reloads_and_stops_by_signals() {
-    let world = World::start(1).await;
-    std::fs::write(world.settings_file(2), world.settings_text(2)).unwrap();
+    let cluster = TestCluster::start(1).await;
+    std::fs::write(cluster.settings_file(2), cluster.settings_text(2)).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_azuregate"))
         .args(["serve", "--settings"])
-        .arg(world.settings_file(2))
+        .arg(cluster.settings_file(2))
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
     let pid = Pid::from_child(&program);
-    eventually("it registers", async || !world.store.keys("instances").is_empty()).await;
+    eventually("it registers", async || !cluster.store.keys("instances").is_empty()).await;
     kill_process(pid, Signal::HUP).unwrap();
     time::sleep(Duration::from_millis(500)).await;
     kill_process(pid, Signal::TERM).unwrap();
@@ -59,13 +59,13 @@
 /// `--check` names each field that is wrong, and changes nothing.
 #[tokio::test]
 async fn wrong_settings_are_named() {
-    let world = World::start(0).await;
-    let text = world.settings_text(1).replace("self.zone=zone-a", "self.zone=");
+    let cluster = TestCluster::start(0).await;
+    let text = cluster.settings_text(1).replace("self.zone=zone-a", "self.zone=");
     let text = text.replace("self.ip=", "self.ip=x");
-    std::fs::write(world.settings_file(1), text).unwrap();
+    std::fs::write(cluster.settings_file(1), text).unwrap();
     let run = Command::new(env!("CARGO_BIN_EXE_azuregate"))
         .args(["serve", "--check", "--settings"])
-        .arg(world.settings_file(1))
+        .arg(cluster.settings_file(1))
         .output()
         .unwrap();
     assert_eq!(run.status.code(), Some(2));
--- a/crates/azuregate/tests/serve/answers.rs
+++ b/crates/azuregate/tests/serve/responses.rs
@@ -4,17 +4,17 @@
 
 use azuregate_platform::stand_in::Behaviour;
 
-use crate::world::{World, eventually, read_request, write_request};
+use crate::cluster::{TestCluster, eventually, get_request, post_request};
 
 #[tokio::test]
 async fn a_request_passes_unchanged_and_so_does_its_answer() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    let answer = entry.send(&write_request("/write/a?b=%20c", "w1", "body")).await.unwrap();
-    assert_eq!((answer.status, answer.body.as_str()), (200, "answer to w1"));
-    assert_eq!(answer.header("x-response-signature"), Some("s-w1"));
-    assert_eq!(answer.header("x-backend-load"), None);
-    let seen = &world.backends[0].seen()[0];
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    let response = instance.send(&post_request("/write/a?b=%20c", "w1", "body")).await.unwrap();
+    assert_eq!((response.status, response.body.as_str()), (200, "answer to w1"));
+    assert_eq!(response.header("x-response-signature"), Some("s-w1"));
+    assert_eq!(response.header("x-backend-load"), None);
+    let seen = &cluster.backends[0].seen()[0];
     assert_eq!(seen.line, "POST /write/a?b=%20c");
     assert_eq!(seen.body, b"body");
     assert_eq!(seen.expected_backend, "b0");
@@ -46,15 +46,15 @@
         Case { behaviour: Behaviour::Unframed, read_status: 200, write_status: 200 },
     ];
     for case in cases {
-        let world = World::start(2).await;
-        let entry = world.instance(1).await;
+        let cluster = TestCluster::start(2).await;
+        let instance = cluster.start_ready_instance(1).await;
         for number in 0..4 {
-            entry.send(&read_request("/read/x", &format!("warm{number}"))).await.unwrap();
+            instance.send(&get_request("/read/x", &format!("warm{number}"))).await.unwrap();
         }
-        world.backends.iter().for_each(|backend| backend.set(case.behaviour.clone()));
-        let read = entry.send(&read_request("/read/x", "r1")).await.unwrap();
+        cluster.backends.iter().for_each(|backend| backend.set(case.behaviour.clone()));
+        let read = instance.send(&get_request("/read/x", "r1")).await.unwrap();
         assert_eq!(read.status, case.read_status, "read, {:?}", case.behaviour);
-        let write = entry.send(&write_request("/write/x", "w1", "b")).await.unwrap();
+        let write = instance.send(&post_request("/write/x", "w1", "b")).await.unwrap();
         assert_eq!(write.status, case.write_status, "write, {:?}", case.behaviour);
     }
 }
@@ -63,14 +63,14 @@
 /// request is sent there. The next client gets its own answer, or a failure.
 #[tokio::test]
 async fn a_second_answer_belongs_to_nobody() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.backends[0].set(Behaviour::AnswerTwice);
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends[0].set(Behaviour::AnswerTwice);
     for number in 0..10 {
         let id = format!("r{number}");
-        let answer = entry.send(&read_request("/read/x", &id)).await.unwrap();
-        if answer.status == 200 {
-            assert_eq!(answer.body, format!("answer to {id}"));
+        let response = instance.send(&get_request("/read/x", &id)).await.unwrap();
+        if response.status == 200 {
+            assert_eq!(response.body, format!("answer to {id}"));
         }
     }
 }
@@ -80,14 +80,18 @@
 #[tokio::test]
 async fn a_read_whose_answer_is_spoilt_runs_on_another_server() {
     for behaviour in [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::Fail] {
-        let world = World::start(2).await;
-        let entry = world.instance(1).await;
-        entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let cluster = TestCluster::start(2).await;
+        let instance = cluster.start_ready_instance(1).await;
+        instance.send(&get_request("/read/x", "first")).await.unwrap();
+        let used = cluster.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
         used.set(behaviour.clone());
-        let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
-        assert_eq!((answer.status, answer.body.as_str()), (200, "answer to r1"), "{behaviour:?}");
-        assert_eq!(world.arrivals("r1"), 2);
+        let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
+        assert_eq!(
+            (response.status, response.body.as_str()),
+            (200, "answer to r1"),
+            "{behaviour:?}"
+        );
+        assert_eq!(cluster.request_count("r1"), 2);
     }
 }
 
@@ -95,14 +99,14 @@
 /// not when its own patience is, and the server's work is cancelled.
 #[tokio::test]
 async fn the_routes_timeout_ends_a_request_and_its_work() {
-    let mut world = World::start(1).await;
-    world.configure(|config| config.timeout_ms = 400);
-    let entry = world.instance(1).await;
-    world.backends[0].set(Behaviour::Slow(Duration::from_secs(5)));
+    let mut cluster = TestCluster::start(1).await;
+    cluster.update_config(|config| config.timeout_ms = 400);
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends[0].set(Behaviour::Slow(Duration::from_secs(5)));
     let start = std::time::Instant::now();
-    let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
-    assert_eq!(answer.status, 504);
+    let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
+    assert_eq!(response.status, 504);
     assert!(start.elapsed() < Duration::from_millis(2_500), "took {:?}", start.elapsed());
-    let backend = world.backends[0].clone();
+    let backend = cluster.backends[0].clone();
     eventually("the work is cancelled", async || backend.seen()[0].cancelled_at.is_some()).await;
 }
--- a/crates/azuregate/tests/serve/stops.rs
+++ b/crates/azuregate/tests/serve/shutdown.rs
@@ -14,47 +14,47 @@
 };
 use tokio::time;
 
-use crate::world::{Client, World, eventually, read_request, write_request};
+use crate::cluster::{Client, TestCluster, eventually, get_request, post_request};
 
 /// A client has a request at work when the stop begins, sends another one on the
 /// same connection after it, and connects anew later still. All are answered; the
 /// answers say that the connection closes; and the process ends in time.
 #[tokio::test]
 async fn requests_around_a_stop_are_answered() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.backends[0].set(Behaviour::Slow(Duration::from_millis(300)));
-    let mut client = Client::connect(entry.traffic).await;
-    let mut idle = Client::connect(entry.traffic).await;
-    client.send(&write_request("/write/x", "w1", "body")).await;
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends[0].set(Behaviour::Slow(Duration::from_millis(300)));
+    let mut client = Client::connect(instance.traffic_addr).await;
+    let mut idle = Client::connect(instance.traffic_addr).await;
+    client.send(&post_request("/write/x", "w1", "body")).await;
     time::sleep(Duration::from_millis(100)).await;
-    entry.stopper.stop();
+    instance.stopper.stop();
     let stopped_at = Instant::now();
-    let answer = client.answer().await.unwrap();
-    assert_eq!((answer.status, answer.header("connection")), (200, Some("close")));
-    idle.send(&read_request("/read/x", "r1")).await;
-    assert_eq!(idle.answer().await.unwrap().status, 200);
-    assert!(idle.answer().await.is_none(), "the connection closes after its answer");
+    let response = client.response().await.unwrap();
+    assert_eq!((response.status, response.header("connection")), (200, Some("close")));
+    idle.send(&get_request("/read/x", "r1")).await;
+    assert_eq!(idle.response().await.unwrap().status, 200);
+    assert!(idle.response().await.is_none(), "the connection closes after its answer");
 
     // Late enough that idle connections are closed already.
     time::sleep_until((stopped_at + Duration::from_millis(2_700)).into()).await;
-    let mut late = Client::connect(entry.traffic).await;
+    let mut late = Client::connect(instance.traffic_addr).await;
     time::sleep(Duration::from_millis(100)).await;
-    late.send(&read_request("/read/x", "r2")).await;
-    assert_eq!(late.answer().await.unwrap().status, 200);
+    late.send(&get_request("/read/x", "r2")).await;
+    assert_eq!(late.response().await.unwrap().status, 200);
     drop(late);
 
-    let thread = entry.thread;
+    let thread = instance.thread;
     tokio::task::spawn_blocking(move || thread.join().unwrap()).await.unwrap();
     assert!(stopped_at.elapsed() < Duration::from_secs(6), "{:?}", stopped_at.elapsed());
-    assert!(world.store.keys("instances").is_empty(), "its row is removed");
+    assert!(cluster.store.keys("instances").is_empty(), "its row is removed");
 }
 
 /// Guards against a stop that comes during the start ending the process by its signal.
 #[tokio::test]
 async fn a_stop_during_the_start_is_a_planned_one() {
-    let world = World::start(1).await;
-    let settings = world.settings_file(1);
+    let cluster = TestCluster::start(1).await;
+    let settings = cluster.settings_file(1);
     let _ = fs::remove_file(&settings);
     mkfifoat(CWD, &settings, Mode::RUSR | Mode::WUSR).unwrap();
     let mut process = Command::new(env!("CARGO_BIN_EXE_azuregate"))
@@ -70,9 +70,9 @@
     kill_process(Pid::from_child(&process), Signal::TERM).unwrap();
     // Whoever reads the settings again finds a file.
     fs::remove_file(&settings).unwrap();
-    fs::write(&settings, world.settings_text(1)).unwrap();
+    fs::write(&settings, cluster.settings_text(1)).unwrap();
     // A process that the signal has ended reads nothing.
-    let _ = file.write_all(world.settings_text(1).as_bytes());
+    let _ = file.write_all(cluster.settings_text(1).as_bytes());
     drop(file);
     let mut ended = None;
     eventually("the process has ended", async || {
--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -8,8 +8,8 @@
 use tokio::time::{self, Instant};
 
 use crate::{
+    cluster::{Instance, PEER_PORT, TestCluster, eventually, get, get_request},
     links::{Link, Shape},
-    world::{Instance, PEER_PORT, World, eventually, get, read_request},
 };
 
 /// Time in which instances find out whom to follow.
@@ -20,25 +20,25 @@
 const SLOW: Shape = Shape { bytes_per_s: 500_000, delay: Duration::from_millis(20) };
 
 /// So many instances, which others reach only by links of this shape.
-async fn settled(world: &World, count: u8, shape: Shape) -> Vec<(Instance, Link)> {
-    let mut entries = Vec::new();
+async fn settled(cluster: &TestCluster, count: u8, shape: Shape) -> Vec<(Instance, Link)> {
+    let mut instances = Vec::new();
     for number in 1..=count {
         let zone = ["zone-a", "zone-b", "zone-c"][usize::from(number % 3)];
-        entries.push((world.start_instance_in(number, zone), number));
+        instances.push((cluster.start_instance_in(number, zone), number));
     }
     let mut linked = Vec::new();
-    for (entry, number) in entries {
-        eventually("the instance is ready", async || entry.ready().await == 200).await;
+    for (instance, number) in instances {
+        eventually("the instance is ready", async || instance.readiness().await == 200).await;
         let key = format!("entry-{number}");
-        eventually("it is registered", async || world.store.value("instances", &key).is_some())
+        eventually("it is registered", async || cluster.store.value("instances", &key).is_some())
             .await;
         let mut row: serde_json::Value =
-            serde_json::from_slice(&world.store.value("instances", &key).unwrap()).unwrap();
-        let target = SocketAddr::new(entry.traffic.ip(), PEER_PORT);
-        let link = Link::start(linked_ip(entry.traffic.ip()), target, shape).await;
+            serde_json::from_slice(&cluster.store.value("instances", &key).unwrap()).unwrap();
+        let target = SocketAddr::new(instance.traffic_addr.ip(), PEER_PORT);
+        let link = Link::start(linked_ip(instance.traffic_addr.ip()), target, shape).await;
         row["ip"] = link.ip.to_string().into();
-        world.store.put("instances", &key, row.to_string());
-        linked.push((entry, link));
+        cluster.store.put("instances", &key, row.to_string());
+        linked.push((instance, link));
     }
     time::sleep(SETTLED).await;
     linked
@@ -52,11 +52,15 @@
 }
 
 /// How long after `changed_at` the route is served by all.
-async fn served_by_all(entries: &[(Instance, Link)], path: &str, changed_at: Instant) -> Duration {
-    for (entry, _) in entries {
+async fn served_by_all(
+    instances: &[(Instance, Link)],
+    path: &str,
+    changed_at: Instant,
+) -> Duration {
+    for (instance, _) in instances {
         eventually("the change is in force", async || {
-            let answer = entry.send(&read_request(path, "r1")).await;
-            answer.is_some_and(|answer| answer.status == 200)
+            let response = instance.send(&get_request(path, "r1")).await;
+            response.is_some_and(|response| response.status == 200)
         })
         .await;
     }
@@ -66,16 +70,16 @@
 /// Guards against updates that wait on a full link being taken for fresh.
 #[tokio::test]
 async fn updates_that_were_long_under_way_do_not_count_as_fresh() {
-    let mut world = World::start(1).await;
-    let entries = settled(&world, 4, FAST).await;
+    let mut cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 4, FAST).await;
     // Slowly, so that no pause between heartbeats gives it away.
     for delay_ms in (400..=2_800).step_by(400) {
         let delay = Duration::from_millis(delay_ms);
-        entries.iter().for_each(|(_, link)| link.set_delay(delay));
+        instances.iter().for_each(|(_, link)| link.set_delay(delay));
         time::sleep(Duration::from_millis(700)).await;
     }
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
-    let taken = served_by_all(&entries, "/new/x", Instant::now()).await;
+    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    let taken = served_by_all(&instances, "/new/x", Instant::now()).await;
     assert!(taken < CHANGE, "in force after {taken:?}");
 }
 
@@ -83,14 +87,14 @@
 /// it on.
 #[tokio::test]
 async fn a_large_configuration_reaches_many_instances_in_time() {
-    let mut world = World::start(1).await;
-    let entries = settled(&world, 24, SLOW).await;
-    let carried = || entries.iter().map(|(_, link)| link.carried_bytes()).collect::<Vec<_>>();
+    let mut cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 24, SLOW).await;
+    let carried = || instances.iter().map(|(_, link)| link.carried_bytes()).collect::<Vec<_>>();
     let before = carried();
-    world.configure(|config| {
+    cluster.update_config(|config| {
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
-    served_by_all(&entries, "/more1399/x", Instant::now()).await;
+    served_by_all(&instances, "/more1399/x", Instant::now()).await;
     // More than that is late on such a link.
     let limit_bytes = SLOW.bytes_per_s * CHANGE.as_secs();
     let sent: Vec<u64> = carried().iter().zip(before).map(|(now, before)| now - before).collect();
@@ -101,35 +105,35 @@
 /// heartbeats all the same.
 #[tokio::test]
 async fn instances_behind_silent_relays_watch_the_store() {
-    let mut world = World::start(1).await;
-    let entries = settled(&world, 24, FAST).await;
+    let mut cluster = TestCluster::start(1).await;
+    let instances = settled(&cluster, 24, FAST).await;
     let mut silent = 0;
-    for (entry, link) in &entries {
-        let text = get(entry.metrics, "/metrics").await.unwrap().body;
+    for (instance, link) in &instances {
+        let text = get(instance.metrics_addr, "/metrics").await.unwrap().body;
         if !text.contains("azuregate_followers 0\n") {
             link.set_delay(Duration::from_secs(3_600));
             silent += 1;
         }
     }
     assert!((4..=8).contains(&silent), "two watch and two of each zone pass on, not {silent}");
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     // The relays would deliver it after an hour.
-    served_by_all(&entries, "/new/x", Instant::now()).await;
+    served_by_all(&instances, "/new/x", Instant::now()).await;
 }
 
 /// Guards against an instance that never starts since it breaks off a large answer of
 /// the store each time anew.
 #[tokio::test]
 async fn a_large_configuration_is_read_over_a_slow_link() {
-    let mut world = World::start(1).await;
-    world.configure(|config| {
+    let mut cluster = TestCluster::start(1).await;
+    cluster.update_config(|config| {
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
-    let ip = format!("{}.200", world.network).parse().unwrap();
+    let ip = format!("{}.200", cluster.network).parse().unwrap();
     let slow = Shape { bytes_per_s: 150_000, delay: Duration::ZERO };
-    let link = Link::start(ip, world.store.addr(), slow).await;
-    let store = world.store.addr().to_string();
-    let linked = SocketAddr::new(link.ip, world.store.addr().port()).to_string();
-    let entry = world.start_instance_with(1, |text| text.replace(&store, &linked));
-    eventually("the instance is ready", async || entry.ready().await == 200).await;
+    let link = Link::start(ip, cluster.store.addr(), slow).await;
+    let store = cluster.store.addr().to_string();
+    let linked = SocketAddr::new(link.ip, cluster.store.addr().port()).to_string();
+    let instance = cluster.start_instance_with(1, |text| text.replace(&store, &linked));
+    eventually("the instance is ready", async || instance.readiness().await == 200).await;
 }
--- a/crates/azuregate/tests/soak/clients.rs
+++ b/crates/azuregate/tests/soak/clients.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     ZONES,
-    world::{Answer, Client, look_up, read_request, write_request},
+    cluster::{Client, HttpResponse, get_request, lookup, post_request},
 };
 
 /// How long a client waits; the deadline that its requests name is longer.
@@ -107,7 +107,7 @@
         let (zone, _) = ZONES[random.usize(..ZONES.len())];
         for _ in 0..3 {
             let addr = self.lookups[random.usize(..self.lookups.len())];
-            let asked = time::timeout(Duration::from_secs(1), look_up(addr, zone, "")).await;
+            let asked = time::timeout(Duration::from_secs(1), lookup(addr, zone, "")).await;
             if let Some(addrs) = asked.ok().filter(|addrs| !addrs.is_empty()) {
                 return Some(addrs);
             }
@@ -120,14 +120,14 @@
         let id = format!("q{}", self.next.fetch_add(1, Ordering::Relaxed));
         let is_write = random.f64() < 0.4;
         let text = match is_write {
-            true => write_request("/write/x", &id, &body_of(&id)),
-            false => read_request("/read/x", &id),
+            true => post_request("/write/x", &id, &body_of(&id)),
+            false => get_request("/read/x", &id),
         };
         let object = format!("X-Affinity-Key: k{}", random.u32(..40));
         let text = text.replace("X-Affinity-Key: 17", &object);
         let sent_at = Instant::now();
         client.send(&text).await;
-        let end = match time::timeout(PATIENCE, client.answer()).await {
+        let end = match time::timeout(PATIENCE, client.response()).await {
             Ok(Some(answer)) => ended(&id, &answer),
             Ok(None) => End::Cut,
             Err(_) => End::Silence,
@@ -144,7 +144,7 @@
     format!("order {id}")
 }
 
-fn ended(id: &str, answer: &Answer) -> End {
+fn ended(id: &str, answer: &HttpResponse) -> End {
     let is_signed = answer.header("x-response-signature") == Some(&format!("s-{id}"));
     let is_whole = answer.body == format!("answer to {id}");
     let is_own = answer.status != 200 || (is_signed && is_whole);
--- a/crates/azuregate/tests/soak/main.rs
+++ b/crates/azuregate/tests/soak/main.rs
@@ -18,13 +18,13 @@
 
 mod checks;
 mod clients;
+#[allow(dead_code, reason = "shared with the tests of single instances")]
+#[path = "../serve/cluster.rs"]
+mod cluster;
 mod plan;
 mod processes;
 mod proxy;
 mod run;
-#[allow(dead_code, reason = "shared with the tests of single instances")]
-#[path = "../serve/world.rs"]
-mod world;
 
 /// Availability zones and their regions, as the settings of the stand-in have them.
 const ZONES: [(&str, &str); 3] =
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     ZONES,
-    world::{FIRST_PORT, PEER_PORT},
+    cluster::{FIRST_PORT, PEER_PORT},
 };
 
 /// Time from SIGTERM in which a process must end, as its settings say.
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -19,10 +19,10 @@
 use crate::{
     ZONES, checks,
     clients::Traffic,
+    cluster::{Client, get_request, lookup, readiness_status},
     plan::{Fault, Plan, TROUBLE},
     processes::Process,
     proxy::{Link, Proxy},
-    world::{Client, look_up, read_request, readiness},
 };
 
 const SERVICE: &str = "shop";
@@ -158,7 +158,7 @@
     async fn wait_until_ready(&self) {
         for instance in &self.instances {
             let start = Instant::now();
-            while readiness(instance.ready).await != 200 {
+            while readiness_status(instance.ready).await != 200 {
                 assert!(start.elapsed() < Duration::from_secs(20), "an instance is never ready");
                 time::sleep(Duration::from_millis(50)).await;
             }
@@ -256,21 +256,21 @@
     async fn check_all_well(&self) {
         let config = self.config.lock().unwrap().clone();
         for (number, instance) in self.instances.iter().enumerate() {
-            if readiness(instance.ready).await != 200 {
+            if readiness_status(instance.ready).await != 200 {
                 self.problem(format!("entry-{number} is not ready when all is well"));
                 continue;
             }
             // The first one is new in this version.
             for prefix in config.more_prefixes.iter().take(1) {
                 let mut client = Client::connect(instance.traffic).await;
-                client.send(&read_request(&format!("{prefix}x"), &format!("c{number}"))).await;
-                let status = client.answer().await.map(|answer| answer.status);
+                client.send(&get_request(&format!("{prefix}x"), &format!("c{number}"))).await;
+                let status = client.response().await.map(|answer| answer.status);
                 if status == Some(404) {
                     self.problem(format!("entry-{number} does not know {prefix}"));
                 }
             }
             let (zone, _) = ZONES[number % ZONES.len()];
-            let named = look_up(self.instances[0].lookups, zone, "").await;
+            let named = lookup(self.instances[0].lookups, zone, "").await;
             if !named.contains(&instance.traffic) {
                 self.problem(format!("entry-{number} is not named when all is well"));
             }
