--- a/crates/azuregate/tests/serve/backends.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{Instance, SERVICE, TestCluster, eventually, get_request};
 
 /// Sends reads about many objects, and returns how many reached each server.
-async fn spread(cluster: &TestCluster, instance: &Instance, name: &str) -> Vec<usize> {
+async fn requests_per_server(cluster: &TestCluster, instance: &Instance, name: &str) -> Vec<usize> {
     for number in 0..30 {
         let request = get_request("/read/x", &format!("{name}-{number}"));
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
@@ -26,7 +26,7 @@
 async fn objects_are_spread_over_all_servers() {
     let cluster = TestCluster::start(3).await;
     let instance = cluster.start_ready_instance(1).await;
-    let counts = spread(&cluster, &instance, "all").await;
+    let counts = requests_per_server(&cluster, &instance, "all").await;
     assert!(counts.iter().all(|&count| count > 0), "{counts:?}");
 }
 
@@ -48,7 +48,7 @@
         let mut round = 0;
         eventually("nothing new reaches it", async || {
             round += 1;
-            let counts = spread(&cluster, &instance, &format!("round{round}")).await;
+            let counts = requests_per_server(&cluster, &instance, &format!("round{round}")).await;
             counts[1] == 0 && counts.iter().sum::<usize>() == 30
         })
         .await;
@@ -65,12 +65,12 @@
     let mut round = 0;
     eventually("nothing new reaches the zone", async || {
         round += 1;
-        spread(&cluster, &instance, &format!("round{round}")).await == [30, 0]
+        requests_per_server(&cluster, &instance, &format!("round{round}")).await == [30, 0]
     })
     .await;
     cluster.store.remove("op", "evacuate/zone-c");
     eventually("the zone serves again", async || {
-        spread(&cluster, &instance, "back").await;
+        requests_per_server(&cluster, &instance, "back").await;
         away.seen().iter().any(|seen| seen.id.starts_with("back"))
     })
     .await;
@@ -111,7 +111,7 @@
     let mut round = 0;
     eventually("nothing new reaches it", async || {
         round += 1;
-        spread(&cluster, &instance, &format!("round{round}")).await[1] == 0
+        requests_per_server(&cluster, &instance, &format!("round{round}")).await[1] == 0
     })
     .await;
 }
--- a/crates/azuregate/tests/serve/links.rs
+++ b/crates/azuregate/tests/serve/links.rs
@@ -23,7 +23,7 @@
 
 /// What all connections to one instance share on their way back.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Shape {
+pub(crate) struct LinkConditions {
     pub(crate) bytes_per_s: u64,
     pub(crate) delay: Duration,
 }
@@ -32,101 +32,106 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
     pub(crate) ip: IpAddr,
-    lane: Arc<Mutex<Lane>>,
+    state: Arc<Mutex<LinkState>>,
 }
 
 #[derive(Debug)]
-struct Lane {
-    shape: Shape,
-    free_at: Instant,
-    carried_bytes: u64,
+struct LinkState {
+    conditions: LinkConditions,
+    busy_until: Instant,
+    sent_bytes: u64,
 }
 
-impl Lane {
+impl LinkState {
     /// When a chunk that is sent now arrives.
-    fn arrival(&mut self, bytes: usize) -> Instant {
-        self.carried_bytes += bytes as u64;
-        let taken = Duration::from_secs_f64(bytes as f64 / self.shape.bytes_per_s as f64);
-        self.free_at = self.free_at.max(Instant::now()) + taken;
-        self.free_at + self.shape.delay
+    fn schedule_delivery(&mut self, bytes: usize) -> Instant {
+        self.sent_bytes += bytes as u64;
+        let transmission_time =
+            Duration::from_secs_f64(bytes as f64 / self.conditions.bytes_per_s as f64);
+        self.busy_until = self.busy_until.max(Instant::now()) + transmission_time;
+        self.busy_until + self.conditions.delay
     }
 }
 
 impl Link {
     /// Takes connections and datagrams at `ip` for the instance at `target`.
-    pub(crate) async fn start(ip: IpAddr, target: SocketAddr, shape: Shape) -> Link {
-        let lane = Arc::new(Mutex::new(Lane { shape, free_at: Instant::now(), carried_bytes: 0 }));
+    pub(crate) async fn start(ip: IpAddr, target: SocketAddr, conditions: LinkConditions) -> Link {
+        let state = Arc::new(Mutex::new(LinkState {
+            conditions,
+            busy_until: Instant::now(),
+            sent_bytes: 0,
+        }));
         let addr = SocketAddr::new(ip, target.port());
         let listener = TcpListener::bind(addr).await.unwrap();
         let datagrams = UdpSocket::bind(addr).await.unwrap();
-        let shared = Arc::clone(&lane);
+        let shared = Arc::clone(&state);
         tokio::spawn(async move {
-            while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(carry(caller, target, Arc::clone(&shared)));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(proxy_connection(client, target, Arc::clone(&shared)));
             }
         });
-        tokio::spawn(forward(datagrams, target, Arc::clone(&lane)));
-        Link { ip, lane }
+        tokio::spawn(forward_datagrams(datagrams, target, Arc::clone(&state)));
+        Link { ip, state }
     }
 
     /// What the instance has sent to others so far.
-    pub(crate) fn carried_bytes(&self) -> u64 {
-        self.lane.lock().unwrap().carried_bytes
+    pub(crate) fn sent_bytes(&self) -> u64 {
+        self.state.lock().unwrap().sent_bytes
     }
 
     pub(crate) fn set_delay(&self, delay: Duration) {
-        self.lane.lock().unwrap().shape.delay = delay;
+        self.state.lock().unwrap().conditions.delay = delay;
     }
 }
 
 /// Datagrams are small, and take only the delay.
-async fn forward(datagrams: UdpSocket, target: SocketAddr, lane: Arc<Mutex<Lane>>) {
+async fn forward_datagrams(datagrams: UdpSocket, target: SocketAddr, state: Arc<Mutex<LinkState>>) {
     let datagrams = Arc::new(datagrams);
     let mut buffer = [0; 2_048];
     while let Ok((count, _)) = datagrams.recv_from(&mut buffer).await {
         let (datagrams, datagram) = (Arc::clone(&datagrams), buffer[..count].to_vec());
-        let arrival = Instant::now() + lane.lock().unwrap().shape.delay;
+        let delivery_time = Instant::now() + state.lock().unwrap().conditions.delay;
         tokio::spawn(async move {
-            time::sleep_until(arrival).await;
+            time::sleep_until(delivery_time).await;
             let _ = datagrams.send_to(&datagram, target).await;
         });
     }
 }
 
-async fn carry(caller: TcpStream, target: SocketAddr, lane: Arc<Mutex<Lane>>) {
+async fn proxy_connection(client: TcpStream, target: SocketAddr, state: Arc<Mutex<LinkState>>) {
     let Ok(instance) = TcpStream::connect(target).await else { return };
-    let _ = (caller.set_nodelay(true), instance.set_nodelay(true));
-    let (caller_in, caller_out) = caller.into_split();
+    let _ = (client.set_nodelay(true), instance.set_nodelay(true));
+    let (client_in, client_out) = client.into_split();
     let (instance_in, instance_out) = instance.into_split();
-    let (there, back) = (mpsc::channel(QUEUED_CHUNKS), mpsc::channel(QUEUED_CHUNKS));
+    let (upstream, downstream) = (mpsc::channel(QUEUED_CHUNKS), mpsc::channel(QUEUED_CHUNKS));
     tokio::join!(
-        take(caller_in, there.0, None),
-        deliver(there.1, instance_out),
-        take(instance_in, back.0, Some(lane)),
-        deliver(back.1, caller_out),
+        read_chunks(client_in, upstream.0, None),
+        write_chunks(upstream.1, instance_out),
+        read_chunks(instance_in, downstream.0, Some(state)),
+        write_chunks(downstream.1, client_out),
     );
 }
 
-async fn take(
+async fn read_chunks(
     mut from: OwnedReadHalf,
     chunks: mpsc::Sender<(Instant, Vec<u8>)>,
-    lane: Option<Arc<Mutex<Lane>>>,
+    state: Option<Arc<Mutex<LinkState>>>,
 ) {
     let mut buffer = [0; CHUNK_BYTES];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        let arrival = match &lane {
-            Some(lane) => lane.lock().unwrap().arrival(count),
+        let delivery_time = match &state {
+            Some(state) => state.lock().unwrap().schedule_delivery(count),
             None => Instant::now(),
         };
-        if chunks.send((arrival, buffer[..count].to_vec())).await.is_err() {
+        if chunks.send((delivery_time, buffer[..count].to_vec())).await.is_err() {
             return;
         }
     }
 }
 
-async fn deliver(mut chunks: mpsc::Receiver<(Instant, Vec<u8>)>, mut to: OwnedWriteHalf) {
-    while let Some((arrival, chunk)) = chunks.recv().await {
-        time::sleep_until(arrival).await;
+async fn write_chunks(mut chunks: mpsc::Receiver<(Instant, Vec<u8>)>, mut to: OwnedWriteHalf) {
+    while let Some((delivery_time, chunk)) = chunks.recv().await {
+        time::sleep_until(delivery_time).await;
         if to.write_all(&chunk).await.is_err() {
             return;
         }
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -8,15 +8,15 @@
 use crate::cluster::{Instance, TestCluster, eventually, get, get_request};
 
 /// Time in which instances find out whom to follow.
-const SETTLED: Duration = Duration::from_millis(3_000);
+const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
 /// So many instances, which have found out whom to follow.
-async fn settled(cluster: &TestCluster, count: u8) -> Vec<Instance> {
+async fn start_settled(cluster: &TestCluster, count: u8) -> Vec<Instance> {
     let mut instances = Vec::new();
     for number in 1..=count {
         instances.push(cluster.start_ready_instance(number).await);
     }
-    time::sleep(SETTLED).await;
+    time::sleep(SETTLE_TIME).await;
     instances
 }
 
@@ -25,7 +25,7 @@
     response.is_some_and(|response| response.status == 200)
 }
 
-fn watches_of_backends(cluster: &TestCluster) -> usize {
+fn backend_watch_calls(cluster: &TestCluster) -> usize {
     let calls = cluster.store.calls();
     calls.iter().filter(|call| call.starts_with("/-/rows-feed?table=servers")).count()
 }
@@ -35,15 +35,15 @@
 #[tokio::test]
 async fn a_change_costs_calls_of_two_instances_only() {
     let mut cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 5).await;
-    let before = watches_of_backends(&cluster);
+    let instances = start_settled(&cluster, 5).await;
+    let before = backend_watch_calls(&cluster);
     let changes = 6;
     for _ in 0..changes {
         cluster.add_backend("zone-a").await;
         time::sleep(Duration::from_millis(400)).await;
     }
     // A call for each change, and one for a wait that ended before it.
-    let calls = watches_of_backends(&cluster) - before;
+    let calls = backend_watch_calls(&cluster) - before;
     assert!(calls <= 2 * 2 * changes, "{calls} calls for {changes} changes");
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     for instance in &instances {
@@ -56,7 +56,7 @@
 #[tokio::test]
 async fn whoever_is_left_watches_the_store() {
     let mut cluster = TestCluster::start(1).await;
-    let mut instances = settled(&cluster, 4).await;
+    let mut instances = start_settled(&cluster, 4).await;
     let last = instances.remove(0);
     instances.iter().for_each(|instance| instance.stopper.stop());
     for instance in instances {
@@ -73,7 +73,7 @@
 #[tokio::test]
 async fn a_store_that_is_away_is_asked_seldom() {
     let mut cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 4).await;
+    let instances = start_settled(&cluster, 4).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
     // The first calls fail within a wait, and the pauses grow after that.
     time::sleep(Duration::from_millis(2_500)).await;
@@ -93,7 +93,7 @@
 #[tokio::test]
 async fn metrics_tell_where_changes_come_from() {
     let cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 4).await;
+    let instances = start_settled(&cluster, 4).await;
     let mut watching = 0;
     for instance in &instances {
         let text = get(instance.metrics_addr, "/metrics").await.unwrap().body;
--- a/crates/azuregate/tests/serve/reload.rs
+++ b/crates/azuregate/tests/serve/reload.rs
@@ -18,14 +18,14 @@
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let path = "/-/resolve?name=shop.example&region=region-1&zone=zone-a";
-    let keep = async || get(instance.lookup_addr, path).await.unwrap().body;
-    assert!(keep().await.contains("\"ttlS\":2.0"));
+    let lookup_body = async || get(instance.lookup_addr, path).await.unwrap().body;
+    assert!(lookup_body().await.contains("\"ttlS\":2.0"));
     let text = cluster.settings_text(1) + "terms.bounds.ttl_max_s=1\n";
     std::fs::write(cluster.settings_file(1), &text).unwrap();
-    eventually("the new bound holds", async || keep().await.contains("\"ttlS\":1.0")).await;
+    eventually("the new bound holds", async || lookup_body().await.contains("\"ttlS\":1.0")).await;
     std::fs::write(cluster.settings_file(1), text.replace("ttl_max_s=1", "ttl_max_s=x")).unwrap();
     time::sleep(Duration::from_millis(2_500)).await;
-    assert!(keep().await.contains("\"ttlS\":1.0"));
+    assert!(lookup_body().await.contains("\"ttlS\":1.0"));
 }
 
 /// The real program gets SIGHUP, which it survives, and SIGTERM, after which it
@@ -69,7 +69,7 @@
         .output()
         .unwrap();
     assert_eq!(run.status.code(), Some(2));
-    let told = String::from_utf8(run.stderr).unwrap();
-    assert!(told.contains("self.zone is missing"), "{told}");
-    assert!(told.contains("self.ip: \"x127."), "{told}");
+    let stderr = String::from_utf8(run.stderr).unwrap();
+    assert!(stderr.contains("self.zone is missing"), "{stderr}");
+    assert!(stderr.contains("self.ip: \"x127."), "{stderr}");
 }
--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -9,18 +9,23 @@
 
 use crate::{
     cluster::{Instance, PEER_PORT, TestCluster, eventually, get, get_request},
-    links::{Link, Shape},
+    links::{Link, LinkConditions},
 };
 
 /// Time in which instances find out whom to follow.
-const SETTLED: Duration = Duration::from_millis(3_000);
+const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 /// The time in which a change must be in force, as the settings of the tests say.
-const CHANGE: Duration = Duration::from_millis(2_000);
-const FAST: Shape = Shape { bytes_per_s: 125_000_000, delay: Duration::ZERO };
-const SLOW: Shape = Shape { bytes_per_s: 500_000, delay: Duration::from_millis(20) };
+const PROPAGATION_LIMIT: Duration = Duration::from_millis(2_000);
+const FAST: LinkConditions = LinkConditions { bytes_per_s: 125_000_000, delay: Duration::ZERO };
+const SLOW: LinkConditions =
+    LinkConditions { bytes_per_s: 500_000, delay: Duration::from_millis(20) };
 
-/// So many instances, which others reach only by links of this shape.
-async fn settled(cluster: &TestCluster, count: u8, shape: Shape) -> Vec<(Instance, Link)> {
+/// So many instances, which others reach only under these link conditions.
+async fn start_settled(
+    cluster: &TestCluster,
+    count: u8,
+    conditions: LinkConditions,
+) -> Vec<(Instance, Link)> {
     let mut instances = Vec::new();
     for number in 1..=count {
         let zone = ["zone-a", "zone-b", "zone-c"][usize::from(number % 3)];
@@ -35,12 +40,12 @@
         let mut row: serde_json::Value =
             serde_json::from_slice(&cluster.store.value("instances", &key).unwrap()).unwrap();
         let target = SocketAddr::new(instance.traffic_addr.ip(), PEER_PORT);
-        let link = Link::start(linked_ip(instance.traffic_addr.ip()), target, shape).await;
+        let link = Link::start(linked_ip(instance.traffic_addr.ip()), target, conditions).await;
         row["ip"] = link.ip.to_string().into();
         cluster.store.put("instances", &key, row.to_string());
         linked.push((instance, link));
     }
-    time::sleep(SETTLED).await;
+    time::sleep(SETTLE_TIME).await;
     linked
 }
 
@@ -52,7 +57,7 @@
 }
 
 /// How long after `changed_at` the route is served by all.
-async fn served_by_all(
+async fn time_until_served_by_all(
     instances: &[(Instance, Link)],
     path: &str,
     changed_at: Instant,
@@ -71,7 +76,7 @@
 #[tokio::test]
 async fn updates_that_were_long_under_way_do_not_count_as_fresh() {
     let mut cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 4, FAST).await;
+    let instances = start_settled(&cluster, 4, FAST).await;
     // Slowly, so that no pause between heartbeats gives it away.
     for delay_ms in (400..=2_800).step_by(400) {
         let delay = Duration::from_millis(delay_ms);
@@ -79,8 +84,8 @@
         time::sleep(Duration::from_millis(700)).await;
     }
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
-    let taken = served_by_all(&instances, "/new/x", Instant::now()).await;
-    assert!(taken < CHANGE, "in force after {taken:?}");
+    let elapsed = time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
+    assert!(elapsed < PROPAGATION_LIMIT, "in force after {elapsed:?}");
 }
 
 /// Guards against a large configuration filling the links of the instances that pass
@@ -88,16 +93,17 @@
 #[tokio::test]
 async fn a_large_configuration_reaches_many_instances_in_time() {
     let mut cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 24, SLOW).await;
-    let carried = || instances.iter().map(|(_, link)| link.carried_bytes()).collect::<Vec<_>>();
-    let before = carried();
+    let instances = start_settled(&cluster, 24, SLOW).await;
+    let sent_bytes = || instances.iter().map(|(_, link)| link.sent_bytes()).collect::<Vec<_>>();
+    let before = sent_bytes();
     cluster.update_config(|config| {
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
-    served_by_all(&instances, "/more1399/x", Instant::now()).await;
+    time_until_served_by_all(&instances, "/more1399/x", Instant::now()).await;
     // More than that is late on such a link.
-    let limit_bytes = SLOW.bytes_per_s * CHANGE.as_secs();
-    let sent: Vec<u64> = carried().iter().zip(before).map(|(now, before)| now - before).collect();
+    let limit_bytes = SLOW.bytes_per_s * PROPAGATION_LIMIT.as_secs();
+    let sent: Vec<u64> =
+        sent_bytes().iter().zip(before).map(|(now, before)| now - before).collect();
     assert!(sent.iter().all(|&sent| sent < limit_bytes), "{sent:?} bytes");
 }
 
@@ -106,7 +112,7 @@
 #[tokio::test]
 async fn instances_behind_silent_relays_watch_the_store() {
     let mut cluster = TestCluster::start(1).await;
-    let instances = settled(&cluster, 24, FAST).await;
+    let instances = start_settled(&cluster, 24, FAST).await;
     let mut silent = 0;
     for (instance, link) in &instances {
         let text = get(instance.metrics_addr, "/metrics").await.unwrap().body;
@@ -118,7 +124,7 @@
     assert!((4..=8).contains(&silent), "two watch and two of each zone pass on, not {silent}");
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     // The relays would deliver it after an hour.
-    served_by_all(&instances, "/new/x", Instant::now()).await;
+    time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
 }
 
 /// Guards against an instance that never starts since it breaks off a large answer of
@@ -130,7 +136,7 @@
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     let ip = format!("{}.200", cluster.network).parse().unwrap();
-    let slow = Shape { bytes_per_s: 150_000, delay: Duration::ZERO };
+    let slow = LinkConditions { bytes_per_s: 150_000, delay: Duration::ZERO };
     let link = Link::start(ip, cluster.store.addr(), slow).await;
     let store = cluster.store.addr().to_string();
     let linked = SocketAddr::new(link.ip, cluster.store.addr().port()).to_string();
