--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -7,7 +7,7 @@
 /// A server closes the connection after it got a write. It may have run it, so no
 /// other server gets it, and the client is promised nothing.
 #[tokio::test]
-async fn a_write_that_may_have_run_is_not_sent_again() {
+async fn possibly_executed_write_is_not_retried() {
     for behaviour in [
         Behaviour::LoseAnswer,
         Behaviour::CutShort,
@@ -28,7 +28,7 @@
 /// The first server rejects the write. It has not run it, so the second one gets
 /// the write with its whole body.
 #[tokio::test]
-async fn a_write_that_was_rejected_runs_elsewhere() {
+async fn rejected_write_is_retried_on_another_server() {
     for behaviour in [Behaviour::Reject, Behaviour::AnotherServer] {
         let cluster = TestCluster::start(2).await;
         let instance = cluster.start_ready_instance(1).await;
@@ -45,7 +45,7 @@
 /// All servers reject. The client is told that the request has not run and when to
 /// come back, at once.
 #[tokio::test]
-async fn a_request_that_all_reject_is_refused_at_once() {
+async fn request_rejected_by_all_servers_fails_fast() {
     let cluster = TestCluster::start(2).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Reject));
@@ -59,7 +59,7 @@
 
 /// No server listens any more. Nothing was sent, and the client may come back.
 #[tokio::test]
-async fn a_request_that_reached_no_server_is_refused() {
+async fn request_fails_when_no_server_is_reachable() {
     let cluster = TestCluster::start(0).await;
     let gone = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
--- a/crates/azuregate/tests/serve/backends.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn objects_are_spread_over_all_servers() {
+async fn objects_are_distributed_over_all_servers() {
     let cluster = TestCluster::start(3).await;
     let instance = cluster.start_ready_instance(1).await;
     let counts = requests_per_server(&cluster, &instance, "all").await;
@@ -33,7 +33,7 @@
 /// A server says that it drains, or its row is removed. Soon nothing new reaches
 /// it, and the others serve its objects.
 #[tokio::test]
-async fn a_server_that_leaves_gets_nothing_new() {
+async fn leaving_server_receives_no_new_requests() {
     for is_announced in [true, false] {
         let cluster = TestCluster::start(3).await;
         let instance = cluster.start_ready_instance(1).await;
@@ -57,7 +57,7 @@
 
 /// An operator evacuates a zone, and takes it back.
 #[tokio::test]
-async fn an_evacuated_zone_gets_nothing_until_it_is_taken_back() {
+async fn evacuated_zone_receives_no_requests() {
     let mut cluster = TestCluster::start(1).await;
     let away = cluster.add_backend("zone-c").await;
     let instance = cluster.start_ready_instance(1).await;
@@ -80,7 +80,7 @@
 /// time, and also in the moment after the store's return in which no server has
 /// written its row yet.
 #[tokio::test]
-async fn rows_that_ran_out_while_the_store_was_away_are_still_believed() {
+async fn rows_expired_during_store_outage_are_retained() {
     let cluster = TestCluster::start(2).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
@@ -103,7 +103,7 @@
 /// no answer in time; later ones are served by the others, which is only possible
 /// if requests that ran out of time count.
 #[tokio::test]
-async fn a_server_that_never_answers_in_time_is_avoided() {
+async fn server_that_times_out_is_avoided() {
     let mut cluster = TestCluster::start(3).await;
     cluster.update_config(|config| config.timeout_ms = 200);
     let instance = cluster.start_ready_instance(1).await;
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -10,7 +10,7 @@
 /// case with another request waiting behind. The server is told long before it is
 /// done, by its connection being closed.
 #[tokio::test]
-async fn a_client_that_leaves_cancels_its_work() {
+async fn client_disconnect_cancels_backend_requests() {
     for waiting in [0, 1] {
         let mut cluster = TestCluster::start(1).await;
         // Neither the route's time nor the deadline ends the work before the check.
@@ -36,7 +36,7 @@
 /// A client sends three reads at once. All are at a server before the first is
 /// answered, and the answers come in the order of the requests.
 #[tokio::test]
-async fn reads_that_wait_behind_others_start_at_once() {
+async fn pipelined_reads_run_concurrently() {
     let cluster = TestCluster::start(3).await;
     let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(800);
@@ -56,7 +56,7 @@
 /// A write waits behind a read. It starts only when it is its turn: if the
 /// connection ends before, the client sends it again, and it must not run twice.
 #[tokio::test]
-async fn writes_wait_for_their_turn() {
+async fn pipelined_write_waits_for_previous_response() {
     let cluster = TestCluster::start(2).await;
     let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(300);
@@ -73,7 +73,7 @@
 /// A body in chunks that holds what looks like a request is a body and nothing
 /// else: no server sees the request inside.
 #[tokio::test]
-async fn a_request_inside_a_body_is_not_a_request() {
+async fn request_text_inside_body_is_not_forwarded() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let inside = get_request("/read/inside", "inside");
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn what_is_not_allowed_is_refused_without_a_server() {
+async fn invalid_requests_are_rejected_without_contacting_a_server() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let too_long = "x".repeat((1 << 20) + 1);
@@ -109,7 +109,7 @@
 /// behind a request that was answered. The connection is closed soon after the time
 /// that a head may take; one that is only idle stays open.
 #[tokio::test]
-async fn a_head_that_never_ends_is_not_waited_for() {
+async fn incomplete_request_head_times_out() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let half = "GET /read/x HTTP/1.1\r\nHost: sh";
--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -8,7 +8,7 @@
 use crate::cluster::{TestCluster, eventually, get_request};
 
 #[tokio::test]
-async fn a_new_route_is_served_soon() {
+async fn new_route_takes_effect() {
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     assert_eq!(instance.send(&get_request("/new/x", "r1")).await.unwrap().status, 404);
@@ -22,7 +22,7 @@
 /// The store answers from a copy that is behind, with a configuration from before
 /// the one in force. Clients go on as the newer one says.
 #[tokio::test]
-async fn an_older_configuration_never_comes_back() {
+async fn older_configuration_is_ignored() {
     let mut cluster = TestCluster::start(1).await;
     let old = config_row(&cluster.config);
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
@@ -36,7 +36,7 @@
 /// back. The instance notices that its watch is dead, and has the change in force
 /// within its wait and a retry.
 #[tokio::test]
-async fn a_watch_that_went_silent_is_noticed() {
+async fn silent_store_connection_is_replaced() {
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.set_fault(StoreFault::Silent);
@@ -52,7 +52,7 @@
 /// The store drops its history while an instance watches: the tables are read
 /// anew, and nothing is missed.
 #[tokio::test]
-async fn a_lost_history_is_read_anew() {
+async fn tables_are_reread_after_history_loss() {
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
@@ -66,7 +66,7 @@
 /// A row that another writer left cut short is passed over; the configuration in
 /// force stays, and so do the servers.
 #[tokio::test]
-async fn rows_that_cannot_be_read_change_nothing() {
+async fn malformed_rows_are_ignored() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.put("op", "config", &br#"{"configVersion":"000000ff","listen"#[..]);
@@ -79,7 +79,7 @@
 /// An instance starts while the store refuses it. It says that it is not ready,
 /// and promises clients that nothing has run.
 #[tokio::test]
-async fn without_a_configuration_nothing_is_served() {
+async fn instance_without_configuration_is_not_ready() {
     let cluster = TestCluster::start(1).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
     let instance = cluster.start_instance(1);
@@ -93,7 +93,7 @@
 /// Guards against denying a route that an instance cannot know yet, since it has lost
 /// contact with the store.
 #[tokio::test]
-async fn without_contact_no_route_is_denied() {
+async fn unknown_route_returns_503_without_store_contact() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.set_fault(StoreFault::Silent);
--- a/crates/azuregate/tests/serve/lookups.rs
+++ b/crates/azuregate/tests/serve/lookups.rs
@@ -9,7 +9,7 @@
 /// Two instances know each other by the store and by heartbeats. When one stops,
 /// the other names it no more, long before clients could tell.
 #[tokio::test]
-async fn an_instance_that_stops_is_named_no_more() {
+async fn stopping_instance_is_removed_from_lookups() {
     let cluster = TestCluster::start(1).await;
     let (first, second) =
         (cluster.start_ready_instance(1).await, cluster.start_ready_instance(2).await);
@@ -34,7 +34,7 @@
 /// An instance that registered and is silent since, because it was killed, is not
 /// named: its row outlives it.
 #[tokio::test]
-async fn an_instance_that_is_silent_is_not_named() {
+async fn silent_instance_is_omitted_from_lookups() {
     let cluster = TestCluster::start(1).await;
     let row = r#"{"traffic":"127.1.1.1:80","ip":"127.1.1.1","zone":"zone-a","start":7}"#;
     cluster.store.put("instances", "entry-9", row);
@@ -47,7 +47,7 @@
 
 /// Counters and latencies are for whoever is on call, on a port of their own.
 #[tokio::test]
-async fn metrics_are_served_to_operators_only() {
+async fn metrics_are_served_only_on_metrics_port() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     instance.send(&get_request("/read/x", "r1")).await.unwrap();
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -33,7 +33,7 @@
 /// Five instances, and backend servers that change one after the other. Every
 /// instance learns of each, and only two ask the store.
 #[tokio::test]
-async fn a_change_costs_calls_of_two_instances_only() {
+async fn only_two_instances_poll_the_store() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 5).await;
     let before = backend_watch_calls(&cluster);
@@ -54,7 +54,7 @@
 /// All instances but one stop, and with them those that watched the store. The one
 /// that is left has a change in force that comes right after.
 #[tokio::test]
-async fn whoever_is_left_watches_the_store() {
+async fn remaining_instance_takes_over_the_store_watch() {
     let mut cluster = TestCluster::start(1).await;
     let mut instances = start_settled(&cluster, 4).await;
     let last = instances.remove(0);
@@ -71,7 +71,7 @@
 /// The store refuses every call for some seconds. Instances go on asking, but not
 /// for every table and not all the time, and are back in contact soon after it.
 #[tokio::test]
-async fn a_store_that_is_away_is_asked_seldom() {
+async fn unreachable_store_is_polled_with_backoff() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn metrics_tell_where_changes_come_from() {
+async fn metrics_report_store_watchers() {
     let cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4).await;
     let mut watching = 0;
--- a/crates/azuregate/tests/serve/reload.rs
+++ b/crates/azuregate/tests/serve/reload.rs
@@ -14,7 +14,7 @@
 /// The file changes without a signal: the time for which clients may keep an
 /// answer is shorter soon. A file that is wrong changes nothing.
 #[tokio::test]
-async fn a_changed_file_is_in_force_without_a_signal() {
+async fn settings_file_change_is_applied_without_signal() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let path = "/-/resolve?name=shop.example&region=region-1&zone=zone-a";
@@ -31,7 +31,7 @@
 /// The real program gets SIGHUP, which it survives, and SIGTERM, after which it
 /// ends by itself with status 0. Its log tells of start, reload and stop.
 #[tokio::test]
-async fn the_program_reloads_and_stops_by_signals() {
+async fn sighup_reloads_and_sigterm_stops() {
     let cluster = TestCluster::start(1).await;
     std::fs::write(cluster.settings_file(2), cluster.settings_text(2)).unwrap();
     let mut program = Command::new(env!("CARGO_BIN_EXE_azuregate"))
@@ -58,7 +58,7 @@
 
 /// `--check` names each field that is wrong, and changes nothing.
 #[tokio::test]
-async fn wrong_settings_are_named() {
+async fn check_reports_each_invalid_field() {
     let cluster = TestCluster::start(0).await;
     let text = cluster.settings_text(1).replace("self.zone=zone-a", "self.zone=");
     let text = text.replace("self.ip=", "self.ip=x");
--- a/crates/azuregate/tests/serve/responses.rs
+++ b/crates/azuregate/tests/serve/responses.rs
@@ -7,7 +7,7 @@
 use crate::cluster::{TestCluster, eventually, get_request, post_request};
 
 #[tokio::test]
-async fn a_request_passes_unchanged_and_so_does_its_answer() {
+async fn request_and_response_are_forwarded_unchanged() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     let response = instance.send(&post_request("/write/a?b=%20c", "w1", "body")).await.unwrap();
@@ -33,7 +33,7 @@
 /// of a write see a failure that promises nothing, except where the server says
 /// that it has not run the request.
 #[tokio::test]
-async fn what_is_no_whole_answer_to_the_request_never_looks_like_one() {
+async fn invalid_backend_responses_are_not_reported_as_success() {
     let cases = [
         Case { behaviour: Behaviour::LoseAnswer, read_status: 502, write_status: 502 },
         Case { behaviour: Behaviour::CutShort, read_status: 502, write_status: 502 },
@@ -62,7 +62,7 @@
 /// A server answers twice: the second answer lies on the connection when the next
 /// request is sent there. The next client gets its own answer, or a failure.
 #[tokio::test]
-async fn a_second_answer_belongs_to_nobody() {
+async fn duplicate_response_is_not_delivered_to_next_request() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.backends[0].set(Behaviour::AnswerTwice);
@@ -78,7 +78,7 @@
 /// One server of two spoils every answer. A read runs again on the other one, and
 /// its client sees nothing of it.
 #[tokio::test]
-async fn a_read_whose_answer_is_spoilt_runs_on_another_server() {
+async fn failed_read_is_retried_on_another_server() {
     for behaviour in [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::Fail] {
         let cluster = TestCluster::start(2).await;
         let instance = cluster.start_ready_instance(1).await;
@@ -98,7 +98,7 @@
 /// The server is silent. The client gets its answer when the route's time is over,
 /// not when its own patience is, and the server's work is cancelled.
 #[tokio::test]
-async fn the_routes_timeout_ends_a_request_and_its_work() {
+async fn route_timeout_cancels_backend_request() {
     let mut cluster = TestCluster::start(1).await;
     cluster.update_config(|config| config.timeout_ms = 400);
     let instance = cluster.start_ready_instance(1).await;
--- a/crates/azuregate/tests/serve/shutdown.rs
+++ b/crates/azuregate/tests/serve/shutdown.rs
@@ -20,7 +20,7 @@
 /// same connection after it, and connects anew later still. All are answered; the
 /// answers say that the connection closes; and the process ends in time.
 #[tokio::test]
-async fn requests_around_a_stop_are_answered() {
+async fn requests_during_shutdown_are_answered() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.backends[0].set(Behaviour::Slow(Duration::from_millis(300)));
@@ -52,7 +52,7 @@
 
 /// Guards against a stop that comes during the start ending the process by its signal.
 #[tokio::test]
-async fn a_stop_during_the_start_is_a_planned_one() {
+async fn sigterm_during_startup_shuts_down_gracefully() {
     let cluster = TestCluster::start(1).await;
     let settings = cluster.settings_file(1);
     let _ = fs::remove_file(&settings);
--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -74,7 +74,7 @@
 
 /// Guards against updates that wait on a full link being taken for fresh.
 #[tokio::test]
-async fn updates_that_were_long_under_way_do_not_count_as_fresh() {
+async fn delayed_updates_are_not_treated_as_fresh() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4, FAST).await;
     // Slowly, so that no pause between heartbeats gives it away.
@@ -91,7 +91,7 @@
 /// Guards against a large configuration filling the links of the instances that pass
 /// it on.
 #[tokio::test]
-async fn a_large_configuration_reaches_many_instances_in_time() {
+async fn large_configuration_propagates_in_time() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 24, SLOW).await;
     let sent_bytes = || instances.iter().map(|(_, link)| link.sent_bytes()).collect::<Vec<_>>();
@@ -110,7 +110,7 @@
 /// Guards against instances that wait for relays which have gone silent, and send
 /// heartbeats all the same.
 #[tokio::test]
-async fn instances_behind_silent_relays_watch_the_store() {
+async fn instances_with_silent_sources_watch_the_store() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 24, FAST).await;
     let mut silent = 0;
@@ -130,7 +130,7 @@
 /// Guards against an instance that never starts since it breaks off a large answer of
 /// the store each time anew.
 #[tokio::test]
-async fn a_large_configuration_is_read_over_a_slow_link() {
+async fn large_configuration_is_read_over_a_slow_link() {
     let mut cluster = TestCluster::start(1).await;
     cluster.update_config(|config| {
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
