--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -44,7 +44,7 @@
     let mut load_ticks = state.timer.subscribe(LOAD_REPORT_INTERVAL_MS);
     let mut load_reporter = LoadReporter::default();
     let mut buffer = [0; MAX_DATAGRAM_BYTES];
-    let mut peer_progress = PeerProgress::default();
+    let mut lag_detector = LagDetector::default();
     let mut beat = 0;
     loop {
         tokio::select! {
@@ -52,7 +52,7 @@
                 if tick.is_none() {
                     return;
                 }
-                peer_progress.detect_lag(&state);
+                lag_detector.detect_lag(&state);
                 state.remove_lapsed(false);
                 state.balancer.borrow_mut().forget_silent(state.now_ms());
                 beat = (beat + 1) % REQUESTED_OBJECTS_PERIOD_BEATS;
@@ -65,7 +65,7 @@
             }
             received = socket.recv_from(&mut buffer) => {
                 if let Ok((length, _)) = received {
-                    handle_datagram(&state, &mut peer_progress, &buffer[..length]);
+                    handle_datagram(&state, &mut lag_detector, &buffer[..length]);
                 }
             }
         }
@@ -133,9 +133,9 @@
     }
 }
 
-fn handle_datagram(state: &State, peer_progress: &mut PeerProgress, bytes: &[u8]) {
+fn handle_datagram(state: &State, lag_detector: &mut LagDetector, bytes: &[u8]) {
     match ciborium::from_reader(bytes) {
-        Ok(Datagram::Heartbeat(heartbeat)) => handle_heartbeat(state, peer_progress, &heartbeat),
+        Ok(Datagram::Heartbeat(heartbeat)) => handle_heartbeat(state, lag_detector, &heartbeat),
         Ok(Datagram::Load(load)) => handle_load(state, load),
         // Whatever else comes to this port is not for us.
         Err(_) => {}
@@ -149,7 +149,7 @@
     state.balancer.borrow_mut().set_others(&instance, in_flight, state.now_ms());
 }
 
-fn handle_heartbeat(state: &State, peer_progress: &mut PeerProgress, heartbeat: &Heartbeat) {
+fn handle_heartbeat(state: &State, lag_detector: &mut LagDetector, heartbeat: &Heartbeat) {
     let now_ms = state.now_ms();
     let sign = LifeSign {
         instance: &heartbeat.instance,
@@ -159,9 +159,9 @@
     };
     let is_known = state.members.borrow_mut().heard(&sign, now_ms);
     // One that leaves has removed its row already.
-    peer_progress.heard_unknown |= !is_known && !heartbeat.is_leaving;
-    peer_progress.operator_version = peer_progress.operator_version.max(heartbeat.operator_version);
-    peer_progress.backends_version = peer_progress.backends_version.max(heartbeat.backends_version);
+    lag_detector.heard_unknown |= !is_known && !heartbeat.is_leaving;
+    lag_detector.operator_version = lag_detector.operator_version.max(heartbeat.operator_version);
+    lag_detector.backends_version = lag_detector.backends_version.max(heartbeat.backends_version);
     if state.members.borrow().is_in_other_region(&heartbeat.instance) {
         let mut balancer = state.balancer.borrow_mut();
         if let Some(prefers) = balancer.set_requested_elsewhere(&heartbeat.requested, now_ms) {
@@ -175,7 +175,7 @@
 
 /// What the other instances say, compared with what this one knows.
 #[derive(Default)]
-struct PeerProgress {
+struct LagDetector {
     operator_version: u64,
     backends_version: u64,
     heard_unknown: bool,
@@ -183,7 +183,7 @@
     beats_with_unknown: u32,
 }
 
-impl PeerProgress {
+impl LagDetector {
     /// Notices what other instances know and this one does not.
     fn detect_lag(&mut self, state: &State) {
         let (operator, backends) = {
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -23,7 +23,7 @@
 
 /// The share of the retry budget that is used. Backend servers count when a
 /// request arrives and instances when it is sent, so the windows differ a little.
-const RETRY_BUDGET_MARGIN: f64 = 0.85;
+const RETRY_BUDGET_SHARE: f64 = 0.85;
 /// Heartbeats of an instance that stay out for this long end its being named to
 /// clients: four of them, which packet loss alone hardly takes.
 const HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
@@ -238,7 +238,7 @@
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         if !retry_budgets.contains_key(service) {
             let budget =
-                RetryBudget::new(bounds.retry_ratio * RETRY_BUDGET_MARGIN, bounds.retry_window_ms);
+                RetryBudget::new(bounds.retry_ratio * RETRY_BUDGET_SHARE, bounds.retry_window_ms);
             retry_budgets.insert(service.clone(), budget);
         }
         f(retry_budgets.get_mut(service).expect("it was just added"))
--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -97,13 +97,13 @@
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.set_fault(StoreFault::Silent);
-    let denied = |path| {
+    let status_of = |path| {
         let instance = &instance;
         async move { instance.send(&get_request(path, "r1")).await.unwrap().status }
     };
-    assert_eq!(denied("/new/x").await, 404);
-    eventually("the route is not denied", async || denied("/new/x").await == 503).await;
-    assert_eq!(denied("/read/x").await, 200);
+    assert_eq!(status_of("/new/x").await, 404);
+    eventually("the route is not denied", async || status_of("/new/x").await == 503).await;
+    assert_eq!(status_of("/read/x").await, 200);
     cluster.store.set_fault(StoreFault::None);
-    eventually("the route is denied again", async || denied("/new/x").await == 404).await;
+    eventually("the route is denied again", async || status_of("/new/x").await == 404).await;
 }
--- a/crates/azuregate/tests/serve/lookups.rs
+++ b/crates/azuregate/tests/serve/lookups.rs
@@ -16,9 +16,9 @@
     let both = [first.traffic_addr, second.traffic_addr];
     for instance in [&first, &second] {
         eventually("both are named", async || {
-            let mut named = instance.lookup("zone-a", "region-1").await;
-            named.sort();
-            named == both
+            let mut addrs = instance.lookup("zone-a", "region-1").await;
+            addrs.sort();
+            addrs == both
         })
         .await;
     }
