--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -1,4 +1,4 @@
-//! What follows from the rows of the store's tables.
+//! Applies changed rows of the store's tables to the instance's state.
 
 use azuregate_core::{
     names::BackendId,
@@ -13,13 +13,17 @@
 use super::state::State;
 
 impl State {
-    /// Takes in changes of a table.
+    /// Applies incremental changes of a table.
     pub(super) fn apply_changes(&self, table: Table, changes: Changes) {
         let rows = self.tables.borrow_mut().get_mut(table).take(changes);
         self.apply_rows(table, &rows);
     }
 
-    /// Takes in a table that was read whole.
+    /// Replaces a table with a full snapshot of it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the snapshot is older than the current table.
     pub(super) fn replace_table(&self, table: Table, snapshot: Changes) -> Result<(), Stale> {
         let rows =
             self.tables.borrow_mut().get_mut(table).replace(snapshot.rows, snapshot.version)?;
@@ -48,16 +52,16 @@
                 let is_evacuated = !row.is_removed;
                 let now_ms = self.now_ms();
                 if self.balancer.borrow_mut().set_evacuated(&zone, is_evacuated, now_ms) {
-                    log::info!(zone:% = zone, evacuated = is_evacuated, row_version = row.version; "evacuation of a zone");
+                    log::info!(zone:% = zone, evacuated = is_evacuated, row_version = row.version; "zone evacuation changed");
                 }
             }
             OperatorRow::Config => match config::decode(row_value(row)) {
                 Ok(config) => self.set_config(config),
                 Err(e) => {
-                    log::warn!(key = key, row_version = row.version, error:% = e; "configuration ignored");
+                    log::warn!(key = key, row_version = row.version, error:% = e; "invalid configuration row ignored");
                 }
             },
-            OperatorRow::Other => log::warn!(key = key; "unknown row of the operator ignored"),
+            OperatorRow::Other => log::warn!(key = key; "unknown operator row ignored"),
         }
     }
 
@@ -70,7 +74,7 @@
         let backend = match backend::decode(key, row_value(row)) {
             Ok(backend) => backend,
             Err(e) => {
-                log::warn!(backend = key, row_version = row.version, error:% = e; "backend server's row ignored");
+                log::warn!(backend = key, row_version = row.version, error:% = e; "invalid backend server row ignored");
                 return;
             }
         };
@@ -78,16 +82,16 @@
         let (draining, cold_left_ms) = (backend.is_draining, backend.cold_left_ms);
         let members = self.members.borrow();
         let is_new = self.balancer.borrow_mut().put(backend, &members, now_ms);
-        log::info!(backend = key, new = is_new, draining = draining, cold_left_ms = cold_left_ms, row_version = row.version; "backend server");
+        log::info!(backend = key, new = is_new, draining = draining, cold_left_ms = cold_left_ms, row_version = row.version; "backend server updated");
     }
 
     fn remove_backend(&self, row: &Row) {
         let key = row.key.as_str();
         let now_ms = self.now_ms();
         if !self.lapsed.borrow_mut().is_gone(&BackendId::new(key), now_ms) {
-            log::info!(backend = key, row_version = row.version; "backend server's row ran out while the store was away");
+            log::info!(backend = key, row_version = row.version; "backend server row expired during store outage");
         } else if self.balancer.borrow_mut().remove(key) {
-            log::info!(backend = key, row_version = row.version; "backend server gone");
+            log::info!(backend = key, row_version = row.version; "backend server removed");
         }
     }
 
@@ -98,13 +102,13 @@
         }
         match member::decode(key, row_value(row)) {
             Ok(member) => self.members.borrow_mut().put(member),
-            Err(e) => log::warn!(instance = key, error:% = e; "instance's row ignored"),
+            Err(e) => log::warn!(instance = key, error:% = e; "invalid instance row ignored"),
         }
     }
 }
 
-/// What a row holds; one that cannot be read is like an empty one, which no
-/// decoder accepts.
+/// Returns the value of a row. A missing value yields an empty slice, which every
+/// decoder rejects.
 fn row_value(row: &Row) -> &[u8] {
     row.value.as_deref().unwrap_or_default().as_bytes()
 }
