--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -1,4 +1,4 @@
-//! One request at one backend server.
+//! One attempt to send a request to one backend server.
 
 use std::{rc::Rc, time::Instant};
 
@@ -20,11 +20,11 @@
     state::State,
 };
 
-/// Answers up to this size are read whole before the client gets the first byte,
-/// so that one that breaks off can still be replaced.
+/// Responses up to this size are buffered completely before they are forwarded, so
+/// that a truncated response can still be retried.
 const RESPONSE_BUFFER_BYTES: usize = 64 << 10;
 
-/// A request as it goes to any backend server.
+/// A client request prepared for forwarding to any backend server.
 pub(super) struct OutgoingRequest {
     pub(super) method: Method,
     pub(super) uri: Uri,
@@ -33,31 +33,31 @@
     pub(super) is_idempotent: bool,
 }
 
-/// How one attempt ended.
+/// The result of one attempt.
 pub(super) enum AttemptResult {
-    /// The backend server's own answer, complete or streaming.
+    /// The backend server's response, buffered or streaming.
     Response(Response<ResponseBody>),
-    /// The request has certainly not run there.
+    /// The backend server certainly did not execute the request.
     NotExecuted(NotExecuted),
-    /// It may have run; there is no answer that can be used.
+    /// The request may have been executed, but there is no usable response.
     Unknown(&'static str),
 }
 
-/// Why a request has not run at a server.
+/// Why a backend server did not execute a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum NotExecuted {
-    /// No connection could be opened.
+    /// No connection could be established.
     Unreachable,
-    /// A new connection was closed before the request was sent.
+    /// A new connection closed before the request was sent.
     ClosedBeforeSend,
-    /// The server said so.
+    /// The server rejected the request.
     Rejected,
-    /// Another server has its address by now.
+    /// The address now belongs to a different server.
     WrongServer,
 }
 
 impl NotExecuted {
-    /// The name for the log.
+    /// Returns the name used in the log.
     pub(super) fn as_str(self) -> &'static str {
         match self {
             NotExecuted::Unreachable => "unreachable",
@@ -68,9 +68,9 @@
     }
 }
 
-/// Sends a request to the chosen server and reads its answer.
+/// Sends a request to the chosen backend server and reads its response.
 ///
-/// Dropping the future cancels the server's work.
+/// Dropping the future closes the connection, which cancels the request at the server.
 pub(super) async fn send(
     state: &Rc<State>,
     choice: &Choice,
@@ -96,7 +96,7 @@
         let connection = in_flight.connection.insert(connection);
         match send_on_connection(connection, choice, outgoing, remaining_ms).await {
             Ok(head) => break head,
-            // An idle connection that the server closed: nothing was sent.
+            // The server closed an idle connection and nothing was sent: open a new one.
             Err(SendError::NotSent) if is_reused => in_flight.connection = None,
             Err(SendError::NotSent) => {
                 in_flight.set_outcome(Outcome::Unreachable);
@@ -172,8 +172,8 @@
     let sent_id = outgoing.headers.get(request::REQUEST_ID);
     let is_rejected = head.headers().contains_key(request::NOT_RUN)
         || head.status() == StatusCode::MISDIRECTED_REQUEST;
-    // An answer to an earlier request on this connection, which came twice: ours
-    // is still under way, and its answer cannot be told from what follows.
+    // A duplicate response to an earlier request on this connection. The connection
+    // is out of sync, so the response to this request cannot be identified either.
     if echoed_id.is_some() && echoed_id != sent_id {
         in_flight.set_outcome(Outcome::Failed);
         return AttemptResult::Unknown("answer to another request");
@@ -227,15 +227,15 @@
         ));
     }
     in_flight.release_connection();
-    // A body whose length the server did not tell has a length now.
+    // The server's value is replaced by the length of the buffered body.
     if outgoing.method != Method::HEAD {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
     AttemptResult::Response(Response::from_parts(parts, ResponseBody::buffered(buffered)))
 }
 
-/// Clients take a success only with the server's signature and echo, and without
-/// an encoding that they did not ask for.
+/// Returns whether clients accept this successful response: it must carry the
+/// server's signature and the request ID, and must not be content-encoded.
 fn is_valid_success(headers: &HeaderMap) -> bool {
     headers.contains_key(request::SIGNATURE)
         && headers.contains_key(request::REQUEST_ID)
