--- a/crates/azuregate/src/serve/client_stream.rs
+++ b/crates/azuregate/src/serve/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's connection, read ahead so that its end is noticed at once.
+//! A client connection that is read ahead, so that a disconnect is detected at once.
 
 use std::{
     cell::RefCell,
@@ -19,12 +19,10 @@
     sync::Notify,
 };
 
-/// Bytes that are read ahead of the server at the most.
 const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
-/// Bytes for which there is room before each read.
 const MIN_READ_CAPACITY_BYTES: usize = 4 << 10;
 
-/// What both halves share.
+/// The buffer between [`ReadAhead`] and [`ClientStream`].
 #[derive(Default)]
 struct ReadBuffer {
     bytes: BytesMut,
@@ -32,25 +30,25 @@
     reader_waker: Option<Waker>,
 }
 
-/// The side that the HTTP server reads and writes.
+/// The stream that the HTTP server reads from and writes to.
 pub(super) struct ClientStream {
     shared: Rc<RefCell<ReadBuffer>>,
     space_available: Rc<Notify>,
     writer: OwnedWriteHalf,
 }
 
-/// The side that reads from the socket.
+/// Reads from the socket into the buffer.
 ///
-/// The HTTP server reads no further while a request is at work and another one
-/// waits behind it, so it would not notice that the client has left, and the
-/// backend server would work on for nobody.
+/// The HTTP server stops reading while one request is in flight and another is
+/// pipelined behind it. It would therefore not detect that the client disconnected,
+/// and would not cancel the request at the backend server.
 pub(super) struct ReadAhead {
     shared: Rc<RefCell<ReadBuffer>>,
     space_available: Rc<Notify>,
     reader: OwnedReadHalf,
 }
 
-/// Splits a connection into what the HTTP server uses and what reads ahead.
+/// Splits a connection into the HTTP server's stream and its read-ahead task.
 pub(super) fn split(stream: TcpStream) -> (ClientStream, ReadAhead) {
     let (reader, writer) = stream.into_split();
     let shared = Rc::new(RefCell::new(ReadBuffer::default()));
@@ -64,8 +62,8 @@
 }
 
 impl ReadAhead {
-    /// Reads until the client closes the connection; `on_bytes` sees all bytes
-    /// before the HTTP server.
+    /// Reads until the client closes the connection, passing all bytes to `on_bytes`
+    /// before the HTTP server can read them.
     pub(super) async fn run(mut self, mut on_bytes: impl FnMut(&[u8])) {
         let mut bytes = BytesMut::new();
         loop {
