--- a/crates/azuregate/src/serve/connection.rs
+++ b/crates/azuregate/src/serve/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client.
+//! Serves one client connection.
 
 use std::{cell::Cell, convert::Infallible, pin::pin, rc::Rc, time::Duration};
 
@@ -19,32 +19,31 @@
     state::State,
 };
 
-/// The smallest buffer that the HTTP server accepts.
+/// The smallest buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 << 10;
-/// Limits before the first configuration.
+/// Limits used until the first configuration is loaded.
 const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 1 << 20,
     header_timeout_ms: 3_000,
     idle_timeout_ms: 15_000,
 };
-/// How much longer than allowed a connection may stay idle: what clients send in
-/// the last moment must not meet a closed connection.
+/// Added to the configured idle timeout, so that a request sent just before the timeout
+/// does not reach a closed connection.
 const IDLE_TIMEOUT_MARGIN_MS: u64 = 1_000;
-/// How much longer than allowed a head may take: one that was sent in time may
-/// have been held up on the way, by a lost packet or two.
+/// Added to the configured header timeout, to allow for retransmission of lost packets.
 const HEADER_TIMEOUT_MARGIN_MS: u64 = 1_000;
-/// How long a client that has connected may take to send its first request while
-/// the instance stops: several times the way there, with a packet lost.
+/// How long a new connection may take to send its first request during a shutdown:
+/// several round-trip times plus one retransmission.
 const FIRST_REQUEST_TIMEOUT_MS: u64 = 700;
 
-/// What is known of a connection's use.
+/// The activity of a connection.
 #[derive(Default)]
 struct ConnectionState {
     in_flight: Cell<u32>,
     idle_since_ms: Cell<u64>,
     has_received_request: Cell<bool>,
-    /// Since when a part of a head has been there, while the rest has not come.
+    /// When the first bytes of the incomplete request head arrived.
     partial_head_since_ms: Cell<Option<u64>>,
     pipeline: Pipeline,
 }
@@ -55,8 +54,10 @@
         self.partial_head_since_ms.set(has_partial_head.then_some(since_ms));
     }
 
-    /// Whether the client keeps the connection with a head that never ends. Behind
-    /// a request that is at work, the rest may have come and not been read.
+    /// Returns whether an incomplete request head has exceeded the timeout.
+    ///
+    /// Always false while a request is in flight, since the rest of the head may have
+    /// arrived without having been read.
     fn is_head_overdue(&self, head_timeout_ms: u64, now_ms: u64) -> bool {
         let since_ms = self.partial_head_since_ms.get();
         self.in_flight.get() == 0
@@ -69,7 +70,7 @@
     }
 }
 
-/// Serves a connection until one side closes it.
+/// Serves a connection until either side closes it.
 pub(super) async fn serve(state: Rc<State>, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let limits = state.config().map_or(DEFAULT_LIMITS, |config| config.limits());
@@ -101,7 +102,7 @@
     loop {
         tokio::select! {
             _ = &mut connection => return,
-            // The client has left; dropping the connection cancels its requests.
+            // The client disconnected; dropping the connection cancels its requests.
             () = &mut read_ahead => return,
             () = &mut close_allowed, if !is_closing => {
                 is_closing = true;
@@ -110,7 +111,7 @@
             () = time::sleep(Duration::from_millis(head_timeout_ms.min(idle_timeout_ms))) => {
                 let now_ms = state.now_ms();
                 if connection_state.is_head_overdue(head_timeout_ms, now_ms) {
-                    log::info!(head_ms = head_timeout_ms; "client took too long to send a head");
+                    log::info!(head_ms = head_timeout_ms; "timed out reading request head");
                     return;
                 }
                 if !is_closing && connection_state.is_idle(idle_timeout_ms, now_ms) {
@@ -121,10 +122,10 @@
     }
 }
 
-/// Resolves when the connection may be closed once it is idle.
+/// Resolves when a graceful shutdown may close the connection once it is idle.
 ///
-/// A client that has just connected sends its request at once. Closing the
-/// connection before that is read would cut off a request at a planned stop.
+/// A new connection is kept open until its first request had time to arrive. Closing
+/// it earlier would drop a request that is already on its way.
 async fn idle_close_allowed(state: &State, connection_state: &ConnectionState) {
     let first_request_deadline = Instant::now() + Duration::from_millis(FIRST_REQUEST_TIMEOUT_MS);
     shutdown::wait_for_phase(state, ShutdownPhase::ClosingIdle).await;
