--- a/crates/azuregate/src/serve/encoding.rs
+++ b/crates/azuregate/src/serve/encoding.rs
@@ -1,4 +1,4 @@
-//! Changes of the store's tables as bytes, for the instances that follow this one.
+//! Encodes table changes for the instances that follow this one.
 
 use std::{
     collections::VecDeque,
@@ -14,27 +14,25 @@
 
 /// Changes of several tables.
 pub(super) type ChangeSet = Vec<(Table, Changes)>;
-/// For each table the versions from which and to which changes lead.
+/// The version range of each table, as `(table, from, to)`.
 pub(super) type VersionRanges = Vec<(Table, u64, u64)>;
 
-/// Sets from this size are compressed.
 const COMPRESSION_THRESHOLD_BYTES: usize = 1 << 10;
-/// The largest set that is taken, before compression.
+/// Limits decompression, so that a malformed message cannot exhaust the memory.
 const MAX_DECODED_BYTES: u64 = 64 << 20;
-/// Sets that are kept. Most followers lack the same changes at the same time.
 const CACHE_CAPACITY: usize = 4;
 
-/// How a set is written.
+/// The encoding of a change set.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub(super) enum Encoding {
     /// CBOR.
     Plain,
-    /// CBOR, compressed. A configuration repeats its fields for each route, and is
-    /// a tenth as large.
+    /// CBOR, compressed with DEFLATE. Configurations repeat field names for each route
+    /// and shrink to a tenth.
     Deflate,
 }
 
-/// A set of changes as bytes.
+/// An encoded change set.
 #[derive(Clone, Debug)]
 pub(super) struct EncodedChanges {
     pub(super) coding: Encoding,
@@ -42,11 +40,11 @@
 }
 
 impl EncodedChanges {
-    /// Writes a set down.
+    /// Encodes a change set, compressing it unless it is small.
     ///
     /// # Errors
     ///
-    /// When it cannot be written as CBOR.
+    /// Returns an error if encoding or compression fails.
     pub(super) fn new(changes: &ChangeSet) -> Result<EncodedChanges, LinkError> {
         let mut cbor = Vec::new();
         ciborium::into_writer(changes, &mut cbor).map_err(codec_error)?;
@@ -59,11 +57,11 @@
         Ok(EncodedChanges { coding: Encoding::Deflate, bytes })
     }
 
-    /// Reads a set.
+    /// Decodes a change set.
     ///
     /// # Errors
     ///
-    /// When it cannot be read, or is larger than any table.
+    /// Returns an error if the bytes are malformed or exceed `MAX_DECODED_BYTES`.
     pub(super) fn decode(&self) -> Result<ChangeSet, LinkError> {
         match self.coding {
             Encoding::Plain => ciborium::from_reader(self.bytes.as_ref()).map_err(codec_error),
@@ -77,18 +75,19 @@
     }
 }
 
-/// The sets that were sent last.
+/// A cache of the most recently encoded change sets. Most followers need the same
+/// changes at the same time.
 #[derive(Debug, Default)]
 pub(super) struct EncodedChangesCache {
     entries: VecDeque<(VersionRanges, EncodedChanges)>,
 }
 
 impl EncodedChangesCache {
-    /// The changes of `ranges`, which are written down by `encode` if they are not kept.
+    /// Returns the cached changes for `ranges`, or encodes and caches them.
     ///
     /// # Errors
     ///
-    /// Those of `encode`.
+    /// Returns the error of `encode`.
     pub(super) fn get(
         &mut self,
         ranges: VersionRanges,
