--- a/crates/azuregate/src/serve/endpoints.rs
+++ b/crates/azuregate/src/serve/endpoints.rs
@@ -1,5 +1,4 @@
-//! The ports for questions: which instances to use, whether this one is ready, and
-//! its metrics.
+//! HTTP endpoints for instance lookups, readiness and metrics.
 
 use std::{convert::Infallible, rc::Rc};
 
@@ -15,23 +14,22 @@
 use super::{metrics::Gauges, response::full_response, state::State};
 use crate::accept;
 
-/// For how long clients may keep the answer to a lookup. Short, so that they
-/// learn soon of an instance that has left; each client asks that often.
+/// The TTL of lookup results. A short TTL directs clients away from a stopped instance
+/// soon, at the cost of one lookup per client and TTL.
 pub(super) const LOOKUP_TTL_MS: u64 = 2_000;
 
-/// Where metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Who asks at a port.
+/// The audience of a port, which determines the available endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Audience {
-    /// Clients and the platform, whom metrics do not concern.
+    /// Clients and the platform, without access to metrics.
     Clients,
-    /// Whoever is on call.
+    /// Operators, with access to metrics.
     Operators,
 }
 
-/// Serves a port until the process ends.
+/// Serves the endpoints of one port until the process ends.
 pub(super) async fn serve(state: Rc<State>, listener: TcpListener, audience: Audience) {
     loop {
         let (stream, _) = accept::next(&listener).await;
@@ -41,7 +39,7 @@
                 let response = respond(&state, audience, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // An error means that the client has left.
+            // An error means that the client disconnected.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
