--- a/crates/azuregate/src/serve/follower.rs
+++ b/crates/azuregate/src/serve/follower.rs
@@ -1,4 +1,5 @@
-//! Follows the instances that watch the store, and decides when to watch it here.
+//! Replicates table changes from other instances, and decides whether this instance
+//! must watch the store itself.
 
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -18,17 +19,15 @@
 };
 use crate::peer::{LinkError, socket::CborSocket};
 
-/// How often it is decided anew whom to follow, and whether that is enough. A part
-/// of the time that is left when a source is lost.
 const SOURCE_SELECTION_INTERVAL_MS: u64 = 200;
-/// The pause before a lost source is tried again: one heartbeat, which may tell that
-/// it has left.
+/// One heartbeat interval, within which the other instances learn if the source has shut
+/// down.
 const RECONNECT_DELAY_MS: u64 = 500;
 
-/// Instances that are followed; dropping one ends its task.
+/// The followed instances. Dropping a sender stops the task that follows its instance.
 type ActiveSources = BTreeMap<InstanceId, (Member, oneshot::Sender<()>)>;
 
-/// Decides until the process ends.
+/// Selects the sources to follow until the process ends.
 pub(super) async fn serve(state: Rc<State>) {
     let mut ticks = state.timer.subscribe(SOURCE_SELECTION_INTERVAL_MS);
     let mut active = ActiveSources::new();
@@ -43,7 +42,7 @@
     let sources = state.members.borrow().sources(now_ms);
     match &sources {
         Sources::Instances(wanted) => reconcile_sources(state, active, wanted),
-        // The sources so far are followed until the own watch has taken over.
+        // Keep the previous sources until this instance's own watch has taken over.
         Sources::Store if state.contact.borrow().has_own_contact(now_ms) => active.clear(),
         Sources::Store => {}
     }
@@ -58,7 +57,7 @@
     });
     if has_changed {
         let followers = state.followers.get();
-        log::info!(watching = is_watching, chosen = is_designated_watcher, followers = followers, has_source = has_source; "watch of the store");
+        log::info!(watching = is_watching, chosen = is_designated_watcher, followers = followers, has_source = has_source; "store watch changed");
     }
 }
 
@@ -73,7 +72,7 @@
     }
 }
 
-/// Follows one instance until `stopped` closes.
+/// Follows one instance until `stopped` closes, reconnecting after failures.
 async fn follow(state: Rc<State>, source: Member, mut stopped: oneshot::Receiver<()>) {
     loop {
         let lost = tokio::select! {
@@ -82,7 +81,7 @@
         };
         let error = lost.err().unwrap_or_else(|| LinkError::new("closed"));
         inc_by(&state.metrics.changes.sources_lost, 1);
-        log::info!(source:% = source.instance, error:% = error; "source lost");
+        log::info!(source:% = source.instance, error:% = error; "connection to source lost");
         state.contact.borrow_mut().forget(&source.instance);
         tokio::select! {
             () = time::sleep(Duration::from_millis(RECONNECT_DELAY_MS)) => {}
@@ -111,7 +110,8 @@
     }
 }
 
-/// The changes that `response` announces; `None` when the source has left.
+/// Receives the changes that `response` announces. Returns `None` if the source closed
+/// the connection.
 async fn receive_changes(
     state: &State,
     socket: &mut CborSocket,
@@ -130,7 +130,7 @@
     EncodedChanges { coding: response.coding, bytes: bytes.freeze() }.decode().map(Some)
 }
 
-/// Waits for a frame for as long as a source may be silent.
+/// Waits for a frame until the source counts as lost.
 async fn with_silence_timeout<T>(
     state: &State,
     frame: impl Future<Output = Result<T, LinkError>>,
@@ -149,7 +149,8 @@
     let held_ms = response.held_ms;
     let report = response.age_ms.map(|age_ms| SourceReport { asked_at_ms, held_ms, age_ms });
     state.contact.borrow_mut().heard(source, report);
-    // Before the rows: whether a missing row ran out depends on it.
+    // Must precede the changes: contact with the store determines whether a missing row
+    // counts as expired or as removed.
     state.update_store_contact();
     for (table, changes) in changes {
         state.apply_changes(table, changes);
