--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -1,7 +1,7 @@
-//! Heartbeats between entry instances, and what each has at the backend servers.
+//! Exchanges heartbeats and in-flight request counts with other entry instances.
 //!
-//! Datagrams rather than a connection for each pair: a heartbeat that is lost is
-//! followed by the next, and no connection can go silent.
+//! Uses UDP rather than a connection per pair: a lost heartbeat is followed by the next
+//! one, and there are no connections that could hang.
 
 use std::{net::SocketAddr, rc::Rc};
 
@@ -14,28 +14,26 @@
 
 use super::state::State;
 
-/// Time between heartbeats.
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
-/// Every which heartbeat tells of requested objects: whether they are regional changes
-/// seldom, and a few of them show it.
+/// One in this many heartbeats includes a sample of the requested objects, which shows
+/// whether objects are requested in one region only.
 const REQUESTED_OBJECTS_PERIOD_BEATS: u32 = 4;
-/// The largest datagram that is read; a heartbeat has about a hundred bytes.
 const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// For how many heartbeats in a row another instance must have seen more, or be
-/// unknown, before this one reads its tables anew. One is not enough: changes
-/// reach the instances at slightly different moments.
+/// The number of consecutive heartbeat intervals with a newer version or an unknown
+/// instance after which the tables are reread. A single one is normal, since changes
+/// reach the instances at slightly different times.
 const RESYNC_THRESHOLD_BEATS: u32 = 3;
 
-/// For how long another instance must have had the store without a break to be
-/// sure that the store was not away. Rows run out only after several missed
-/// heartbeats of their servers, so a shorter outage takes none away.
+/// How long another instance must have been in contact with the store before its
+/// report proves that the store was available. Rows expire only after several missed
+/// heartbeats of their servers, so a shorter outage expires none.
 const STABLE_STORE_CONTACT_MS: u64 = 3_000;
 
-/// The shortest time between two reports on requests in flight. A backend server
-/// gets one or two requests in that time, so what is not known yet is little.
+/// The interval of load reports. A backend server receives one or two requests in this
+/// time, so the counts are almost current.
 const LOAD_REPORT_INTERVAL_MS: u64 = 100;
-/// Datagrams on requests in flight that an instance sends in a second at the most;
-/// with many instances each is told more seldom, which bounds the processor time.
+/// Bounds the CPU time spent on load reports: with many instances, each of them receives
+/// reports less often.
 const MAX_LOAD_DATAGRAMS_PER_S: u64 = 100;
 
 /// Sends and receives heartbeats until the process ends.
@@ -72,11 +70,11 @@
     }
 }
 
-/// Decides when the others are told of requests in flight.
+/// Decides when to send a load report to the other instances.
 #[derive(Default)]
 struct LoadReporter {
     sent_at_ms: u64,
-    /// Whether the others believe that there are some.
+    /// Whether the last report had requests in flight. If so, an empty report follows.
     last_report_had_load: bool,
 }
 
@@ -121,14 +119,14 @@
 async fn broadcast(state: &State, socket: &UdpSocket, datagram: &Datagram) {
     let mut bytes = Vec::new();
     if let Err(e) = ciborium::into_writer(datagram, &mut bytes) {
-        log::error!(error:% = e; "datagram cannot be encoded");
+        log::error!(error:% = e; "cannot encode datagram");
         return;
     }
     let port = state.settings.peer_port;
     let addrs: Vec<SocketAddr> =
         state.members.borrow().others().map(|member| SocketAddr::new(member.ip, port)).collect();
     for addr in addrs {
-        // A datagram that cannot be sent is like one that was lost.
+        // A send error is equivalent to a lost datagram.
         let _ = socket.send_to(&bytes, addr).await;
     }
 }
@@ -137,7 +135,7 @@
     match ciborium::from_reader(bytes) {
         Ok(Datagram::Heartbeat(heartbeat)) => handle_heartbeat(state, lag_detector, &heartbeat),
         Ok(Datagram::Load(load)) => handle_load(state, load),
-        // Whatever else comes to this port is not for us.
+        // Ignore datagrams of other senders or formats.
         Err(_) => {}
     }
 }
@@ -158,14 +156,14 @@
         can_watch: heartbeat.can_watch,
     };
     let is_known = state.members.borrow_mut().heard(&sign, now_ms);
-    // One that leaves has removed its row already.
+    // An instance that is shutting down has already removed its row.
     lag_detector.heard_unknown |= !is_known && !heartbeat.is_leaving;
     lag_detector.operator_version = lag_detector.operator_version.max(heartbeat.operator_version);
     lag_detector.backends_version = lag_detector.backends_version.max(heartbeat.backends_version);
     if state.members.borrow().is_in_other_region(&heartbeat.instance) {
         let mut balancer = state.balancer.borrow_mut();
         if let Some(prefers) = balancer.set_requested_elsewhere(&heartbeat.requested, now_ms) {
-            log::info!(prefers_region = prefers; "servers of the own region");
+            log::info!(prefers_region = prefers; "preference for local-region servers changed");
         }
     }
     if heartbeat.had_store_ms >= STABLE_STORE_CONTACT_MS {
@@ -173,7 +171,7 @@
     }
 }
 
-/// What the other instances say, compared with what this one knows.
+/// The newest table versions and unknown instances reported by other instances.
 #[derive(Default)]
 struct LagDetector {
     operator_version: u64,
@@ -184,7 +182,7 @@
 }
 
 impl LagDetector {
-    /// Notices what other instances know and this one does not.
+    /// Triggers a reread of the tables if this instance lags behind the others.
     fn detect_lag(&mut self, state: &State) {
         let (operator, backends) = {
             let tables = state.tables.borrow();
@@ -201,7 +199,8 @@
     }
 }
 
-/// Whether something held for as many beats as count; counts anew after that.
+/// Returns whether the condition held for [`RESYNC_THRESHOLD_BEATS`] consecutive calls,
+/// and resets the count if so.
 fn persists(beats: &mut u32, condition: bool) -> bool {
     *beats = if condition { *beats + 1 } else { 0 };
     let has_persisted = *beats >= RESYNC_THRESHOLD_BEATS;
