--- a/crates/azuregate/src/serve/in_flight.rs
+++ b/crates/azuregate/src/serve/in_flight.rs
@@ -1,4 +1,4 @@
-//! A request at a backend server, from its choice to its end.
+//! Accounting for a request in flight at a backend server.
 
 use std::rc::Rc;
 
@@ -6,18 +6,17 @@
 
 use super::{pool::Connection, state::State};
 
-/// How much a timer and the clock may differ by rounding.
+/// The rounding difference between the timer and the clock.
 const TIMER_TOLERANCE_MS: u64 = 2;
 
-/// Counts a request at a backend server until it is dropped, and closes the
-/// connection unless the answer was read to its end.
+/// Counts a request as in flight until it is dropped, and closes its connection
+/// unless the connection was released to the pool.
 pub(super) struct InFlightRequest {
     pub(super) handle: BackendHandle,
     pub(super) connection: Option<Connection>,
     state: Rc<State>,
     outcome: Outcome,
     sent_at_ms: u64,
-    /// When the time of the request is over.
     deadline_ms: u64,
 }
 
@@ -34,12 +33,12 @@
         }
     }
 
-    /// Sets how the request ended, if it ends now.
+    /// Sets the outcome reported to the balancer on drop.
     pub(super) fn set_outcome(&mut self, outcome: Outcome) {
         self.outcome = outcome;
     }
 
-    /// Keeps the connection for the next request.
+    /// Returns the connection to the pool for reuse.
     pub(super) fn release_connection(&mut self) {
         if let Some(connection) = self.connection.take() {
             self.state.pool.put(self.handle, connection, self.state.now_ms());
@@ -48,9 +47,11 @@
 }
 
 impl Drop for InFlightRequest {
-    /// A request that is dropped without an outcome was cancelled by its client, or
-    /// its time was over. The second tells that the server is slow: one that takes
-    /// longer than any request may would otherwise never be noticed.
+    /// Reports the outcome to the balancer.
+    ///
+    /// A request dropped without an outcome was either cancelled by its client or
+    /// reached its deadline. The latter counts as a timeout, since a server that never
+    /// responds in time would otherwise not be detected as slow.
     fn drop(&mut self) {
         let now_ms = self.state.now_ms();
         if self.outcome == Outcome::Cancelled && now_ms + TIMER_TOLERANCE_MS >= self.deadline_ms {
