--- a/crates/azuregate/src/serve/listen.rs
+++ b/crates/azuregate/src/serve/listen.rs
@@ -1,4 +1,4 @@
-//! The ports of an entry instance, and the loop that accepts clients.
+//! Binds the ports of an entry instance and accepts client connections.
 
 use std::{net::SocketAddr, pin::pin, rc::Rc};
 
@@ -12,18 +12,18 @@
 use super::{ServeError, connection, shutdown, shutdown_phase::ShutdownPhase, state::State};
 use crate::accept;
 
-/// Where metrics are served, on every machine.
+/// The metrics port of every instance, as `deploy/system.toml` declares it.
 const METRICS_PORT: u16 = 9_464;
 
-/// Open ports that nobody serves yet.
+/// The bound sockets of an entry instance.
 pub(super) struct Listeners {
     pub(super) traffic: TcpListener,
     pub(super) readiness: TcpListener,
     pub(super) lookups: TcpListener,
     pub(super) heartbeats: UdpSocket,
-    /// For instances that follow this one.
+    /// Accepts instances that follow this one.
     pub(super) followers: TcpListener,
-    /// An instance without metrics still serves.
+    /// `None` if the metrics port is unavailable; the instance serves without it.
     pub(super) metrics: Option<TcpListener>,
 }
 
@@ -33,12 +33,12 @@
         let heartbeats = UdpSocket::bind(heartbeats_addr)
             .await
             .change_context(ServeError)
-            .attach_with(|| format!("cannot use {heartbeats_addr} for heartbeats"))?;
+            .attach_with(|| format!("cannot bind UDP {heartbeats_addr} for heartbeats"))?;
         let metrics_addr = SocketAddr::new(settings.ip, METRICS_PORT);
         let metrics = match TcpListener::bind(metrics_addr).await {
             Ok(listener) => Some(listener),
             Err(e) => {
-                log::warn!(addr:% = metrics_addr, error:% = e; "no metrics");
+                log::warn!(addr:% = metrics_addr, error:% = e; "cannot bind metrics port, serving without metrics");
                 None
             }
         };
@@ -60,7 +60,7 @@
         .attach_with(|| format!("cannot listen on {addr}"))
 }
 
-/// Accepts connections until the planned stop says that no more are taken.
+/// Accepts client connections until the shutdown closes the listener.
 pub(super) async fn serve(state: Rc<State>, listener: TcpListener) {
     let mut closed = pin!(shutdown::wait_for_phase(&state, ShutdownPhase::ListenerClosed));
     loop {
