--- a/crates/azuregate/src/serve/metrics.rs
+++ b/crates/azuregate/src/serve/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Counters and latency histograms in the Prometheus text format.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,56 +8,55 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest latency that is told apart.
+/// Longer latencies are recorded as this value.
 const MAX_LATENCY_MS: u64 = 60_000;
-/// Series that are kept at the most; routes come and go with the configuration.
+/// Bounds memory, since each route that was ever configured adds series.
 const MAX_SERIES: usize = 256;
 
-/// Counters and histograms of one instance.
+/// The metrics of one instance.
 #[derive(Default)]
 pub(super) struct Metrics {
     pub(super) changes: ChangeCounters,
     series: RefCell<BTreeMap<Labels, Histogram<u64>>>,
 }
 
-/// What became of the store's changes on their way between instances.
+/// Counters of the replication of table changes between instances.
 #[derive(Debug, Default)]
 pub(super) struct ChangeCounters {
-    /// Bytes of changes sent to followers.
+    /// Bytes of encoded changes sent to followers.
     pub(super) sent_bytes: Cell<u64>,
-    /// Connections to sources that ended.
+    /// Lost connections to sources.
     pub(super) sources_lost: Cell<u64>,
-    /// Connections of followers that ended.
+    /// Lost connections of followers.
     pub(super) followers_lost: Cell<u64>,
-    /// Tables read whole from the store.
+    /// Full reads of a table from the store.
     pub(super) tables_read: Cell<u64>,
 }
 
-/// Adds to a counter.
 pub(super) fn inc_by(counter: &Cell<u64>, amount: u64) {
     counter.set(counter.get().saturating_add(amount));
 }
 
-/// What is true of the instance at one moment.
+/// Values sampled when the metrics are rendered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Gauges {
-    /// Whether it takes requests.
+    /// Whether the instance is ready to serve requests.
     pub(super) is_ready: bool,
-    /// Open connections of clients.
+    /// Open client connections.
     pub(super) connections: usize,
     /// Registered instances.
     pub(super) instances: usize,
     /// Instances that follow this one.
     pub(super) followers: usize,
-    /// Whether it watches the store.
+    /// Whether the instance watches the store itself.
     pub(super) is_watching: bool,
-    /// The version of the configuration in force.
+    /// The version of the current configuration.
     pub(super) config_version: Option<u64>,
-    /// How old its knowledge of the store is.
+    /// The time since the tables were last confirmed current.
     pub(super) age_ms: Option<u64>,
 }
 
-/// What tells one histogram from another.
+/// The labels of a latency histogram.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Labels {
     service: String,
@@ -77,7 +76,7 @@
 }
 
 impl Metrics {
-    /// Takes in one request.
+    /// Records the outcome and latency of one request.
     pub(super) fn record_request(
         &self,
         service: &str,
@@ -96,7 +95,7 @@
         histogram.saturating_record(taken_ms);
     }
 
-    /// All of them as text, a line each.
+    /// Renders all metrics as text, one per line.
     pub(super) fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |line: std::fmt::Arguments<'_>| {
