--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -1,26 +1,26 @@
 /*!
-An entry instance on the users' platform.
+Runs an entry instance on the users' platform.
 
-One process does everything on one thread: it takes requests of clients, tells
-clients which instances to use, and answers whether it is ready. What it believes
+A single-threaded process proxies client requests to backend servers, answers
+instance lookups, and serves readiness and metrics. Its view of the deployment
 comes from the platform's store and from heartbeats of the other instances.
 
 # Design
 
-`state` holds what the instance believes. All tasks run on one thread and share
-it; nothing is borrowed across a wait. Requests read it without a message or a
-lock, which the request path would pay for on every request.
+All tasks run on one thread and share `State`. No `RefCell` borrow is held across
+an await point, so the request path needs neither locks nor channels.
 
-* `tables` holds copies of the store's tables, `apply` does what their rows ask for.
-  `table_watch` brings changes from the store, `follower` from other instances, `relay`
-  passes them on, `encoding` writes them down. `heartbeat` tells which other instances live.
-* `listen` accepts connections, `connection` serves one, `client_stream` notices
-  that its client has left.
-* `pipeline` starts requests that wait behind others on their connection.
-* `request` takes one request to its response, `attempt` to one backend server,
-  `pool` keeps connections to them.
-* `endpoints` answers the platform's and the clients' questions.
-* `shutdown` ends the process without cutting a request off.
+* `tables` holds replicas of the store's tables and `apply` applies their changes.
+  `table_watch` receives changes from the store and `follower` from other instances;
+  `relay` forwards them to followers in the format of `encoding`. `heartbeat` detects
+  which other instances are alive.
+* `listen` accepts connections, `connection` serves one connection, and
+  `client_stream` detects that its client has disconnected.
+* `pipeline` starts pipelined requests before the previous responses are sent.
+* `request` handles one client request, `attempt` sends it to one backend server, and
+  `pool` holds idle connections to backend servers.
+* `endpoints` serves readiness, lookups and metrics.
+* `shutdown` implements the graceful shutdown.
 */
 
 mod apply;
@@ -63,7 +63,7 @@
 use self::{endpoints::Audience, listen::Listeners, shutdown_phase::ShutdownPhase, state::State};
 use crate::stop::Stop;
 
-/// An instance that cannot run.
+/// The error of an entry instance that cannot start.
 #[derive(Debug)]
 pub struct ServeError;
 
@@ -75,11 +75,11 @@
 
 impl std::error::Error for ServeError {}
 
-/// Reads the settings that the platform wrote for this process.
+/// Reads and parses the settings file of this process.
 ///
 /// # Errors
 ///
-/// When the file cannot be read, or fields are missing or cannot be read.
+/// Returns an error if the file cannot be read, or if a field is missing or invalid.
 pub fn load_settings(path: &Path) -> Result<Settings, Report<ServeError>> {
     let text = fs::read_to_string(path)
         .change_context(ServeError)
@@ -87,12 +87,13 @@
     Settings::parse(&text).change_context(ServeError)
 }
 
-/// Runs an instance until `stop` says so, then finishes what is in progress.
-/// Follows changes of the settings file if its path is given.
+/// Runs an entry instance until `stop` is signalled, then shuts down gracefully.
+///
+/// If `file` is given, changes to that settings file are applied at run time.
 ///
 /// # Errors
 ///
-/// When a port cannot be opened.
+/// Returns an error if a port cannot be bound.
 pub async fn run(
     settings: Settings,
     file: Option<PathBuf>,
@@ -129,7 +130,6 @@
     Ok(())
 }
 
-/// Closes idle connections to backend servers until the process ends.
 async fn evict_idle_connections(state: Rc<State>) {
     let mut ticks = state.timer.subscribe(pool::EVICTION_INTERVAL_MS);
     while ticks.recv().await.is_some() {
