--- a/crates/azuregate/src/serve/pipeline.rs
+++ b/crates/azuregate/src/serve/pipeline.rs
@@ -1,12 +1,11 @@
-//! Requests that wait behind others on their connection, started early.
+//! Concurrent execution of pipelined requests.
 //!
-//! HTTP/1.1 lets a client send requests without waiting for answers, which come
-//! back in order. The HTTP server takes the next request only when the one before
-//! is answered, so a request behind one that takes long would reach a backend
-//! server late: one in eight reads did under load, after more than half of its
-//! latency objective. [`RequestScanner`] finds the requests in the bytes as they arrive,
-//! and [`Pipeline`] starts them; when the HTTP server comes to a request, its
-//! answer is on the way or there.
+//! HTTP/1.1 lets a client send requests without waiting for the previous responses,
+//! which must be returned in order. hyper reads the next request only after it has sent
+//! the previous response, so a slow request would delay all requests pipelined behind
+//! it. [`RequestScanner`] finds request heads in the bytes as they arrive, and
+//! [`Pipeline`] starts those requests. When hyper reads a request that was already
+//! started, it gets the response of the started one.
 
 use std::{cell::RefCell, collections::VecDeque, rc::Rc};
 
@@ -24,38 +23,38 @@
 
 use super::{request as handler, response_body::ResponseBody, state::State};
 
-/// Requests of one connection that are started before their turn.
+/// Limits the started requests of one connection.
 const MAX_STARTED_REQUESTS: usize = 16;
-/// Headers of a request that is started early; one with more waits for its turn.
+/// A request with more headers disables the scanner for its connection.
 const MAX_HEADERS: usize = 48;
-/// The longest head that is looked at.
+/// A longer request head disables the scanner for its connection.
 const MAX_HEAD_BYTES: usize = 16 << 10;
 
-/// Finds requests without a body in the bytes of a connection.
+/// Finds GET requests without a body in the bytes of a connection.
 #[derive(Debug, Default)]
 pub(super) struct RequestScanner {
     bytes: BytesMut,
-    /// Bytes of a body that are passed over.
+    /// Bytes of the current body that are still to be skipped.
     body_remaining_bytes: usize,
-    /// Whether something came whose end cannot be told here.
+    /// Set after bytes that cannot be delimited, such as a chunked body.
     is_disabled: bool,
 }
 
 impl RequestScanner {
-    /// Takes in the next bytes of the connection.
+    /// Appends bytes received on the connection.
     pub(super) fn feed(&mut self, bytes: &[u8]) {
         if !self.is_disabled {
             self.bytes.extend_from_slice(bytes);
         }
     }
 
-    /// Whether a part of a head has come and the rest has not.
+    /// Returns whether a request head has been received only in part.
     pub(super) fn has_partial_head(&self) -> bool {
         !self.is_disabled && self.body_remaining_bytes == 0 && !self.bytes.is_empty()
     }
 
-    /// The next whole head of a request that has no body; heads of others are
-    /// passed over with their bodies.
+    /// Returns the next complete head of a GET request without a body. Other requests
+    /// are skipped with their bodies.
     pub(super) fn next_get(&mut self) -> Option<Parts> {
         loop {
             let skipped = self.body_remaining_bytes.min(self.bytes.len());
@@ -102,7 +101,7 @@
     Some(request.into_parts().0)
 }
 
-/// The length of a body; `None` if only its reader can tell.
+/// Returns the body length, or `None` if the headers do not determine it.
 fn body_length(headers: &HeaderMap) -> Option<usize> {
     if headers.contains_key(header::TRANSFER_ENCODING) || headers.contains_key(header::UPGRADE) {
         return None;
@@ -115,7 +114,7 @@
     }
 }
 
-/// A request that was started before its turn.
+/// A request that was started before the previous responses were sent.
 struct StartedRequest {
     uri: Uri,
     id: Option<HeaderValue>,
@@ -123,23 +122,22 @@
 }
 
 impl Drop for StartedRequest {
-    /// The client has left, or the request is served in another way.
+    /// Cancels the request if the client disconnected or the response is not used.
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// The requests of one connection that were started before their turn.
+/// The pipelined requests of one connection.
 #[derive(Default)]
 pub(super) struct Pipeline {
     started: RefCell<VecDeque<StartedRequest>>,
-    /// Requests that were found and have not had their turn, the current one
-    /// included.
+    /// The number of scanned requests without a response, including the current one.
     unanswered: RefCell<usize>,
 }
 
 impl Pipeline {
-    /// Takes in a request as it arrives, and starts it if others are before it.
+    /// Adds a received request, and starts it if it is pipelined behind another one.
     pub(super) fn push(&self, state: &Rc<State>, parts: Parts) {
         let mut unanswered = self.unanswered.borrow_mut();
         *unanswered += 1;
@@ -156,20 +154,21 @@
         started.push_back(StartedRequest { uri, id, task });
     }
 
-    /// The answer of the request whose turn it is, if it was started early.
+    /// Returns the response of the current request if that request was started early.
     pub(super) async fn take_response(&self, parts: &Parts) -> Option<Response<ResponseBody>> {
         let mut started = self.take(parts)?;
         (&mut started.task).await.ok()
     }
 
-    /// Notes that a request has been answered.
+    /// Marks the current request as responded to.
     pub(super) fn finish_current(&self) {
         let mut unanswered = self.unanswered.borrow_mut();
         *unanswered = unanswered.saturating_sub(1);
     }
 
-    /// Requests that are passed over here make the rest wait in vain at worst: an
-    /// early one is used only for the very request that it was started for.
+    /// Removes and returns the started request with the same URI and request ID, so that
+    /// a response is never used for a different request. Started requests before it were
+    /// handled without their early start and are cancelled.
     fn take(&self, parts: &Parts) -> Option<StartedRequest> {
         let id = parts.headers.get(request::REQUEST_ID);
         let mut started = self.started.borrow_mut();
