--- a/crates/azuregate/src/serve/pool.rs
+++ b/crates/azuregate/src/serve/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to backend servers.
+//! A pool of idle connections to backend servers.
 
 use std::{cell::RefCell, collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -14,35 +14,33 @@
     time,
 };
 
-/// How long opening a connection may take: several times the longest way there
-/// and back between regions.
+/// Several times the longest round-trip time between regions.
 const CONNECT_TIMEOUT_MS: u64 = 200;
-/// How long sent bytes may stay without acknowledgement. A server that lost power
-/// keeps silent, and requests to it would wait until their time is over.
+/// `TCP_USER_TIMEOUT` of connections. Without it, requests to a server that lost power
+/// would wait until their deadline.
 const UNACKED_DATA_TIMEOUT_MS: u64 = 350;
-/// How long a connection may be idle and still be used. Servers close theirs
-/// after some seconds, and a request that meets the close may have run.
+/// How long a connection may be idle and still be reused. Backend servers close idle
+/// connections after a few seconds, and a request sent at that moment may have been
+/// executed.
 const MAX_IDLE_MS: u64 = 4_000;
-/// The same for requests that must not run twice, for which a connection that
-/// went silent costs an answer and not just time.
+/// The same limit for non-idempotent requests, which cannot be retried if the
+/// connection turns out to be dead.
 const MAX_IDLE_NON_IDEMPOTENT_MS: u64 = 1_000;
-/// Idle connections that are kept to one server.
 const MAX_IDLE_PER_SERVER: usize = 6;
-/// How often idle connections are to be looked through.
 pub(super) const EVICTION_INTERVAL_MS: u64 = 1_000;
 
-/// A connection that is used for one request at a time.
+/// A connection to a backend server, used for one request at a time.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
-    /// Whether it has carried a request before.
+    /// Whether the connection has already served a request.
     pub(super) is_reused: bool,
     task: AbortHandle,
     idle_since_ms: u64,
 }
 
 impl Drop for Connection {
-    /// Closes the connection even when a request is at work, so that the backend
-    /// server stops working on what nobody waits for.
+    /// Closes the connection even if a request is in flight, so that the backend server
+    /// cancels the request.
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -55,7 +53,7 @@
 }
 
 impl ConnectionPool {
-    /// An idle connection that is fit for use, the one used last.
+    /// Takes the most recently used idle connection to a server, if one is usable.
     pub(super) fn take(
         &self,
         handle: BackendHandle,
@@ -77,7 +75,7 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end.
+    /// Returns a connection to the pool after its response was read completely.
     pub(super) fn put(&self, handle: BackendHandle, mut connection: Connection, now_ms: u64) {
         if connection.sender.is_closed() {
             return;
@@ -91,7 +89,7 @@
         }
     }
 
-    /// Closes connections that were idle for too long.
+    /// Drops connections that the server closed or that exceed the idle limit.
     pub(super) fn evict_idle(&self, now_ms: u64) {
         self.idle.borrow_mut().retain(|_, connections| {
             connections.retain(|connection| {
@@ -107,7 +105,7 @@
 ///
 /// # Errors
 ///
-/// When there is none in time.
+/// Returns an error if no connection is established within `CONNECT_TIMEOUT_MS`.
 pub(super) async fn connect(addr: SocketAddr) -> std::io::Result<Connection> {
     let connect_timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = time::timeout(connect_timeout, TcpStream::connect(addr)).await??;
@@ -118,7 +116,7 @@
         .await
         .map_err(std::io::Error::other)?;
     let task = spawn_local(async move {
-        // Whoever uses the connection learns of errors from its sender.
+        // Errors are reported through the connection's sender.
         let _ = connection.await;
     });
     Ok(Connection { sender, is_reused: false, task: task.abort_handle(), idle_since_ms: 0 })
