--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -1,4 +1,4 @@
-//! Passes the store's changes on to the instances that follow this one.
+//! Forwards table changes to the instances that follow this one.
 
 use std::{collections::BTreeMap, rc::Rc, time::Duration};
 
@@ -24,46 +24,47 @@
     },
 };
 
-/// Where followers connect to.
+/// The path that followers connect to.
 pub(super) const CHANGES_PATH: &str = "/v1/changes";
-/// Opening takes two ways there and back.
+/// The open timeout covers two round trips between regions.
 pub(super) const SOCKET_LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 700 };
-/// Time between two updates if nothing changes: three fit into the time after which
-/// followers take a source for lost.
+/// The interval of responses without changes. Three of them fit into the time after
+/// which followers consider a source lost.
 const RESPONSE_INTERVAL_MS: u64 = 400;
-/// How much newer the sender's knowledge must be to be told at once. Ages add up along
-/// the way, and would exceed what followers rely on if each had to wait for a tick.
+/// A follower is notified at once if the tables are confirmed current this much later than
+/// before. Delays add up along a chain of followers and would exceed their freshness
+/// limit if each of them waited for the interval.
 const MIN_FRESHNESS_GAIN_MS: u64 = 200;
-/// Bytes of changes that go into one frame. The time limits of both sides hold for a
-/// frame, so that a large set on a slow link is not broken off while it moves.
+/// Timeouts apply to each frame, so that a large change set on a slow link does not time
+/// out while it makes progress.
 const MAX_CHUNK_BYTES: usize = 16 << 10;
-/// How long a frame may take to be sent. A follower that is frozen takes nothing.
 const SEND_TIMEOUT_MS: u64 = 2_000;
-/// How long a follower may take to ask again: its time to take in a set.
+/// Includes the time that a follower takes to apply a change set.
 const REQUEST_TIMEOUT_MS: u64 = 5_000;
 
-/// What a follower asks, again after each update. It has one update under way at the
-/// most, so that none waits behind others on a slow link.
+/// A follower's request for changes. It is sent again after each response, so that at
+/// most one response is in transit and none queues behind others on a slow link.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct ChangesRequest {
-    /// The versions up to which it has the tables.
+    /// The follower's version of each table.
     pub(super) versions: BTreeMap<Table, u64>,
 }
 
-/// What followers are told. The changes that it announces follow in frames of bytes.
+/// The response to a [`ChangesRequest`]. The encoded changes follow in binary frames.
 #[derive(Debug, Deserialize, Serialize)]
 pub(super) struct ChangesResponse {
-    /// How long the question was held back, since there was nothing to tell.
+    /// How long the request was held while there was nothing to report, in milliseconds.
     pub(super) held_ms: u64,
-    /// How old the sender's knowledge is; `None` if it has none.
+    /// The time since the sender's tables were last confirmed current, in milliseconds;
+    /// `None` if they never were.
     pub(super) age_ms: Option<u64>,
-    /// How the changes are written.
+    /// The encoding of the changes.
     pub(super) coding: Encoding,
-    /// The length of the changes; 0 if there are none.
+    /// The length of the encoded changes; 0 if there are none.
     pub(super) changes_bytes: usize,
 }
 
-/// Takes followers until the process ends.
+/// Accepts followers until the process ends.
 pub(super) async fn serve(state: Rc<State>, listener: TcpListener) {
     loop {
         let (stream, _) = accept::next(&listener).await;
@@ -71,13 +72,13 @@
         spawn_local(async move {
             if let Err(e) = serve_follower(&state, stream).await {
                 inc_by(&state.metrics.changes.followers_lost, 1);
-                log::info!(error:% = e; "follower lost");
+                log::info!(error:% = e; "connection to follower lost");
             }
         });
     }
 }
 
-/// Counts a follower until it is dropped.
+/// Counts a connected follower until dropped.
 struct FollowerGuard<'a>(&'a State);
 
 impl<'a> FollowerGuard<'a> {
@@ -103,7 +104,8 @@
             Duration::from_millis(REQUEST_TIMEOUT_MS),
             socket.recv::<ChangesRequest>(),
         );
-        let request = request.await.map_err(|_| LinkError::new("asks nothing"))?;
+        let request =
+            request.await.map_err(|_| LinkError::new("no request from follower in time"))?;
         let Some(ChangesRequest { versions }) = request? else { return Ok(()) };
         let received_at = Instant::now();
         tokio::select! {
@@ -113,7 +115,7 @@
                     return Ok(());
                 }
             }
-            // A follower that waits says nothing but that it leaves.
+            // A waiting follower sends nothing, so this resolves when it disconnects.
             frame = socket.recv::<ChangesRequest>() => return frame.map(drop),
         }
         sent_known_at_ms = known_at_ms(state);
@@ -125,21 +127,21 @@
     state.contact.borrow().known_at_ms().unwrap_or_default()
 }
 
-/// Waits until there is a change that one with these `versions` lacks, or what is
-/// known is newer than at `sent_known_at_ms`.
+/// Waits until there are changes after `versions`, or until the tables are confirmed
+/// current later than at `sent_known_at_ms`.
 async fn wait_for_changes(state: &State, versions: &BTreeMap<Table, u64>, sent_known_at_ms: u64) {
     let mut changed = state.tables_changed.subscribe();
     while missing_ranges(state, versions).is_empty()
         && known_at_ms(state) < sent_known_at_ms + MIN_FRESHNESS_GAIN_MS
     {
-        // An error means that the process ends.
+        // An error means that the process is exiting.
         if changed.changed().await.is_err() {
             return;
         }
     }
 }
 
-/// What one with these `versions` lacks.
+/// Returns the version ranges that are missing from tables at `versions`.
 fn missing_ranges(state: &State, versions: &BTreeMap<Table, u64>) -> VersionRanges {
     let tables = state.tables.borrow();
     let missing = |table| {
@@ -177,7 +179,7 @@
     sending: impl Future<Output = Result<(), LinkError>>,
 ) -> Result<(), LinkError> {
     let sent = time::timeout(Duration::from_millis(SEND_TIMEOUT_MS), sending).await;
-    sent.unwrap_or_else(|_| Err(LinkError::new("takes nothing")))
+    sent.unwrap_or_else(|_| Err(LinkError::new("follower did not accept a frame in time")))
 }
 
 fn encoded_changes(state: &State, ranges: VersionRanges) -> Result<EncodedChanges, LinkError> {
