--- a/crates/azuregate/src/serve/reload.rs
+++ b/crates/azuregate/src/serve/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while the instance runs.
+//! Reloads the settings file while the instance runs.
 
 use std::{path::PathBuf, rc::Rc};
 
@@ -7,21 +7,21 @@
 
 use super::state::State;
 
-/// How often the file is read: it may change without a signal, and what it says
-/// must be in force within seconds.
+/// The file is polled because it may change without a signal.
 const POLL_INTERVAL_MS: u64 = 2_000;
 
-/// Takes in the settings file when it changes, until the process ends.
+/// Applies the settings file whenever it changes or SIGHUP is received, until the process
+/// ends.
 ///
-/// Only what the whole deployment agrees on can change. Addresses and names belong
-/// to one start of the process; it is started anew when they change.
+/// Only the deployment-wide bounds can be changed at run time. Changed names or addresses
+/// take effect after a restart.
 pub(super) async fn serve(state: Rc<State>, path: PathBuf) {
     let mut ticks = state.timer.subscribe(POLL_INTERVAL_MS);
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     let mut hangups = match signal(SignalKind::hangup()) {
         Ok(hangups) => Some(hangups),
         Err(e) => {
-            log::error!(error:% = e; "SIGHUP cannot be watched");
+            log::error!(error:% = e; "cannot install SIGHUP handler");
             None
         }
     };
@@ -38,7 +38,7 @@
         let new_text = match std::fs::read_to_string(&path) {
             Ok(new_text) => new_text,
             Err(e) => {
-                log::warn!(path:% = path.display(), error:% = e; "settings cannot be read, the old ones stay");
+                log::warn!(path:% = path.display(), error:% = e; "cannot read settings file, keeping the current settings");
                 continue;
             }
         };
@@ -47,7 +47,9 @@
         }
         match Settings::parse(&new_text) {
             Ok(settings) => apply(&state, &settings),
-            Err(e) => log::warn!(error:% = e; "settings are wrong, the old ones stay"),
+            Err(e) => {
+                log::warn!(error:% = e; "invalid settings file, keeping the current settings")
+            }
         }
         text = new_text;
     }
@@ -63,7 +65,7 @@
         || settings.peer_port != old.peer_port
         || settings.zones != old.zones;
     if needs_restart {
-        log::warn!("names or addresses in the settings have changed; they need a new start");
+        log::warn!("changed names or addresses in the settings take effect after a restart");
     }
     let has_changed = state.set_bounds(settings.bounds.clone());
     log::info!(changed = has_changed; "settings reloaded");
