--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -1,4 +1,4 @@
-//! One request of a client, from its head to its answer.
+//! Handles one client request.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -24,18 +24,17 @@
     state::State,
 };
 
-/// How long a client is waited for that names no deadline.
+/// The deadline of requests without a deadline header.
 const DEFAULT_DEADLINE_MS: u64 = 30_000;
-/// Bodies from this size go to a server nearby: the way costs more than what a
-/// server saves that knows the object.
+/// Larger bodies are sent to a nearby server: transferring them costs more time than
+/// a server with a warm object saves.
 const LARGE_BODY_BYTES: usize = 20_000;
-/// Servers that may reject a request before it is given up, beyond the attempts
-/// of its route.
+/// Sends allowed beyond the route's attempts, to make up for rejected ones.
 const EXTRA_SENDS_AFTER_REJECTION: u32 = 1;
-/// Time that must be left for another attempt to be of use.
+/// The least time before the deadline at which a retry is still useful.
 const MIN_RETRY_REMAINING_MS: u64 = 20;
 
-/// Answers one request of a client, whose head arrived at `received_at`.
+/// Handles a client request whose head was received at `received_at`.
 pub(super) async fn handle(
     state: Rc<State>,
     parts: Parts,
@@ -57,7 +56,9 @@
     response
 }
 
-/// Whether a request may run although its connection may end before its turn.
+/// Returns whether a pipelined request may start before the previous responses are
+/// sent. Only idempotent requests may: if the connection closes first, the client
+/// retries the request, and it is executed twice.
 pub(super) fn can_start_early(state: &State, parts: &Parts) -> bool {
     let Some(config) = state.config() else { return false };
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
@@ -65,7 +66,7 @@
     route.is_some_and(|route| route.kind == RequestKind::Idempotent)
 }
 
-/// What the log says of a request.
+/// The access log entry of a request.
 struct AccessLogEntry {
     id: String,
     object: String,
@@ -77,7 +78,7 @@
     failures: String,
     in_flight: u32,
     deadline_ms: u64,
-    /// What a refusal is based on, empty for others.
+    /// The state that explains why no backend server was chosen; empty otherwise.
     basis: String,
     code: &'static str,
 }
@@ -149,7 +150,8 @@
     let host = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let Some(host) = host else { return Err(RequestError::BadRequest) };
     let Some(route) = config.route(host, parts.uri.path()) else {
-        // A client does not come back after a denial, and the route may be new.
+        // Clients do not retry a 404, and without contact the route may be missing only
+        // because the configuration is outdated.
         let has_contact = state.contact.borrow().is_fresh(state.now_ms());
         return Err(if has_contact {
             RequestError::NoRoute
@@ -189,8 +191,8 @@
     text.and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_DEADLINE_MS)
 }
 
-/// Reads the whole body, so that no backend server waits for a slow client and a
-/// server that rejects the request can be replaced by another.
+/// Reads the complete body, so that a slow client does not occupy a backend server and
+/// a rejected request can be sent to another one.
 async fn read_request(
     mut parts: Parts,
     body: Option<Incoming>,
@@ -230,16 +232,16 @@
     Ok(body.freeze())
 }
 
-/// What has become of a request so far.
+/// The state of a request's attempts.
 #[derive(Default)]
 struct AttemptState {
-    /// Servers that are not asked again.
+    /// Servers excluded from further attempts.
     tried: Vec<BackendHandle>,
-    /// How often it was sent to a server.
+    /// The number of attempts, including rejected ones.
     sends: u32,
-    /// Servers that may have run it.
+    /// The number of attempts that may have executed the request.
     possible_executions: u32,
-    /// Whether it is at a server now.
+    /// Whether an attempt is in flight.
     is_in_flight: bool,
 }
 
@@ -257,7 +259,7 @@
     }
 }
 
-/// A request that looks for a backend server.
+/// Forwards a request to backend servers until one attempt succeeds.
 struct Forwarder<'a> {
     state: &'a Rc<State>,
     route: &'a Route,
@@ -355,9 +357,10 @@
         choice
     }
 
-    /// A status that promises that the request has not run must be true. A backend
-    /// server says so by a header; one that uses the status without it may have
-    /// run the request, and only its signature keeps the status as it is.
+    /// Replaces an unsigned 503, 429 or 408 response to a non-idempotent request by a 502.
+    ///
+    /// Clients take these statuses to mean that the request was not executed and retry
+    /// it. Without the server's signature this is not certain.
     fn mask_unsigned_rejection(
         &self,
         mut response: Response<ResponseBody>,
