--- a/crates/azuregate/src/serve/response.rs
+++ b/crates/azuregate/src/serve/response.rs
@@ -1,4 +1,4 @@
-//! Answers that the instance makes itself, and headers that pass through.
+//! Locally generated responses, and filtering of forwarded headers.
 
 use azuregate_core::balance::NotServed;
 use azuregate_platform::request;
@@ -11,34 +11,34 @@
 
 use super::response_body::ResponseBody;
 
-/// Why the instance answers a request itself.
+/// Why the instance responds to a request itself instead of forwarding a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum RequestError {
-    /// No configuration or no list of backend servers yet.
+    /// The configuration or the list of backend servers is not loaded yet.
     NotReady,
     /// No route matches.
     NoRoute,
-    /// No route matches by what was known when contact with the store was lost; it
-    /// has not run.
+    /// No route matches, but contact with the store is lost and the configuration may
+    /// be outdated; the request was not executed.
     StoreContactLost,
     /// The request is malformed.
     BadRequest,
-    /// The body is longer than allowed.
+    /// The body exceeds the size limit.
     BodyTooLarge,
-    /// The client's body ended early or took too long.
+    /// The client's body could not be read completely.
     BodyIncomplete,
-    /// No backend server has room; the request has not run.
+    /// No backend server has capacity; the request was not executed.
     NoCapacity,
-    /// Every backend server that was asked rejected it; it has not run.
+    /// Every attempted backend server rejected the request; it was not executed.
     Rejected,
-    /// The time was over before an answer came.
+    /// The deadline passed before a response arrived.
     TimedOut,
-    /// The answer was lost or cannot be used; the request may have run.
+    /// The response was lost or is invalid; the request may have been executed.
     ResponseLost,
 }
 
 impl RequestError {
-    /// The error's name in logs and metrics.
+    /// Returns the error code used in logs and metrics.
     pub(super) fn code(self) -> &'static str {
         match self {
             RequestError::NotReady => "not-ready",
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Why the request was not served, if it has certainly not run and may be sent
-    /// again.
+    /// Returns why the request was not served if it was certainly not executed, so
+    /// that the client may retry it.
     fn not_served(self) -> Option<NotServed> {
         match self {
             RequestError::NotReady | RequestError::StoreContactLost => {
@@ -80,7 +80,8 @@
         }
     }
 
-    /// The answer; it tells clients when to come back if the request has not run.
+    /// Converts the error into a response, with a `Retry-After` header if the request
+    /// was not executed.
     pub(super) fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
         *response.status_mut() = self.status();
@@ -94,7 +95,7 @@
     }
 }
 
-/// A plain answer with a short body.
+/// Returns a response with a complete body.
 pub(super) fn full_response(
     status: StatusCode,
     content_type: &'static str,
@@ -107,7 +108,7 @@
     response
 }
 
-/// Headers that concern one connection only.
+/// Hop-by-hop headers, which a proxy must not forward (RFC 9110, section 7.6.1).
 const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -118,7 +119,7 @@
     header::PROXY_AUTHORIZATION,
 ];
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers, including those named by `Connection`.
 pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -134,7 +135,7 @@
     headers.remove("proxy-connection");
 }
 
-/// Removes what a backend server tells only us.
+/// Removes the headers used only between entry instances and backend servers.
 pub(super) fn remove_internal_headers(headers: &mut HeaderMap) {
     for name in [request::LOAD, request::BACKEND, request::COLD_MS, request::NOT_RUN] {
         headers.remove(name);
