--- a/crates/azuregate/src/serve/response_body.rs
+++ b/crates/azuregate/src/serve/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to clients.
+//! Response bodies sent to clients.
 
 use std::{
     pin::Pin,
@@ -11,11 +11,11 @@
 
 use super::in_flight::InFlightRequest;
 
-/// The body of an answer.
+/// A response body.
 pub(super) enum ResponseBody {
-    /// It is held in memory.
+    /// A body held completely in memory.
     Buffered(Full<Bytes>),
-    /// It still arrives.
+    /// A body forwarded while it arrives from the backend server.
     Streaming(Box<StreamingBody>),
 }
 
@@ -25,11 +25,11 @@
     }
 }
 
-/// A long answer, of which a part has arrived.
+/// A response body whose first part is buffered and whose rest is still arriving.
 pub(super) struct StreamingBody {
     buffered: Option<Bytes>,
     incoming: Incoming,
-    /// Ends when the client has the whole answer or has left.
+    /// Held until the body is sent or the client disconnects.
     in_flight: InFlightRequest,
 }
 
