--- a/crates/azuregate/src/serve/shutdown.rs
+++ b/crates/azuregate/src/serve/shutdown.rs
@@ -1,9 +1,9 @@
-//! The planned stop.
+//! Graceful shutdown.
 //!
-//! Clients keep the answer to a lookup for some time, and use open connections
-//! until they learn that the instance has left. So it first leaves the lookups
-//! and says in each answer that the connection closes, then closes what is idle,
-//! then takes no more connections, and ends when nothing is in progress.
+//! Clients cache lookup results and keep using open connections. The instance therefore
+//! first removes itself from lookups and adds `Connection: close` to its responses, then
+//! closes idle connections, then stops accepting connections, and exits when no
+//! connection is left.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,24 +11,23 @@
 
 use super::{endpoints::LOOKUP_TTL_MS, shutdown_phase::ShutdownPhase, state::State, table_watch};
 
-/// Time for the heartbeat that tells of the leave to reach all instances.
+/// The time for the heartbeat that announces the shutdown to reach all instances.
 const LEAVE_PROPAGATION_MS: u64 = 600;
-/// Time before the end of the grace period at which everything is cut off.
+/// Remaining connections are closed this long before the end of the grace period.
 const FORCED_CLOSE_MARGIN_MS: u64 = 400;
-/// How often connections are counted while the last requests end.
 const CONNECTIONS_POLL_INTERVAL_MS: u64 = 50;
 
-/// Resolves when the stop has come as far as `phase`.
+/// Resolves when the shutdown has reached `phase`.
 pub(super) async fn wait_for_phase(state: &State, phase: ShutdownPhase) {
-    // An error means that the process ends.
+    // An error means that the process is exiting.
     let _ = state.phase.clone().wait_for(|&now| now >= phase).await;
 }
 
-/// Waits for the stop, and takes it through its phases until nothing is in
-/// progress.
+/// Waits for the stop signal, then advances through the shutdown phases until all
+/// connections are closed or the grace period ends.
 pub(super) async fn run(state: &Rc<State>, phase: watch::Sender<ShutdownPhase>) {
     state.stop.clone().wait().await;
-    log::info!(connections = state.connections.get(); "planned stop");
+    log::info!(connections = state.connections.get(); "graceful shutdown started");
     phase.send_replace(ShutdownPhase::Draining);
     let deadline_ms = state.bounds().grace_ms.saturating_sub(FORCED_CLOSE_MARGIN_MS);
     let deadline = time::Instant::now() + Duration::from_millis(deadline_ms);
@@ -45,6 +44,6 @@
         }
     };
     if time::timeout_at(deadline, steps).await.is_err() {
-        log::warn!(connections = state.connections.get(); "stop cuts off connections");
+        log::warn!(connections = state.connections.get(); "grace period ended with open connections");
     }
 }
--- a/crates/azuregate/tests/serve/reload.rs
+++ b/crates/azuregate/tests/serve/reload.rs
@@ -50,7 +50,7 @@
     let mut log = String::new();
     program.stdout.take().unwrap().read_to_string(&mut log).unwrap();
     for event in
-        ["entry instance started", "settings reloaded", "planned stop", "entry instance stopped"]
+        ["entry instance started", "settings reloaded", "graceful shutdown started", "entry instance stopped"]
     {
         assert!(log.contains(event), "{event} is not in\n{log}");
     }
