--- a/crates/azuregate/src/serve/shutdown_phase.rs
+++ b/crates/azuregate/src/serve/shutdown_phase.rs
@@ -1,14 +1,14 @@
-//! The phases of a planned stop.
+//! The phases of a graceful shutdown.
 
-/// How far a planned stop has come.
+/// The phase of a graceful shutdown.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub(super) enum ShutdownPhase {
-    /// No stop was asked for.
+    /// No shutdown has been requested.
     Serving,
-    /// Clients are told to go elsewhere, and are served meanwhile.
+    /// Clients are directed to other instances, and are still served.
     Draining,
     /// Idle connections are closed.
     ClosingIdle,
-    /// No more connections are taken.
+    /// New connections are no longer accepted.
     ListenerClosed,
 }
