--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -1,4 +1,4 @@
-//! What an entry instance believes, and what its tasks share.
+//! The state shared by all tasks of an entry instance.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,49 +21,46 @@
 };
 use crate::{stop::Stop, timer::Timer};
 
-/// The share of the retry budget that is used. Backend servers count when a
-/// request arrives and instances when it is sent, so the windows differ a little.
+/// The share of the retry budget that is used. Instances count requests when they send
+/// them and backend servers when they receive them, so their windows differ slightly.
 const RETRY_BUDGET_SHARE: f64 = 0.85;
-/// Heartbeats of an instance that stay out for this long end its being named to
-/// clients: four of them, which packet loss alone hardly takes.
+/// An instance without a heartbeat for this long is removed from lookups. Four heartbeats
+/// are rarely all lost in the network.
 const HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
 
-/// What an entry instance believes.
+/// The state of an entry instance.
 pub(super) struct State {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
     pub(super) stop: Stop,
-    /// How far a planned stop has come.
     pub(super) phase: watch::Receiver<ShutdownPhase>,
     pub(super) timer: Timer,
     pub(super) balancer: RefCell<Balancer>,
     pub(super) members: RefCell<Members>,
     pub(super) pool: ConnectionPool,
     pub(super) metrics: Metrics,
-    /// Copies of the store's tables.
     pub(super) tables: RefCell<Tables>,
-    /// Changes as they were passed on last.
     pub(super) encoded_cache: RefCell<EncodedChangesCache>,
-    /// Wakes what passes changes on.
+    /// Notified after each change of the tables or of their freshness.
     pub(super) tables_changed: watch::Sender<()>,
-    /// How old the last sign of the store is, by the own watch and by sources.
+    /// The freshness of the tables, from this instance's own watch and from its sources.
     pub(super) contact: RefCell<Contact>,
     /// Whether this instance watches the store itself.
     pub(super) is_watching: watch::Sender<bool>,
-    /// Whether it does so because others need it.
+    /// Whether it does so on behalf of other instances.
     pub(super) is_designated_watcher: Cell<bool>,
-    /// Instances that follow this one.
+    /// The number of instances that follow this one.
     pub(super) followers: Cell<usize>,
-    /// Backend servers whose rows are missing, but may come back.
+    /// Backend servers whose rows expired during a store outage and may return.
     pub(super) lapsed: RefCell<Lapsed>,
-    /// Since when the store has been there without a break, by any way; `None`
-    /// while it is not.
+    /// When contact with the store was last established, directly or through other
+    /// instances; `None` while there is no contact.
     pub(super) store_reachable_since_ms: Cell<Option<u64>>,
-    /// Wakes the watches when another instance has seen more.
+    /// Notified when another instance has newer table versions.
     pub(super) lag_detected: Notify,
-    /// Wakes the watch of members when an unknown instance was heard.
+    /// Notified when heartbeats of an unregistered instance are received.
     pub(super) unknown_member: Notify,
-    /// Open connections of clients.
+    /// The number of open client connections.
     pub(super) connections: Cell<usize>,
     config: RefCell<Option<Arc<Config>>>,
     bounds: RefCell<Bounds>,
@@ -118,22 +115,22 @@
         }
     }
 
-    /// Monotonic time since the start.
+    /// Returns the monotonic time since the start.
     pub(super) fn now_ms(&self) -> u64 {
         u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The configuration in force, `None` before the first one.
+    /// Returns the current configuration, or `None` until the first one is loaded.
     pub(super) fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// What the operator expects of the whole deployment.
+    /// Returns the bounds that apply to the whole deployment.
     pub(super) fn bounds(&self) -> Bounds {
         self.bounds.borrow().clone()
     }
 
-    /// Takes in new bounds; returns whether they differ.
+    /// Replaces the bounds and returns whether they changed.
     pub(super) fn set_bounds(&self, bounds: Bounds) -> bool {
         if *self.bounds.borrow() == bounds {
             return false;
@@ -143,17 +140,18 @@
         balancer.set_cold_limits(&self.members.borrow());
         self.contact.borrow_mut().set_change_ms(bounds.change_ms);
         *self.bounds.borrow_mut() = bounds;
-        // They are made anew with the new share, and start empty, which allows less.
+        // Budgets are recreated with the new ratio. They start empty, which allows fewer
+        // retries rather than more.
         self.retry_budgets.borrow_mut().clear();
         true
     }
 
-    /// Whether the table of backend servers was read since the start.
+    /// Returns whether the table of backend servers has been loaded.
     pub(super) fn has_backends(&self) -> bool {
         self.tables.borrow().get(Table::Backends).is_loaded()
     }
 
-    /// Notes when the store is lost and when it is back.
+    /// Records whether contact with the store was lost or re-established.
     pub(super) fn update_store_contact(&self) {
         let now_ms = self.now_ms();
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
@@ -161,12 +159,12 @@
             (None, true) => {
                 self.lapsed.borrow_mut().store_regained(now_ms);
                 self.store_reachable_since_ms.set(Some(now_ms));
-                log::info!("contact with the store");
+                log::info!("store contact established");
             }
             (Some(since_ms), false) => {
                 self.lapsed.borrow_mut().store_lost();
                 self.store_reachable_since_ms.set(None);
-                log::warn!(had_ms = now_ms.saturating_sub(since_ms); "no contact with the store");
+                log::warn!(had_ms = now_ms.saturating_sub(since_ms); "store contact lost");
             }
             (None, false) | (Some(_), true) => {}
         }
@@ -174,14 +172,13 @@
         self.members.borrow_mut().set_own_can_watch(can_watch);
     }
 
-    /// Whether requests can be served.
+    /// Returns whether the instance can serve requests.
     pub(super) fn is_ready(&self) -> bool {
         self.config.borrow().is_some() && self.has_backends() && !self.stop.is_stopping()
     }
 
-    /// Takes in a configuration, unless a newer one is in force. The store may
-    /// answer from a copy that is behind, and what was in force must not come
-    /// back.
+    /// Applies a configuration, unless the current one is the same version or newer: a
+    /// lagging replica of the store may return an outdated configuration.
     pub(super) fn set_config(&self, config: Config) {
         let version = config.version();
         let previous = self.config.borrow().as_ref().map(|config| config.version());
@@ -193,20 +190,20 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_config(config);
         balancer.set_cold_limits(&self.members.borrow());
-        log::info!(version = version, previous:? = previous; "configuration in force");
+        log::info!(version = version, previous:? = previous; "configuration applied");
     }
 
-    /// Forgets backend servers whose rows are gone for good.
+    /// Removes backend servers whose expired rows did not return.
     pub(super) fn remove_lapsed(&self, another_had_store: bool) {
         let gone = self.lapsed.borrow_mut().take_gone(another_had_store, self.now_ms());
         for id in gone {
             if self.balancer.borrow_mut().remove(id.as_str()) {
-                log::info!(backend:% = id, another_had_store = another_had_store; "backend server gone since the store was away");
+                log::info!(backend:% = id, another_had_store = another_had_store; "backend server removed after store outage");
             }
         }
     }
 
-    /// The service of the next request on a route, and its index.
+    /// Selects the service for the next request on a route, by the route's traffic split.
     pub(super) fn next_service(&self, route: &balance::Route) -> ServiceName {
         let destinations = &route.destinations;
         if let [only] = destinations.as_slice() {
@@ -217,13 +214,13 @@
         destinations[split.next(destinations)].service.clone()
     }
 
-    /// Counts a request of a client for `service`.
+    /// Records a client request in the retry budget of `service`.
     pub(super) fn record_request(&self, service: &ServiceName) {
         let now_ms = self.now_ms();
         self.with_retry_budget(service, |budget| budget.request(now_ms));
     }
 
-    /// Takes a retry from the budget of `service`, if there is room.
+    /// Takes a retry from the budget of `service` and returns whether one was available.
     pub(super) fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now_ms = self.now_ms();
         self.with_retry_budget(service, |budget| budget.take(now_ms))
@@ -244,7 +241,7 @@
         f(retry_budgets.get_mut(service).expect("it was just added"))
     }
 
-    /// Zones and their regions, by which lookups are answered.
+    /// Returns the region of an availability zone.
     pub(super) fn region_of(&self, zone: &str) -> Option<&str> {
         let zones: &BTreeMap<_, _> = &self.settings.zones;
         zones.get(zone).map(|region| region.as_str())
