--- a/crates/azuregate/src/serve/table_watch.rs
+++ b/crates/azuregate/src/serve/table_watch.rs
@@ -1,4 +1,4 @@
-//! Follows the store's tables: what operators decide, and who is there.
+//! Watches the store's tables, and registers this instance in the store.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,47 +14,43 @@
 
 use super::{metrics::inc_by, state::State};
 
-/// The longest time for which the watch of members waits. Heartbeats tell of an
-/// unknown member sooner.
+/// Heartbeats reveal unknown members sooner than this timeout.
 const MEMBERS_POLL_TIMEOUT_MS: u64 = 10_000;
-/// The pause after a failed call, doubled up to the limit.
 const INITIAL_BACKOFF_MS: u64 = 150;
-/// The longest pause between calls to a store that does not answer. Whichever
-/// instance has the store again first is followed by the others at once, so the
-/// first of many calls is soon enough.
+/// The first instance that reaches the store again passes changes on to the others, so a
+/// longer backoff of each instance does not delay recovery.
 const MAX_BACKOFF_MS: u64 = 2_000;
-/// How often a watch that has paused looks whether the store is back.
 const CONTACT_CHECK_INTERVAL_MS: u64 = 100;
-/// The shortest time between two calls of a watch. Many rows change at once when
-/// servers are replaced, and each call brings all that changed meanwhile.
+/// The minimum interval between two calls of a watch, so that one call returns all of
+/// the rows that change together when servers are replaced.
 const MIN_POLL_INTERVAL_MS: u64 = 300;
 
-/// Starts a watch for each table, which run until the process ends.
+/// Spawns a watch for each table. The watches run until the process ends.
 pub(super) fn start(state: &Rc<State>) {
     spawn_local(TableWatch::new(Rc::clone(state), Table::Operator).serve());
     spawn_local(TableWatch::new(Rc::clone(state), Table::Backends).serve());
     spawn_local(register_and_watch(Rc::clone(state)));
 }
 
-/// Registers this instance and follows the members.
+/// Registers this instance, then watches the members table.
 async fn register_and_watch(state: Rc<State>) {
     let mut store = Store::new(state.settings.store_addr);
     let mut backoff = Backoff::default();
     let own = own_member(&state);
     while let Err(e) = store.put(Table::Members, own.instance.as_str(), &member::encode(&own)).await
     {
-        log::warn!(error:% = e; "cannot register");
+        log::warn!(error:% = e; "cannot register instance");
         backoff.wait().await;
     }
     log::info!(instance:% = own.instance, start:% = own.start; "registered");
     TableWatch::new(state, Table::Members).serve().await;
 }
 
-/// Ends the registration of this instance at a planned stop.
+/// Removes the registration of this instance.
 pub(super) async fn unregister(state: &State) {
     let mut store = Store::new(state.settings.store_addr);
     if let Err(e) = store.remove(Table::Members, state.settings.instance.as_str()).await {
-        log::warn!(error:% = e; "cannot unregister");
+        log::warn!(error:% = e; "cannot unregister instance");
     }
 }
 
@@ -69,8 +65,7 @@
     }
 }
 
-/// Pauses that grow while calls fail, by chance a little longer or shorter so
-/// that not all instances call again at the same moment.
+/// Exponential backoff with jitter.
 #[derive(Default)]
 struct Backoff {
     failures: u32,
@@ -85,13 +80,13 @@
     }
 }
 
-/// Follows one table at the store, while this instance has to.
+/// Watches one table of the store, whenever this instance has to.
 struct TableWatch {
     state: Rc<State>,
     store: Store,
     table: Table,
     backoff: Backoff,
-    /// Whether the table must be read whole, since changes may have been missed.
+    /// Whether the table must be read completely, since changes may have been missed.
     needs_full_read: bool,
     is_store_unreachable: bool,
 }
@@ -116,7 +111,7 @@
             match self.poll_once().await {
                 Ok(()) => time::sleep_until(next_at).await,
                 Err(StoreError::HistoryGone) => {
-                    log::info!(table = self.table.as_str(); "history is gone, table is read anew");
+                    log::info!(table = self.table.as_str(); "change history lost, rereading table");
                     self.needs_full_read = true;
                 }
                 Err(e) => {
@@ -128,7 +123,7 @@
         }
     }
 
-    /// Waits while others bring the table's changes.
+    /// Waits while other instances deliver the table's changes.
     async fn wait_until_needed(&mut self) {
         if self.needs_full_read {
             return;
@@ -136,16 +131,16 @@
         let state = Rc::clone(&self.state);
         let mut is_watching = state.is_watching.subscribe();
         tokio::select! {
-            // An error means that the process ends.
+            // An error means that the process is exiting.
             _ = is_watching.wait_for(|&is_watching| is_watching) => {}
             () = resync_signal(&state, self.table).notified() => self.schedule_resync(),
         }
     }
 
-    /// While the store is away, only the watch of backend servers goes on asking.
-    /// With 70 instances, 148 starts and the store away for eight seconds, all
-    /// watches asking every second at the latest made 3,931 calls in all; with this,
-    /// and two seconds, it is 2,328.
+    /// Waits until the store is reachable again, except for the watch of backend servers.
+    ///
+    /// One watch per instance is enough to detect that the store is back. Retries of all
+    /// watches would multiply the load on a recovering store.
     async fn wait_for_store(&self) {
         let is_store_reachable = || self.state.contact.borrow().is_fresh(self.state.now_ms());
         while self.table != Table::Backends && !is_store_reachable() {
@@ -153,10 +148,10 @@
         }
     }
 
-    /// Another instance has seen what this one has not: the connection is dead,
-    /// the store holds changes back from it, or those it follows lag.
+    /// Reconnects and rereads the table after another instance has reported a newer
+    /// version: the connection is dead, or the store or the sources lag.
     fn schedule_resync(&mut self) {
-        log::info!(table = self.table.as_str(); "behind others, table is read anew");
+        log::info!(table = self.table.as_str(); "table is behind other instances, rereading");
         self.store = Store::new(self.state.settings.store_addr);
         self.needs_full_read = true;
     }
@@ -183,7 +178,8 @@
 
     async fn read_table(&mut self) -> Result<(), StoreError> {
         let snapshot = self.store.read(self.table).await?;
-        // Before the rows: whether a missing row ran out depends on it.
+        // Must precede the changes: contact with the store determines whether a missing
+        // row counts as expired or as removed.
         self.record_success();
         let replaced = self.state.replace_table(self.table, snapshot);
         replaced.map_err(|e| StoreError::BadAnswer(e.to_string()))?;
@@ -192,10 +188,12 @@
         Ok(())
     }
 
-    /// A silent connection is noticed when the wait is over. That of the backend
-    /// servers tells whether the store is there at all, and waits least; that of
-    /// the operator's decisions waits as long as an instance has to be in contact
-    /// again.
+    /// Returns the long-poll timeout of a watch.
+    ///
+    /// A dead connection is detected only when the poll times out. The backends watch has
+    /// the shortest timeout, since it also determines whether the store is reachable. The
+    /// timeout of the operator watch is the time within which an instance must regain
+    /// contact.
     fn poll_timeout_ms(&self) -> u64 {
         match self.table {
             Table::Members => MEMBERS_POLL_TIMEOUT_MS,
@@ -209,7 +207,7 @@
 
     fn record_failure(&mut self, e: &StoreError) {
         if !self.is_store_unreachable {
-            log::warn!(table = self.table.as_str(), error:% = e; "store lost");
+            log::warn!(table = self.table.as_str(), error:% = e; "store call failed");
         }
         self.is_store_unreachable = true;
         if self.table == Table::Backends {
@@ -222,7 +220,7 @@
         self.backoff = Backoff::default();
         if self.is_store_unreachable {
             self.is_store_unreachable = false;
-            log::info!(table = self.table.as_str(); "store regained");
+            log::info!(table = self.table.as_str(); "store reachable again");
         }
         if self.table == Table::Backends {
             let answered_at_ms = self.state.now_ms().saturating_sub(self.store.answer_age_ms());
@@ -232,7 +230,7 @@
     }
 }
 
-/// What tells a watch that it has missed something.
+/// Returns the signal that a watch has missed changes.
 fn resync_signal(state: &State, table: Table) -> &Notify {
     match table {
         Table::Members => &state.unknown_member,
@@ -240,8 +238,7 @@
     }
 }
 
-/// Waits for rows; `None` when there is news elsewhere that the watch should
-/// have brought.
+/// Waits for changed rows. Returns `None` if `resync` is notified first.
 async fn watch_or_resync(
     store: &mut Store,
     table: Table,
