--- a/crates/azuregate/src/serve/tables.rs
+++ b/crates/azuregate/src/serve/tables.rs
@@ -1,8 +1,8 @@
-//! Copies of the store's tables.
+//! Replicas of the store's tables.
 
 use azuregate_core::replica::{Replica, Table};
 
-/// Copies of all tables.
+/// The replicas of all tables.
 #[derive(Debug, Default)]
 pub(super) struct Tables {
     operator: Replica,
