--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -1,11 +1,11 @@
-//! What must not run twice does not, and "not run" is true.
+//! Non-idempotent requests are executed at most once, and a 503 means not executed.
 
 use azuregate_platform::stand_in::Behaviour;
 
 use crate::cluster::{TestCluster, get_request, post_request};
 
-/// A server closes the connection after it got a write. It may have run it, so no
-/// other server gets it, and the client is promised nothing.
+/// Guards against executing a write twice by retrying it on another server, or by
+/// inviting the client to retry it.
 #[tokio::test]
 async fn possibly_executed_write_is_not_retried() {
     for behaviour in [
@@ -19,14 +19,13 @@
         let instance = cluster.start_ready_instance(1).await;
         cluster.backends.iter().for_each(|backend| backend.set(behaviour.clone()));
         let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
-        assert!(matches!(response.status, 500 | 502), "{behaviour:?} gave {}", response.status);
+        assert!(matches!(response.status, 500 | 502), "{behaviour:?} returned {}", response.status);
         assert_eq!(response.header("retry-after"), None);
         assert_eq!(cluster.request_count("w1"), 1, "{behaviour:?}");
     }
 }
 
-/// The first server rejects the write. It has not run it, so the second one gets
-/// the write with its whole body.
+/// Guards against failing a write, or losing its body, when only one server rejects it.
 #[tokio::test]
 async fn rejected_write_is_retried_on_another_server() {
     for behaviour in [Behaviour::Reject, Behaviour::AnotherServer] {
@@ -42,8 +41,8 @@
     }
 }
 
-/// All servers reject. The client is told that the request has not run and when to
-/// come back, at once.
+/// Guards against delaying the 503, or omitting its `Retry-After`, when all servers reject
+/// a request.
 #[tokio::test]
 async fn request_rejected_by_all_servers_fails_fast() {
     let cluster = TestCluster::start(2).await;
@@ -57,7 +56,7 @@
     assert!(start.elapsed().as_millis() < 2_000);
 }
 
-/// No server listens any more. Nothing was sent, and the client may come back.
+/// Guards against a 502 for a request that was never sent.
 #[tokio::test]
 async fn request_fails_when_no_server_is_reachable() {
     let cluster = TestCluster::start(0).await;
