--- a/crates/azuregate/tests/serve/backends.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -1,4 +1,4 @@
-//! Backend servers that leave, come back, or whose rows run out.
+//! Distribution of requests over backend servers that drain, fail or lose their rows.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 use crate::cluster::{Instance, SERVICE, TestCluster, eventually, get_request};
 
-/// Sends reads about many objects, and returns how many reached each server.
+/// Sends reads of 30 objects and returns the number received by each server.
 async fn requests_per_server(cluster: &TestCluster, instance: &Instance, name: &str) -> Vec<usize> {
     for number in 0..30 {
         let request = get_request("/read/x", &format!("{name}-{number}"));
@@ -30,8 +30,7 @@
     assert!(counts.iter().all(|&count| count > 0), "{counts:?}");
 }
 
-/// A server says that it drains, or its row is removed. Soon nothing new reaches
-/// it, and the others serve its objects.
+/// Guards against sending requests to a server that drains or whose row is removed.
 #[tokio::test]
 async fn leaving_server_receives_no_new_requests() {
     for is_announced in [true, false] {
@@ -46,7 +45,7 @@
             false => cluster.store.remove("servers", leaving.id()),
         }
         let mut round = 0;
-        eventually("nothing new reaches it", async || {
+        eventually("the server receives no requests", async || {
             round += 1;
             let counts = requests_per_server(&cluster, &instance, &format!("round{round}")).await;
             counts[1] == 0 && counts.iter().sum::<usize>() == 30
@@ -55,7 +54,7 @@
     }
 }
 
-/// An operator evacuates a zone, and takes it back.
+/// Guards against ignoring the evacuation of a zone, or its end.
 #[tokio::test]
 async fn evacuated_zone_receives_no_requests() {
     let mut cluster = TestCluster::start(1).await;
@@ -63,22 +62,21 @@
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.put("op", "evacuate/zone-c", "{}");
     let mut round = 0;
-    eventually("nothing new reaches the zone", async || {
+    eventually("the zone receives no requests", async || {
         round += 1;
         requests_per_server(&cluster, &instance, &format!("round{round}")).await == [30, 0]
     })
     .await;
     cluster.store.remove("op", "evacuate/zone-c");
-    eventually("the zone serves again", async || {
+    eventually("the zone receives requests again", async || {
         requests_per_server(&cluster, &instance, "back").await;
         away.seen().iter().any(|seen| seen.id.starts_with("back"))
     })
     .await;
 }
 
-/// The store is away, and all rows run out meanwhile. Clients are served all the
-/// time, and also in the moment after the store's return in which no server has
-/// written its row yet.
+/// Guards against removing all servers because their rows expired during a store outage.
+/// Servers need some time after it to write their rows again.
 #[tokio::test]
 async fn rows_expired_during_store_outage_are_retained() {
     let cluster = TestCluster::start(2).await;
@@ -93,15 +91,14 @@
         assert_eq!(response.status, 200, "after {:?}", start.elapsed());
         time::sleep(Duration::from_millis(50)).await;
     }
-    eventually("servers without rows are given up", async || {
+    eventually("servers without rows are removed", async || {
         instance.send(&get_request("/read/x", "r2")).await.unwrap().status == 503
     })
     .await;
 }
 
-/// One of three servers is silent beyond the route's time. Its first clients get
-/// no answer in time; later ones are served by the others, which is only possible
-/// if requests that ran out of time count.
+/// Guards against timed-out requests not counting as failures of their server, which would
+/// then keep receiving requests.
 #[tokio::test]
 async fn server_that_times_out_is_avoided() {
     let mut cluster = TestCluster::start(3).await;
@@ -109,7 +106,7 @@
     let instance = cluster.start_ready_instance(1).await;
     cluster.backends[1].set(Behaviour::Slow(Duration::from_secs(5)));
     let mut round = 0;
-    eventually("nothing new reaches it", async || {
+    eventually("the server receives no requests", async || {
         round += 1;
         requests_per_server(&cluster, &instance, &format!("round{round}")).await[1] == 0
     })
