--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, that send ahead, or that send what is not allowed.
+//! Client disconnects, pipelining and invalid requests.
 
 use std::time::{Duration, Instant};
 
@@ -6,14 +6,13 @@
 
 use crate::cluster::{Client, TestCluster, eventually, get_request, post_request};
 
-/// The client closes its connection while a server works for it, in the second
-/// case with another request waiting behind. The server is told long before it is
-/// done, by its connection being closed.
+/// Guards against backend servers completing requests of a disconnected client, also when
+/// another request is pipelined behind the first.
 #[tokio::test]
 async fn client_disconnect_cancels_backend_requests() {
     for waiting in [0, 1] {
         let mut cluster = TestCluster::start(1).await;
-        // Neither the route's time nor the deadline ends the work before the check.
+        // Longer than the test, so that only the disconnect can cancel the request.
         cluster.update_config(|config| config.timeout_ms = 10_000);
         let instance = cluster.start_ready_instance(1).await;
         let backend = cluster.backends[0].clone();
@@ -22,10 +21,10 @@
         for number in 0..=waiting {
             client.send(&get_request("/read/x", &format!("r{number}"))).await;
         }
-        eventually("all arrive", async || backend.seen().len() > waiting).await;
+        eventually("all requests reach the server", async || backend.seen().len() > waiting).await;
         let left_at = Instant::now();
         drop(client);
-        eventually("the work is cancelled", async || {
+        eventually("the backend requests are cancelled", async || {
             backend.seen().iter().all(|seen| seen.cancelled_at.is_some())
         })
         .await;
@@ -33,8 +32,8 @@
     }
 }
 
-/// A client sends three reads at once. All are at a server before the first is
-/// answered, and the answers come in the order of the requests.
+/// Guards against pipelined reads being executed one after the other, or their responses
+/// arriving out of order.
 #[tokio::test]
 async fn pipelined_reads_run_concurrently() {
     let cluster = TestCluster::start(3).await;
@@ -50,11 +49,11 @@
     for number in 0..3 {
         assert_eq!(client.response().await.unwrap().body, format!("answer to r{number}"));
     }
-    assert!(start.elapsed() < pause * 2, "one after the other: {:?}", start.elapsed());
+    assert!(start.elapsed() < pause * 2, "executed sequentially: {:?}", start.elapsed());
 }
 
-/// A write waits behind a read. It starts only when it is its turn: if the
-/// connection ends before, the client sends it again, and it must not run twice.
+/// Guards against starting a pipelined write early: if the connection closes before the
+/// previous response, the client retries the write, and it would be executed twice.
 #[tokio::test]
 async fn pipelined_write_waits_for_previous_response() {
     let cluster = TestCluster::start(2).await;
@@ -70,8 +69,7 @@
     assert_eq!(client.response().await.unwrap().body, "answer to w1");
 }
 
-/// A body in chunks that holds what looks like a request is a body and nothing
-/// else: no server sees the request inside.
+/// Guards against request smuggling through a chunked body that contains a request.
 #[tokio::test]
 async fn request_text_inside_body_is_not_forwarded() {
     let cluster = TestCluster::start(1).await;
@@ -105,9 +103,8 @@
     assert!(cluster.backends[0].seen().is_empty());
 }
 
-/// A client sends half a head and then nothing, once on a new connection and once
-/// behind a request that was answered. The connection is closed soon after the time
-/// that a head may take; one that is only idle stays open.
+/// Guards against connections held open by an incomplete request head, on new and on
+/// reused connections, and against closing idle connections with them.
 #[tokio::test]
 async fn incomplete_request_head_times_out() {
     let cluster = TestCluster::start(1).await;
@@ -123,7 +120,7 @@
     fresh.send(half).await;
     used.send(half).await;
     let sent_at = Instant::now();
-    // The configuration allows three seconds.
+    // The configured header timeout.
     assert!(fresh.response().await.is_none() && used.response().await.is_none());
     assert!(sent_at.elapsed() > Duration::from_secs(3), "{:?}", sent_at.elapsed());
     idle.send(&get_request("/read/x", "r3")).await;
