--- a/crates/azuregate/tests/serve/cluster.rs
+++ b/crates/azuregate/tests/serve/cluster.rs
@@ -1,4 +1,4 @@
-//! A store, backend servers and entry instances on loopback.
+//! A test cluster on loopback: a fake store, fake backend servers and entry instances.
 
 use std::{
     net::SocketAddr,
@@ -22,19 +22,19 @@
     time,
 };
 
-/// The service of all tests.
+/// The service that all tests use.
 pub(crate) const SERVICE: &str = "shop";
-/// Ports of every instance; each has an address of its own.
+/// The first port of every instance; each instance has its own IP address.
 pub(crate) const FIRST_PORT: u16 = 18_160;
 pub(crate) const PEER_PORT: u16 = 18_170;
-/// Where `deploy/system.toml` says that metrics are.
+/// The metrics port declared in `deploy/system.toml`.
 const METRICS_PORT: u16 = 9_464;
-/// How long anything may take that must happen at last.
+/// The timeout of every wait.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
 static NEXT_NETWORK: AtomicU32 = AtomicU32::new(0);
 
-/// Everything outside the instances.
+/// The environment of the entry instances.
 pub(crate) struct TestCluster {
     pub(crate) store: StoreStandIn,
     pub(crate) backends: Vec<BackendStandIn>,
@@ -43,9 +43,9 @@
 }
 
 impl TestCluster {
-    /// A store with a configuration and `count` backend servers.
+    /// Starts a store with a configuration, and `count` backend servers.
     pub(crate) async fn start(count: usize) -> TestCluster {
-        // Other test processes run at the same time.
+        // Avoids address conflicts with test processes that run concurrently.
         let process = std::process::id() % 200 + 20;
         let network = format!("127.{process}.{}", NEXT_NETWORK.fetch_add(1, Ordering::Relaxed));
         let store = StoreStandIn::start("127.0.0.1").await;
@@ -58,7 +58,7 @@
         cluster
     }
 
-    /// Starts one more backend server and registers it.
+    /// Starts another backend server and registers it.
     pub(crate) async fn add_backend(&mut self, zone: &str) -> BackendStandIn {
         let id = format!("b{}", self.backends.len());
         let backend = BackendStandIn::start(&id, "127.0.0.1").await;
@@ -67,7 +67,7 @@
         backend
     }
 
-    /// Changes the configuration.
+    /// Modifies the configuration and writes it to the store as a new version.
     pub(crate) fn update_config(&mut self, change: impl FnOnce(&mut ConfigText)) {
         self.config.version += 1;
         change(&mut self.config);
@@ -92,7 +92,7 @@
         self.start_instance_with(number, |text| text.replace("self.zone=zone-a\n", &own_zone))
     }
 
-    /// Starts an instance with changed settings.
+    /// Starts an instance with modified settings.
     pub(crate) fn start_instance_with(
         &self,
         number: u8,
@@ -114,19 +114,19 @@
         Instance { traffic_addr, readiness_addr, lookup_addr, metrics_addr, stopper, thread }
     }
 
-    /// The settings of an instance.
+    /// Returns the settings file contents of an instance.
     pub(crate) fn settings_text(&self, number: u8) -> String {
         let ip = format!("{}.{number}", self.network);
         settings_text(&format!("entry-{number}"), &ip, FIRST_PORT, PEER_PORT, self.store.addr())
     }
 
-    /// Where the settings of an instance are.
+    /// Returns the path of an instance's settings file.
     pub(crate) fn settings_file(&self, number: u8) -> PathBuf {
         let name = format!("{}-{number}.conf", self.network);
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name)
     }
 
-    /// Requests of all backend servers with the id `id`.
+    /// Returns how many requests with this ID the backend servers have received.
     pub(crate) fn request_count(&self, id: &str) -> usize {
         let seen = self.backends.iter().flat_map(BackendStandIn::seen);
         seen.filter(|seen| seen.id == id).count()
@@ -144,17 +144,17 @@
 }
 
 impl Instance {
-    /// The status of the question whether it is ready; 0 if there is no answer.
+    /// Returns the status of the readiness endpoint, or 0 if there is no response.
     pub(crate) async fn readiness(&self) -> u16 {
         readiness_status(self.readiness_addr).await
     }
 
-    /// Which instances a client in `zone` of `region` is told to use.
+    /// Returns the addresses that a lookup by a client in `zone` of `region` lists.
     pub(crate) async fn lookup(&self, zone: &str, region: &str) -> Vec<SocketAddr> {
         lookup(self.lookup_addr, zone, region).await
     }
 
-    /// Sends one request on a connection of its own.
+    /// Sends one request on a new connection.
     pub(crate) async fn send(&self, request: &str) -> Option<HttpResponse> {
         let mut client = Client::connect(self.traffic_addr).await;
         client.send(request).await;
@@ -162,7 +162,7 @@
     }
 }
 
-/// A request without a body.
+/// Returns a GET request.
 pub(crate) fn get_request(path: &str, id: &str) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\n\
@@ -170,7 +170,7 @@
     )
 }
 
-/// A request with a body.
+/// Returns a POST request.
 pub(crate) fn post_request(path: &str, id: &str, body: &str) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nHost: shop.example\r\nX-Request-Id: {id}\r\n\
@@ -179,7 +179,7 @@
     )
 }
 
-/// What a client got.
+/// A response received by a client.
 #[derive(Clone, Debug)]
 pub(crate) struct HttpResponse {
     pub(crate) status: u16,
@@ -188,7 +188,7 @@
 }
 
 impl HttpResponse {
-    /// A header's value.
+    /// Returns the value of a header.
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|line| line.split_once(':'));
         let found = fields.into_iter().find(|(key, _)| key.eq_ignore_ascii_case(name));
@@ -196,7 +196,7 @@
     }
 }
 
-/// A client's connection.
+/// A client connection.
 pub(crate) struct Client {
     stream: TcpStream,
     bytes: Vec<u8>,
@@ -204,11 +204,11 @@
 
 impl Client {
     pub(crate) async fn connect(addr: SocketAddr) -> Client {
-        let stream = TcpStream::connect(addr).await.expect("the instance takes connections");
+        let stream = TcpStream::connect(addr).await.expect("the instance accepts connections");
         Client { stream, bytes: Vec::new() }
     }
 
-    /// Connects, unless the instance does not take connections.
+    /// Connects, or returns `None` if the instance does not accept the connection.
     pub(crate) async fn try_connect(addr: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(addr).await.ok()?;
         Some(Client { stream, bytes: Vec::new() })
@@ -218,11 +218,11 @@
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
 
-    /// The next whole answer, or `None` if the connection ends first.
+    /// Reads the next complete response, or returns `None` if the connection closes first.
     pub(crate) async fn response(&mut self) -> Option<HttpResponse> {
         time::timeout(TIMEOUT, self.read_response())
             .await
-            .expect("an answer or an end comes in time")
+            .expect("a response or a close arrives in time")
     }
 
     async fn read_response(&mut self) -> Option<HttpResponse> {
@@ -263,13 +263,12 @@
     client.response().await
 }
 
-/// The status of the question at `addr` whether an instance is ready; 0 if there is
-/// no answer.
+/// Returns the status of the readiness endpoint at `addr`, or 0 if there is no response.
 pub(crate) async fn readiness_status(addr: SocketAddr) -> u16 {
     get(addr, "/-/readyz").await.map_or(0, |response| response.status)
 }
 
-/// Which instances the one at `addr` tells a client in `zone` of `region` to use.
+/// Returns the addresses that a lookup at `addr` lists for a client in `zone` of `region`.
 pub(crate) async fn lookup(addr: SocketAddr, zone: &str, region: &str) -> Vec<SocketAddr> {
     let path = format!("/-/resolve?name=shop.example&region={region}&zone={zone}");
     let Some(response) = get(addr, &path).await else { return Vec::new() };
@@ -284,11 +283,11 @@
 ///
 /// # Panics
 ///
-/// When it does not hold in time.
+/// Panics if the condition does not hold within the timeout.
 pub(crate) async fn eventually(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let start = Instant::now();
     while !condition().await {
-        assert!(start.elapsed() < TIMEOUT, "not in time: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out: {what}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
