--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -1,4 +1,4 @@
-//! What operators decide is in force soon, and stays so.
+//! Propagation of configuration changes from the store.
 
 use std::time::Duration;
 
@@ -19,8 +19,7 @@
     .await;
 }
 
-/// The store answers from a copy that is behind, with a configuration from before
-/// the one in force. Clients go on as the newer one says.
+/// Guards against a lagging store replica reverting the configuration.
 #[tokio::test]
 async fn older_configuration_is_ignored() {
     let mut cluster = TestCluster::start(1).await;
@@ -32,9 +31,7 @@
     assert_eq!(instance.send(&get_request("/new/x", "r1")).await.unwrap().status, 200);
 }
 
-/// The store goes silent on open connections while a change is made, and comes
-/// back. The instance notices that its watch is dead, and has the change in force
-/// within its wait and a retry.
+/// Guards against missing a change because a watch waits on a dead connection.
 #[tokio::test]
 async fn silent_store_connection_is_replaced() {
     let mut cluster = TestCluster::start(1).await;
@@ -49,8 +46,7 @@
     .await;
 }
 
-/// The store drops its history while an instance watches: the tables are read
-/// anew, and nothing is missed.
+/// Guards against missing a change that the store no longer has in its change history.
 #[tokio::test]
 async fn tables_are_reread_after_history_loss() {
     let mut cluster = TestCluster::start(1).await;
@@ -63,8 +59,7 @@
     .await;
 }
 
-/// A row that another writer left cut short is passed over; the configuration in
-/// force stays, and so do the servers.
+/// Guards against malformed rows replacing the current configuration or servers.
 #[tokio::test]
 async fn malformed_rows_are_ignored() {
     let cluster = TestCluster::start(1).await;
@@ -76,22 +71,22 @@
     assert_eq!(instance.send(&get_request("/read/x", "r1")).await.unwrap().status, 200);
 }
 
-/// An instance starts while the store refuses it. It says that it is not ready,
-/// and promises clients that nothing has run.
+/// Guards against reporting ready, or returning anything but 503, before the first
+/// configuration is loaded.
 #[tokio::test]
 async fn instance_without_configuration_is_not_ready() {
     let cluster = TestCluster::start(1).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
     let instance = cluster.start_instance(1);
-    eventually("the instance answers", async || instance.readiness().await == 503).await;
+    eventually("the instance responds", async || instance.readiness().await == 503).await;
     let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
     assert_eq!(response.status, 503);
     cluster.store.set_fault(StoreFault::None);
     eventually("the instance is ready", async || instance.readiness().await == 200).await;
 }
 
-/// Guards against denying a route that an instance cannot know yet, since it has lost
-/// contact with the store.
+/// Guards against a 404 for a route that was added while the instance had no contact with
+/// the store.
 #[tokio::test]
 async fn unknown_route_returns_503_without_store_contact() {
     let cluster = TestCluster::start(1).await;
@@ -102,8 +97,9 @@
         async move { instance.send(&get_request(path, "r1")).await.unwrap().status }
     };
     assert_eq!(status_of("/new/x").await, 404);
-    eventually("the route is not denied", async || status_of("/new/x").await == 503).await;
+    eventually("an unknown route returns 503", async || status_of("/new/x").await == 503).await;
     assert_eq!(status_of("/read/x").await, 200);
     cluster.store.set_fault(StoreFault::None);
-    eventually("the route is denied again", async || status_of("/new/x").await == 404).await;
+    eventually("an unknown route returns 404 again", async || status_of("/new/x").await == 404)
+        .await;
 }
