--- a/crates/azuregate/tests/serve/links.rs
+++ b/crates/azuregate/tests/serve/links.rs
@@ -1,4 +1,4 @@
-//! Links of instances with a delay and a bandwidth.
+//! Emulates network links with a delay and a bandwidth limit.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -16,19 +16,18 @@
     time::{self, Instant},
 };
 
-/// Bytes that are read at once.
 const CHUNK_BYTES: usize = 8 << 10;
-/// Chunks of a connection that wait on the link; more block the sender.
+/// Limits the queue of a connection; a full queue blocks the sender.
 const QUEUED_CHUNKS: usize = 8;
 
-/// What all connections to one instance share on their way back.
+/// The conditions that all data sent by one instance is subject to.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LinkConditions {
     pub(crate) bytes_per_s: u64,
     pub(crate) delay: Duration,
 }
 
-/// A relay in front of the peer port of one instance.
+/// A proxy in front of the peer port of one instance.
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
     pub(crate) ip: IpAddr,
@@ -43,7 +42,7 @@
 }
 
 impl LinkState {
-    /// When a chunk that is sent now arrives.
+    /// Queues a chunk on the link and returns its delivery time.
     fn schedule_delivery(&mut self, bytes: usize) -> Instant {
         self.sent_bytes += bytes as u64;
         let transmission_time =
@@ -54,7 +53,7 @@
 }
 
 impl Link {
-    /// Takes connections and datagrams at `ip` for the instance at `target`.
+    /// Forwards connections and datagrams received at `ip` to the instance at `target`.
     pub(crate) async fn start(ip: IpAddr, target: SocketAddr, conditions: LinkConditions) -> Link {
         let state = Arc::new(Mutex::new(LinkState {
             conditions,
@@ -74,7 +73,7 @@
         Link { ip, state }
     }
 
-    /// What the instance has sent to others so far.
+    /// Returns the number of bytes that the instance has sent over connections.
     pub(crate) fn sent_bytes(&self) -> u64 {
         self.state.lock().unwrap().sent_bytes
     }
@@ -84,7 +83,7 @@
     }
 }
 
-/// Datagrams are small, and take only the delay.
+/// Datagrams are small, so only the delay applies to them.
 async fn forward_datagrams(datagrams: UdpSocket, target: SocketAddr, state: Arc<Mutex<LinkState>>) {
     let datagrams = Arc::new(datagrams);
     let mut buffer = [0; 2_048];
