--- a/crates/azuregate/tests/serve/lookups.rs
+++ b/crates/azuregate/tests/serve/lookups.rs
@@ -1,4 +1,4 @@
-//! Clients are told to use instances that live.
+//! Instance lookups and metrics.
 
 use std::time::Duration;
 
@@ -6,8 +6,7 @@
 
 use crate::cluster::{TestCluster, eventually, get, get_request};
 
-/// Two instances know each other by the store and by heartbeats. When one stops,
-/// the other names it no more, long before clients could tell.
+/// Guards against directing clients to an instance that is shutting down.
 #[tokio::test]
 async fn stopping_instance_is_removed_from_lookups() {
     let cluster = TestCluster::start(1).await;
@@ -15,7 +14,7 @@
         (cluster.start_ready_instance(1).await, cluster.start_ready_instance(2).await);
     let both = [first.traffic_addr, second.traffic_addr];
     for instance in [&first, &second] {
-        eventually("both are named", async || {
+        eventually("both instances are listed", async || {
             let mut addrs = instance.lookup("zone-a", "region-1").await;
             addrs.sort();
             addrs == both
@@ -23,7 +22,7 @@
         .await;
     }
     first.stopper.stop();
-    eventually("one is named", async || {
+    eventually("only the second instance is listed", async || {
         second.lookup("zone-a", "region-1").await == [second.traffic_addr]
     })
     .await;
@@ -31,8 +30,7 @@
     assert_eq!(first.readiness().await, 503);
 }
 
-/// An instance that registered and is silent since, because it was killed, is not
-/// named: its row outlives it.
+/// Guards against directing clients to a killed instance whose row is still in the store.
 #[tokio::test]
 async fn silent_instance_is_omitted_from_lookups() {
     let cluster = TestCluster::start(1).await;
@@ -41,11 +39,11 @@
     let instance = cluster.start_ready_instance(1).await;
     time::sleep(Duration::from_millis(700)).await;
     assert_eq!(instance.lookup("zone-a", "region-1").await, [instance.traffic_addr]);
-    // Clients of a place without instances are sent to those that there are.
+    // Clients in a region without instances are directed to other regions.
     assert_eq!(instance.lookup("zone-c", "region-2").await, [instance.traffic_addr]);
 }
 
-/// Counters and latencies are for whoever is on call, on a port of their own.
+/// Guards against exposing metrics to clients.
 #[tokio::test]
 async fn metrics_are_served_only_on_metrics_port() {
     let cluster = TestCluster::start(1).await;
