--- a/crates/azuregate/tests/serve/main.rs
+++ b/crates/azuregate/tests/serve/main.rs
@@ -1,5 +1,4 @@
-//! An entry instance on the users' platform, against stand-ins for the store and
-//! the backend servers.
+//! Tests of entry instances against a fake store and fake backend servers.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
