--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -1,4 +1,4 @@
-//! Two instances watch the store, the others follow them.
+//! Replication of table changes between instances, of which two watch the store.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 
 use crate::cluster::{Instance, TestCluster, eventually, get, get_request};
 
-/// Time in which instances find out whom to follow.
+/// The time in which instances select their sources.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
 
-/// So many instances, which have found out whom to follow.
+/// Starts `count` instances and waits until they have selected their sources.
 async fn start_settled(cluster: &TestCluster, count: u8) -> Vec<Instance> {
     let mut instances = Vec::new();
     for number in 1..=count {
@@ -30,8 +30,7 @@
     calls.iter().filter(|call| call.starts_with("/-/rows-feed?table=servers")).count()
 }
 
-/// Five instances, and backend servers that change one after the other. Every
-/// instance learns of each, and only two ask the store.
+/// Guards against store calls growing with the number of instances.
 #[tokio::test]
 async fn only_two_instances_poll_the_store() {
     let mut cluster = TestCluster::start(1).await;
@@ -42,17 +41,16 @@
         cluster.add_backend("zone-a").await;
         time::sleep(Duration::from_millis(400)).await;
     }
-    // A call for each change, and one for a wait that ended before it.
+    // One call per change, plus one long poll that timed out before it.
     let calls = backend_watch_calls(&cluster) - before;
     assert!(calls <= 2 * 2 * changes, "{calls} calls for {changes} changes");
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     for instance in &instances {
-        eventually("the change is in force", async || serves(instance, "/new/x").await).await;
+        eventually("the change is applied", async || serves(instance, "/new/x").await).await;
     }
 }
 
-/// All instances but one stop, and with them those that watched the store. The one
-/// that is left has a change in force that comes right after.
+/// Guards against missing changes when both instances that watch the store stop.
 #[tokio::test]
 async fn remaining_instance_takes_over_the_store_watch() {
     let mut cluster = TestCluster::start(1).await;
@@ -64,18 +62,18 @@
     }
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     let changed_at = time::Instant::now();
-    eventually("the change is in force", async || serves(&last, "/new/x").await).await;
+    eventually("the change is applied", async || serves(&last, "/new/x").await).await;
     assert!(changed_at.elapsed() < Duration::from_millis(2_000));
 }
 
-/// The store refuses every call for some seconds. Instances go on asking, but not
-/// for every table and not all the time, and are back in contact soon after it.
+/// Guards against overloading a failing store with retries, and against backing off so
+/// long that recovery is delayed.
 #[tokio::test]
 async fn unreachable_store_is_polled_with_backoff() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4).await;
     cluster.store.set_fault(StoreFault::Refuse(503));
-    // The first calls fail within a wait, and the pauses grow after that.
+    // Let the first long polls fail and the backoff reach its maximum.
     time::sleep(Duration::from_millis(2_500)).await;
     let before = cluster.store.calls().len();
     time::sleep(Duration::from_millis(4_000)).await;
@@ -85,7 +83,7 @@
     let returned_at = time::Instant::now();
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     for instance in &instances {
-        eventually("the change is in force", async || serves(instance, "/new/x").await).await;
+        eventually("the change is applied", async || serves(instance, "/new/x").await).await;
     }
     assert!(returned_at.elapsed() < Duration::from_millis(3_500));
 }
