--- a/crates/azuregate/tests/serve/reload.rs
+++ b/crates/azuregate/tests/serve/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change, and the process that reads them.
+//! Reloading of the settings file, signals, and `--check`.
 
 use std::{
     io::Read,
@@ -11,8 +11,8 @@
 
 use crate::cluster::{TestCluster, eventually, get};
 
-/// The file changes without a signal: the time for which clients may keep an
-/// answer is shorter soon. A file that is wrong changes nothing.
+/// Guards against ignoring a file change without SIGHUP, and against applying an invalid
+/// file.
 #[tokio::test]
 async fn settings_file_change_is_applied_without_signal() {
     let cluster = TestCluster::start(1).await;
@@ -22,14 +22,15 @@
     assert!(lookup_body().await.contains("\"ttlS\":2.0"));
     let text = cluster.settings_text(1) + "terms.bounds.ttl_max_s=1\n";
     std::fs::write(cluster.settings_file(1), &text).unwrap();
-    eventually("the new bound holds", async || lookup_body().await.contains("\"ttlS\":1.0")).await;
+    eventually("the new bound is applied", async || lookup_body().await.contains("\"ttlS\":1.0"))
+        .await;
     std::fs::write(cluster.settings_file(1), text.replace("ttl_max_s=1", "ttl_max_s=x")).unwrap();
     time::sleep(Duration::from_millis(2_500)).await;
     assert!(lookup_body().await.contains("\"ttlS\":1.0"));
 }
 
-/// The real program gets SIGHUP, which it survives, and SIGTERM, after which it
-/// ends by itself with status 0. Its log tells of start, reload and stop.
+/// Guards against SIGHUP ending the process, and SIGTERM ending it without a graceful
+/// shutdown.
 #[tokio::test]
 async fn sighup_reloads_and_sigterm_stops() {
     let cluster = TestCluster::start(1).await;
@@ -41,22 +42,26 @@
         .spawn()
         .unwrap();
     let pid = Pid::from_child(&program);
-    eventually("it registers", async || !cluster.store.keys("instances").is_empty()).await;
+    eventually("the instance is registered", async || !cluster.store.keys("instances").is_empty())
+        .await;
     kill_process(pid, Signal::HUP).unwrap();
     time::sleep(Duration::from_millis(500)).await;
     kill_process(pid, Signal::TERM).unwrap();
-    eventually("it ends", async || program.try_wait().unwrap().is_some()).await;
+    eventually("the process has exited", async || program.try_wait().unwrap().is_some()).await;
     assert_eq!(program.wait().unwrap().code(), Some(0));
     let mut log = String::new();
     program.stdout.take().unwrap().read_to_string(&mut log).unwrap();
-    for event in
-        ["entry instance started", "settings reloaded", "graceful shutdown started", "entry instance stopped"]
-    {
+    for event in [
+        "entry instance started",
+        "settings reloaded",
+        "graceful shutdown started",
+        "entry instance stopped",
+    ] {
         assert!(log.contains(event), "{event} is not in\n{log}");
     }
 }
 
-/// `--check` names each field that is wrong, and changes nothing.
+/// Guards against `--check` accepting invalid settings or reporting only the first one.
 #[tokio::test]
 async fn check_reports_each_invalid_field() {
     let cluster = TestCluster::start(0).await;
