--- a/crates/azuregate/tests/serve/responses.rs
+++ b/crates/azuregate/tests/serve/responses.rs
@@ -1,4 +1,4 @@
-//! Each client gets the whole answer to its own request.
+//! Clients receive the complete response to their own request.
 
 use std::time::Duration;
 
@@ -18,20 +18,18 @@
     assert_eq!(seen.line, "POST /write/a?b=%20c");
     assert_eq!(seen.body, b"body");
     assert_eq!(seen.expected_backend, "b0");
-    assert!((1..=1_000).contains(&seen.deadline_ms), "what is left: {}", seen.deadline_ms);
+    assert!((1..=1_000).contains(&seen.deadline_ms), "remaining time: {} ms", seen.deadline_ms);
 }
 
-/// What a client gets when each server answers in this way.
+/// The expected statuses when all backend servers behave in this way.
 struct Case {
     behaviour: Behaviour,
     read_status: u16,
     write_status: u16,
 }
 
-/// Every server answers the first request as it should, and the next ones in a way
-/// that must not reach a client as a success. The client of a read and the client
-/// of a write see a failure that promises nothing, except where the server says
-/// that it has not run the request.
+/// Guards against forwarding lost, truncated, unsigned or mismatched responses as a
+/// success. Only a rejection by the server may become a 503, which clients retry.
 #[tokio::test]
 async fn invalid_backend_responses_are_not_reported_as_success() {
     let cases = [
@@ -59,8 +57,8 @@
     }
 }
 
-/// A server answers twice: the second answer lies on the connection when the next
-/// request is sent there. The next client gets its own answer, or a failure.
+/// Guards against a duplicate response that remains on a reused connection being
+/// delivered to the next client.
 #[tokio::test]
 async fn duplicate_response_is_not_delivered_to_next_request() {
     let cluster = TestCluster::start(1).await;
@@ -75,8 +73,7 @@
     }
 }
 
-/// One server of two spoils every answer. A read runs again on the other one, and
-/// its client sees nothing of it.
+/// Guards against a read failing although another server can serve it.
 #[tokio::test]
 async fn failed_read_is_retried_on_another_server() {
     for behaviour in [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::Fail] {
@@ -95,8 +92,8 @@
     }
 }
 
-/// The server is silent. The client gets its answer when the route's time is over,
-/// not when its own patience is, and the server's work is cancelled.
+/// Guards against waiting for the client's deadline although the route's timeout is
+/// shorter, and against leaving the request running at the server.
 #[tokio::test]
 async fn route_timeout_cancels_backend_request() {
     let mut cluster = TestCluster::start(1).await;
@@ -108,5 +105,8 @@
     assert_eq!(response.status, 504);
     assert!(start.elapsed() < Duration::from_millis(2_500), "took {:?}", start.elapsed());
     let backend = cluster.backends[0].clone();
-    eventually("the work is cancelled", async || backend.seen()[0].cancelled_at.is_some()).await;
+    eventually("the backend request is cancelled", async || {
+        backend.seen()[0].cancelled_at.is_some()
+    })
+    .await;
 }
