--- a/crates/azuregate/tests/serve/shutdown.rs
+++ b/crates/azuregate/tests/serve/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off.
+//! A graceful shutdown does not interrupt requests.
 
 use std::{
     fs::{self, File},
@@ -16,9 +16,8 @@
 
 use crate::cluster::{Client, TestCluster, eventually, get_request, post_request};
 
-/// A client has a request at work when the stop begins, sends another one on the
-/// same connection after it, and connects anew later still. All are answered; the
-/// answers say that the connection closes; and the process ends in time.
+/// Guards against failing requests that are in flight when the shutdown begins, or that
+/// arrive during it on open and on new connections.
 #[tokio::test]
 async fn requests_during_shutdown_are_answered() {
     let cluster = TestCluster::start(1).await;
@@ -34,9 +33,9 @@
     assert_eq!((response.status, response.header("connection")), (200, Some("close")));
     idle.send(&get_request("/read/x", "r1")).await;
     assert_eq!(idle.response().await.unwrap().status, 200);
-    assert!(idle.response().await.is_none(), "the connection closes after its answer");
+    assert!(idle.response().await.is_none(), "the connection closes after its response");
 
-    // Late enough that idle connections are closed already.
+    // Idle connections have been closed by then.
     time::sleep_until((stopped_at + Duration::from_millis(2_700)).into()).await;
     let mut late = Client::connect(instance.traffic_addr).await;
     time::sleep(Duration::from_millis(100)).await;
@@ -50,7 +49,7 @@
     assert!(cluster.store.keys("instances").is_empty(), "its row is removed");
 }
 
-/// Guards against a stop that comes during the start ending the process by its signal.
+/// Guards against SIGTERM during startup killing the process.
 #[tokio::test]
 async fn sigterm_during_startup_shuts_down_gracefully() {
     let cluster = TestCluster::start(1).await;
@@ -63,19 +62,19 @@
         .stdout(Stdio::null())
         .spawn()
         .unwrap();
-    // Whoever opens a FIFO for writing waits until the process opens it for reading.
+    // Opening a FIFO for writing blocks until the process opens it for reading.
     let path = settings.clone();
     let opening = tokio::task::spawn_blocking(move || File::options().write(true).open(path));
     let mut file = opening.await.unwrap().unwrap();
     kill_process(Pid::from_child(&process), Signal::TERM).unwrap();
-    // Whoever reads the settings again finds a file.
+    // Later reads of the settings get a regular file.
     fs::remove_file(&settings).unwrap();
     fs::write(&settings, cluster.settings_text(1)).unwrap();
-    // A process that the signal has ended reads nothing.
+    // The write fails if the signal has already ended the process.
     let _ = file.write_all(cluster.settings_text(1).as_bytes());
     drop(file);
     let mut ended = None;
-    eventually("the process has ended", async || {
+    eventually("the process has exited", async || {
         ended = process.try_wait().unwrap();
         ended.is_some()
     })
