--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -1,4 +1,4 @@
-//! Instances whose links to each other are slow.
+//! Replication between instances over slow network links.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -12,15 +12,15 @@
     links::{Link, LinkConditions},
 };
 
-/// Time in which instances find out whom to follow.
+/// The time in which instances select their sources.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
-/// The time in which a change must be in force, as the settings of the tests say.
+/// The time limit for applying a change, as configured in the settings of the tests.
 const PROPAGATION_LIMIT: Duration = Duration::from_millis(2_000);
 const FAST: LinkConditions = LinkConditions { bytes_per_s: 125_000_000, delay: Duration::ZERO };
 const SLOW: LinkConditions =
     LinkConditions { bytes_per_s: 500_000, delay: Duration::from_millis(20) };
 
-/// So many instances, which others reach only under these link conditions.
+/// Starts `count` instances that others reach only through links with these conditions.
 async fn start_settled(
     cluster: &TestCluster,
     count: u8,
@@ -35,8 +35,10 @@
     for (instance, number) in instances {
         eventually("the instance is ready", async || instance.readiness().await == 200).await;
         let key = format!("entry-{number}");
-        eventually("it is registered", async || cluster.store.value("instances", &key).is_some())
-            .await;
+        eventually("the instance is registered", async || {
+            cluster.store.value("instances", &key).is_some()
+        })
+        .await;
         let mut row: serde_json::Value =
             serde_json::from_slice(&cluster.store.value("instances", &key).unwrap()).unwrap();
         let target = SocketAddr::new(instance.traffic_addr.ip(), PEER_PORT);
@@ -49,21 +51,21 @@
     linked
 }
 
-/// An address of the same network that no instance has.
+/// Returns an address in the same network that no instance uses.
 fn linked_ip(ip: IpAddr) -> IpAddr {
     let IpAddr::V4(ip) = ip else { unreachable!("tests use IPv4") };
     let [a, b, c, d] = ip.octets();
     IpAddr::from([a, b, c, d + 100])
 }
 
-/// How long after `changed_at` the route is served by all.
+/// Waits until all instances serve the route and returns the time since `changed_at`.
 async fn time_until_served_by_all(
     instances: &[(Instance, Link)],
     path: &str,
     changed_at: Instant,
 ) -> Duration {
     for (instance, _) in instances {
-        eventually("the change is in force", async || {
+        eventually("the change is applied", async || {
             let response = instance.send(&get_request(path, "r1")).await;
             response.is_some_and(|response| response.status == 200)
         })
@@ -72,12 +74,12 @@
     changed_at.elapsed()
 }
 
-/// Guards against updates that wait on a full link being taken for fresh.
+/// Guards against treating updates that were delayed by a full link as fresh.
 #[tokio::test]
 async fn delayed_updates_are_not_treated_as_fresh() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4, FAST).await;
-    // Slowly, so that no pause between heartbeats gives it away.
+    // Increase gradually, so that no heartbeat gap reveals the delay.
     for delay_ms in (400..=2_800).step_by(400) {
         let delay = Duration::from_millis(delay_ms);
         instances.iter().for_each(|(_, link)| link.set_delay(delay));
@@ -85,11 +87,11 @@
     }
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
     let elapsed = time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
-    assert!(elapsed < PROPAGATION_LIMIT, "in force after {elapsed:?}");
+    assert!(elapsed < PROPAGATION_LIMIT, "applied after {elapsed:?}");
 }
 
-/// Guards against a large configuration filling the links of the instances that pass
-/// it on.
+/// Guards against a large configuration saturating the links of the instances that
+/// forward it.
 #[tokio::test]
 async fn large_configuration_propagates_in_time() {
     let mut cluster = TestCluster::start(1).await;
@@ -100,15 +102,15 @@
         config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     time_until_served_by_all(&instances, "/more1399/x", Instant::now()).await;
-    // More than that is late on such a link.
+    // The link cannot transmit more within the limit.
     let limit_bytes = SLOW.bytes_per_s * PROPAGATION_LIMIT.as_secs();
     let sent: Vec<u64> =
         sent_bytes().iter().zip(before).map(|(now, before)| now - before).collect();
     assert!(sent.iter().all(|&sent| sent < limit_bytes), "{sent:?} bytes");
 }
 
-/// Guards against instances that wait for relays which have gone silent, and send
-/// heartbeats all the same.
+/// Guards against waiting for sources that stop forwarding changes but still send
+/// heartbeats.
 #[tokio::test]
 async fn instances_with_silent_sources_watch_the_store() {
     let mut cluster = TestCluster::start(1).await;
@@ -121,14 +123,17 @@
             silent += 1;
         }
     }
-    assert!((4..=8).contains(&silent), "two watch and two of each zone pass on, not {silent}");
+    assert!(
+        (4..=8).contains(&silent),
+        "two watchers and two relays per zone expected, got {silent}"
+    );
     cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
-    // The relays would deliver it after an hour.
+    // Over the links, the change would take an hour.
     time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
 }
 
-/// Guards against an instance that never starts since it breaks off a large answer of
-/// the store each time anew.
+/// Guards against an instance never becoming ready because reading a large table times out
+/// on every attempt.
 #[tokio::test]
 async fn large_configuration_is_read_over_a_slow_link() {
     let mut cluster = TestCluster::start(1).await;
