--- a/crates/azuregate/tests/serve/answers.rs
+++ b/crates/azuregate/tests/serve/answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::world::{World, eventually, read_request, write_request};
 
--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -1,6 +1,6 @@
 //! What must not run twice does not, and "not run" is true.
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::world::{World, read_request, write_request};
 
@@ -65,7 +65,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let row = azuregate_platform::stand_in::backend_row("shop", gone, "zone-a", "ready");
+    let row = azuregate_platform::fakes::backend_row("shop", gone, "zone-a", "ready");
     world.store.put("servers", "gone", row);
     let entry = world.instance(1).await;
     let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::world::{Client, World, eventually, read_request, write_request};
 
--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::{StoreFault, config_row};
+use azuregate_platform::fakes::{StoreFault, config_row};
 use tokio::time;
 
 use crate::world::{World, eventually, read_request};
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::StoreFault;
+use azuregate_platform::fakes::StoreFault;
 use tokio::time;
 
 use crate::world::{Instance, World, eventually, get, read_request};
--- a/crates/azuregate/tests/serve/servers.rs
+++ b/crates/azuregate/tests/serve/servers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::{Behaviour, StoreFault, backend_row};
+use azuregate_platform::fakes::{Behaviour, StoreFault, backend_row};
 use tokio::time;
 
 use crate::world::{Instance, SERVICE, World, eventually, read_request};
@@ -14,7 +14,7 @@
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
         entry.send(&request).await.unwrap();
     }
-    let count = |seen: &azuregate_platform::stand_in::Seen| seen.id.starts_with(name);
+    let count = |seen: &azuregate_platform::fakes::Seen| seen.id.starts_with(name);
     world
         .backends
         .iter()
--- a/crates/azuregate/tests/serve/stops.rs
+++ b/crates/azuregate/tests/serve/stops.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 use rustix::{
     fs::{CWD, Mode, mkfifoat},
     process::{Pid, Signal, kill_process},
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -13,8 +13,8 @@
     stop::{self, Stopper},
 };
 use azuregate_platform::{
+    fakes::{ConfigText, FakeBackend, FakeStore, backend_row, config_row, settings_text},
     settings::Settings,
-    stand_in::{BackendStandIn, ConfigText, StoreStandIn, backend_row, config_row, settings_text},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -36,8 +36,8 @@
 
 /// Everything outside the instances.
 pub(crate) struct World {
-    pub(crate) store: StoreStandIn,
-    pub(crate) backends: Vec<BackendStandIn>,
+    pub(crate) store: FakeStore,
+    pub(crate) backends: Vec<FakeBackend>,
     pub(crate) config: ConfigText,
     pub(crate) network: String,
 }
@@ -48,7 +48,7 @@
         // Other test processes run at the same time.
         let process = std::process::id() % 200 + 20;
         let network = format!("127.{process}.{}", NETWORKS.fetch_add(1, Ordering::Relaxed));
-        let store = StoreStandIn::start("127.0.0.1").await;
+        let store = FakeStore::start("127.0.0.1").await;
         let config = ConfigText::new(SERVICE);
         store.put("op", "config", config_row(&config));
         let mut world = World { store, backends: Vec::new(), config, network };
@@ -59,9 +59,9 @@
     }
 
     /// Starts one more backend server and registers it.
-    pub(crate) async fn add_backend(&mut self, zone: &str) -> BackendStandIn {
+    pub(crate) async fn add_backend(&mut self, zone: &str) -> FakeBackend {
         let id = format!("b{}", self.backends.len());
-        let backend = BackendStandIn::start(&id, "127.0.0.1").await;
+        let backend = FakeBackend::start(&id, "127.0.0.1").await;
         self.store.put("servers", &id, backend_row(SERVICE, backend.addr(), zone, "ready"));
         self.backends.push(backend.clone());
         backend
@@ -128,7 +128,7 @@
 
     /// Requests of all backend servers with the id `id`.
     pub(crate) fn arrivals(&self, id: &str) -> usize {
-        let seen = self.backends.iter().flat_map(BackendStandIn::seen);
+        let seen = self.backends.iter().flat_map(FakeBackend::seen);
         seen.filter(|seen| seen.id == id).count()
     }
 }
--- a/crates/azuregate/tests/soak/checks.rs
+++ b/crates/azuregate/tests/soak/checks.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::Seen;
+use azuregate_platform::fakes::Seen;
 
 use crate::{
     clients::{End, Exchange, body_of},
@@ -39,7 +39,7 @@
     exchanges: &[Exchange],
     calm_at: Instant,
 ) -> Vec<String> {
-    let seen: Vec<Seen> = stage.servers.iter().flat_map(|server| server.stand_in.seen()).collect();
+    let seen: Vec<Seen> = stage.servers.iter().flat_map(|server| server.backend.seen()).collect();
     let mut problems: Vec<String> =
         stage.instances.iter().filter_map(|instance| instance.own_end()).collect();
     problems.extend(answers(exchanges));
@@ -102,9 +102,9 @@
         true => drained_at + DRAINED_AFTER,
         false => (drained_at + DRAINED_AFTER).max(calm_at),
     };
-    let late = server.stand_in.seen().into_iter().find(|seen| seen.at > quiet_from)?;
+    let late = server.backend.seen().into_iter().find(|seen| seen.at > quiet_from)?;
     let after = late.at - drained_at;
-    Some(format!("{} got {} {after:?} after it began to leave", server.stand_in.id(), late.id))
+    Some(format!("{} got {} {after:?} after it began to leave", server.backend.id(), late.id))
 }
 
 /// When all is well, reads are served.
--- a/crates/azuregate/tests/soak/plan.rs
+++ b/crates/azuregate/tests/soak/plan.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::{Behaviour, StoreFault};
+use azuregate_platform::fakes::{Behaviour, StoreFault};
 use fastrand::Rng;
 
 use crate::proxy::Link;
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::settings_text;
+use azuregate_platform::fakes::settings_text;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time;
 
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -11,8 +11,8 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::{
-    BackendStandIn, Behaviour, ConfigText, StoreFault, StoreStandIn, backend_row, config_row,
+use azuregate_platform::fakes::{
+    Behaviour, ConfigText, FakeBackend, FakeStore, StoreFault, backend_row, config_row,
 };
 use tokio::time;
 
@@ -39,7 +39,7 @@
 
 /// A backend server behind its proxy.
 pub(crate) struct Server {
-    pub(crate) stand_in: BackendStandIn,
+    pub(crate) backend: FakeBackend,
     pub(crate) drained_at: Mutex<Option<Instant>>,
     proxy: Proxy,
     zone: &'static str,
@@ -50,7 +50,7 @@
     pub(crate) instances: Vec<Process>,
     pub(crate) servers: Vec<Server>,
     pub(crate) problems: Mutex<Vec<String>>,
-    store: StoreStandIn,
+    store: FakeStore,
     store_links: Vec<Proxy>,
     config: Mutex<ConfigText>,
 }
@@ -117,18 +117,18 @@
 }
 
 async fn set_up(seed: u64, count: usize) -> Stage {
-    let store = StoreStandIn::start("127.0.0.1").await;
+    let store = FakeStore::start("127.0.0.1").await;
     let config = ConfigText::new(SERVICE);
     store.put("op", "config", config_row(&config));
     let mut servers = Vec::new();
     for number in 0..SERVERS {
         let id = format!("b{number}");
-        let stand_in = BackendStandIn::start(&id, "127.0.0.1").await;
-        stand_in.set(USUAL);
-        let proxy = Proxy::start(stand_in.addr()).await;
+        let backend = FakeBackend::start(&id, "127.0.0.1").await;
+        backend.set(USUAL);
+        let proxy = Proxy::start(backend.addr()).await;
         let (zone, _) = ZONES[number % ZONES.len()];
         store.put("servers", &id, backend_row(SERVICE, proxy.addr, zone, "ready"));
-        servers.push(Server { stand_in, drained_at: Mutex::new(None), proxy, zone });
+        servers.push(Server { backend, drained_at: Mutex::new(None), proxy, zone });
     }
     let folder = folder(seed, count);
     let run = next_run();
@@ -198,10 +198,10 @@
                 harm_link(&self.servers[server].proxy, link, lasts).await;
             }
             Fault::ServerBehaviour { server, behaviour, lasts } => {
-                let stand_in = &self.servers[server].stand_in;
-                stand_in.set(behaviour);
+                let backend = &self.servers[server].backend;
+                backend.set(behaviour);
                 time::sleep(lasts).await;
-                stand_in.set(USUAL);
+                backend.set(USUAL);
             }
             Fault::Drain { server } => self.drain(server).await,
             Fault::Configure => self.configure(),
@@ -215,7 +215,7 @@
         time::sleep(lasts).await;
         let runs_out = rows_run_out && lasts > Duration::from_secs(2);
         if runs_out {
-            self.servers.iter().for_each(|s| self.store.remove("servers", s.stand_in.id()));
+            self.servers.iter().for_each(|s| self.store.remove("servers", s.backend.id()));
         }
         self.store.set_fault(StoreFault::None);
         if runs_out {
@@ -228,7 +228,7 @@
         let is_drained = server.drained_at.lock().unwrap().is_some();
         let state = if is_drained { "draining" } else { "ready" };
         let row = backend_row(SERVICE, server.proxy.addr, server.zone, state);
-        self.store.put("servers", server.stand_in.id(), row);
+        self.store.put("servers", server.backend.id(), row);
     }
 
     /// A server leaves: it says so, and its row goes after a while.
@@ -237,7 +237,7 @@
         *server.drained_at.lock().unwrap() = Some(Instant::now());
         self.register(server);
         time::sleep(Duration::from_secs(3)).await;
-        self.store.remove("servers", server.stand_in.id());
+        self.store.remove("servers", server.backend.id());
     }
 
     fn configure(&self) {
--- a/crates/platform/src/stand_in/backend.rs
+++ b/crates/platform/src/fakes/backend.rs
@@ -65,7 +65,7 @@
 
 /// Answers requests on a port of its own, and keeps what it got.
 #[derive(Clone)]
-pub struct BackendStandIn {
+pub struct FakeBackend {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -80,20 +80,20 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl BackendStandIn {
+impl FakeBackend {
     /// Starts a server named `id` on a loopback address.
     ///
     /// # Panics
     ///
     /// When no port can be opened.
-    pub async fn start(id: &str, ip: &str) -> BackendStandIn {
+    pub async fn start(id: &str, ip: &str) -> FakeBackend {
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
         let id = id.to_owned();
         let shared = Shared { id, behaviour: Mutex::default(), seen: Mutex::default() };
         let shared = Arc::new(shared);
         tokio::spawn(accept(listener, Arc::clone(&shared)));
-        BackendStandIn { addr, shared }
+        FakeBackend { addr, shared }
     }
 
     /// Its name.
--- a/crates/platform/src/stand_in/store.rs
+++ b/crates/platform/src/fakes/store.rs
@@ -35,7 +35,7 @@
 
 /// Keeps rows in memory and answers like the platform's store.
 #[derive(Clone)]
-pub struct StoreStandIn {
+pub struct FakeStore {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -52,13 +52,13 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl StoreStandIn {
+impl FakeStore {
     /// Starts a store without rows on a loopback address of its own.
     ///
     /// # Panics
     ///
     /// When no port can be opened.
-    pub async fn start(ip: &str) -> StoreStandIn {
+    pub async fn start(ip: &str) -> FakeStore {
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
         let shared = Arc::new(Shared {
@@ -69,7 +69,7 @@
             changed: watch::Sender::new(()),
         });
         tokio::spawn(accept(listener, Arc::clone(&shared)));
-        StoreStandIn { addr, shared }
+        FakeStore { addr, shared }
     }
 
     /// Its address.
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -26,15 +26,16 @@
 * [`settings`] reads the settings file.
 * [`store`] is the one client of the platform's store.
 * [`config`], [`backend`] and [`member`] decode the rows that the store keeps.
-* `stand_in`, a feature for tests, holds small stand-ins for store and servers.
+* `fakes`, behind the feature `stand-in`, holds fakes of the store and of backend
+  servers for tests.
 * [`request`] names the headers and paths of requests, answers and probes.
 */
 
 pub mod backend;
 pub mod config;
+#[cfg(feature = "stand-in")]
+pub mod fakes;
 pub mod member;
 pub mod request;
 pub mod settings;
-#[cfg(feature = "stand-in")]
-pub mod stand_in;
 pub mod store;
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -9,9 +9,9 @@
 use azuregate_platform::{
     backend,
     config::{self, OperatorRow},
+    fakes::{ConfigText, backend_row, config_row},
     member,
     request::{LoadReport, Lookup, lookup_answer},
-    stand_in::{ConfigText, backend_row, config_row},
 };
 use serde_json::{Value, json};
 
--- a/crates/platform/tests/store.rs
+++ b/crates/platform/tests/store.rs
@@ -6,15 +6,15 @@
 
 use azuregate_core::replica::{Row, Table};
 use azuregate_platform::{
-    stand_in::{StoreFault, StoreStandIn},
+    fakes::{FakeStore, StoreFault},
     store::{Store, StoreError},
 };
 use tokio::{net::TcpListener, time};
 
-async fn start() -> (StoreStandIn, Store) {
-    let stand_in = StoreStandIn::start("127.0.0.1").await;
-    let store = Store::new(stand_in.addr());
-    (stand_in, store)
+async fn start() -> (FakeStore, Store) {
+    let fake = FakeStore::start("127.0.0.1").await;
+    let store = Store::new(fake.addr());
+    (fake, store)
 }
 
 fn keys(rows: &[Row]) -> Vec<&str> {
@@ -23,12 +23,12 @@
 
 #[tokio::test]
 async fn rows_are_read_page_by_page() {
-    let (stand_in, mut store) = start().await;
-    stand_in.set_page_rows(2);
+    let (fake, mut store) = start().await;
+    fake.set_page_rows(2);
     for key in ["a", "b", "b+", "c d", "e"] {
-        stand_in.put("servers", key, key);
+        fake.put("servers", key, key);
     }
-    stand_in.put("op", "config", "x");
+    fake.put("op", "config", "x");
     let rows = store.read(Table::Backends).await.unwrap();
     assert_eq!(keys(&rows.rows), ["a", "b", "b+", "c d", "e"]);
     assert_eq!(rows.rows[3].value.as_deref(), Some("c d"));
@@ -37,11 +37,11 @@
 
 #[tokio::test]
 async fn a_watch_brings_what_changed_and_what_was_removed() {
-    let (stand_in, mut store) = start().await;
-    stand_in.put("servers", "a", "1");
+    let (fake, mut store) = start().await;
+    fake.put("servers", "a", "1");
     let version = store.read(Table::Backends).await.unwrap().version;
-    stand_in.put("servers", "b", "2");
-    stand_in.remove("servers", "a");
+    fake.put("servers", "b", "2");
+    fake.remove("servers", "a");
     let rows = store.watch(Table::Backends, version, 5_000).await.unwrap();
     assert_eq!(keys(&rows.rows), ["b", "a"]);
     assert_eq!((rows.rows[0].is_removed, rows.rows[1].is_removed), (false, true));
@@ -52,7 +52,7 @@
 
 #[tokio::test]
 async fn writes_are_seen_by_reads() {
-    let (_stand_in, mut store) = start().await;
+    let (_fake, mut store) = start().await;
     store.put(Table::Members, "entry-1", b"here").await.unwrap();
     let rows = store.read(Table::Members).await.unwrap();
     assert_eq!(rows.rows[0].value.as_deref(), Some("here"));
@@ -65,26 +65,26 @@
 /// had. After each of them the next call is made as if nothing had been.
 #[tokio::test]
 async fn refusals_and_lost_answers_are_told_apart() {
-    let (stand_in, mut store) = start().await;
+    let (fake, mut store) = start().await;
     for status in [429, 503] {
-        stand_in.set_fault(StoreFault::Refuse(status));
+        fake.set_fault(StoreFault::Refuse(status));
         let e = store.put(Table::Members, "refused", b"1").await.unwrap_err();
         assert_eq!(e, StoreError::Refused(status));
     }
-    assert!(stand_in.keys("instances").is_empty());
-    stand_in.set_fault(StoreFault::AnswerLost);
+    assert!(fake.keys("instances").is_empty());
+    fake.set_fault(StoreFault::AnswerLost);
     let e = store.put(Table::Members, "lost", b"1").await.unwrap_err();
     assert!(matches!(e, StoreError::NoAnswer(_)), "{e}");
-    assert_eq!(stand_in.keys("instances"), ["lost"]);
-    stand_in.set_fault(StoreFault::None);
+    assert_eq!(fake.keys("instances"), ["lost"]);
+    fake.set_fault(StoreFault::None);
     store.put(Table::Members, "again", b"1").await.unwrap();
 }
 
 #[tokio::test]
 async fn a_watch_is_told_when_the_history_is_gone() {
-    let (stand_in, mut store) = start().await;
-    stand_in.put("servers", "a", "1");
-    stand_in.forget_history();
+    let (fake, mut store) = start().await;
+    fake.put("servers", "a", "1");
+    fake.forget_history();
     let e = store.watch(Table::Backends, 1, 1_000).await.unwrap_err();
     assert_eq!(e, StoreError::HistoryGone);
 }
@@ -93,13 +93,13 @@
 /// that the call may take, and a later call uses a new connection.
 #[tokio::test]
 async fn a_silent_store_is_given_up() {
-    let (stand_in, mut store) = start().await;
+    let (fake, mut store) = start().await;
     store.read(Table::Backends).await.unwrap();
-    stand_in.set_fault(StoreFault::Silent);
+    fake.set_fault(StoreFault::Silent);
     let call = time::timeout(Duration::from_secs(8), store.watch(Table::Backends, 0, 100));
     let e = call.await.expect("the call ends by itself").unwrap_err();
     assert_eq!(e, StoreError::NoAnswer("timeout".to_owned()));
-    stand_in.set_fault(StoreFault::None);
+    fake.set_fault(StoreFault::None);
     store.read(Table::Backends).await.unwrap();
 }
 
