--- a/crates/azuregate/tests/serve/answers.rs
+++ b/crates/azuregate/tests/serve/answers.rs
@@ -14,10 +14,10 @@
     assert_eq!((answer.status, answer.body.as_str()), (200, "answer to w1"));
     assert_eq!(answer.header("x-response-signature"), Some("s-w1"));
     assert_eq!(answer.header("x-backend-load"), None);
-    let seen = &world.backends[0].seen()[0];
-    assert_eq!(seen.line, "POST /write/a?b=%20c");
+    let seen = &world.backends[0].received()[0];
+    assert_eq!(seen.method_and_path, "POST /write/a?b=%20c");
     assert_eq!(seen.body, b"body");
-    assert_eq!(seen.expected_backend, "b0");
+    assert_eq!(seen.target_backend, "b0");
     assert!((1..=1_000).contains(&seen.deadline_ms), "what is left: {}", seen.deadline_ms);
 }
 
@@ -83,7 +83,7 @@
         let world = World::start(2).await;
         let entry = world.instance(1).await;
         entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let used = world.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
         let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
         assert_eq!((answer.status, answer.body.as_str()), (200, "answer to r1"), "{behaviour:?}");
@@ -104,5 +104,6 @@
     assert_eq!(answer.status, 504);
     assert!(start.elapsed() < Duration::from_millis(2_500), "took {:?}", start.elapsed());
     let backend = world.backends[0].clone();
-    eventually("the work is cancelled", async || backend.seen()[0].cancelled_at.is_some()).await;
+    eventually("the work is cancelled", async || backend.received()[0].cancelled_at.is_some())
+        .await;
 }
--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -33,12 +33,12 @@
         let world = World::start(2).await;
         let entry = world.instance(1).await;
         entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let used = world.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
         let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
         assert_eq!(answer.status, 200, "{behaviour:?}");
         let other = world.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
-        assert_eq!(other.seen()[0].body, b"body");
+        assert_eq!(other.received()[0].body, b"body");
     }
 }
 
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -22,11 +22,11 @@
         for number in 0..=waiting {
             client.send(&read_request("/read/x", &format!("r{number}"))).await;
         }
-        eventually("all arrive", async || backend.seen().len() > waiting).await;
+        eventually("all arrive", async || backend.received().len() > waiting).await;
         let left_at = Instant::now();
         drop(client);
         eventually("the work is cancelled", async || {
-            backend.seen().iter().all(|seen| seen.cancelled_at.is_some())
+            backend.received().iter().all(|seen| seen.cancelled_at.is_some())
         })
         .await;
         assert!(left_at.elapsed() < Duration::from_secs(2), "{:?}", left_at.elapsed());
@@ -83,7 +83,7 @@
     let answer = entry.send(&request).await.unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(world.arrivals("inside"), 0);
-    assert_eq!(world.backends[0].seen()[0].body, inside.as_bytes());
+    assert_eq!(world.backends[0].received()[0].body, inside.as_bytes());
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
         let answer = entry.send(&request).await;
         assert_eq!(answer.map(|answer| answer.status), Some(status), "{line}");
     }
-    assert!(world.backends[0].seen().is_empty());
+    assert!(world.backends[0].received().is_empty());
 }
 
 /// A client sends half a head and then nothing, once on a new connection and once
--- a/crates/azuregate/tests/serve/servers.rs
+++ b/crates/azuregate/tests/serve/servers.rs
@@ -14,11 +14,11 @@
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
         entry.send(&request).await.unwrap();
     }
-    let count = |seen: &azuregate_platform::fakes::Seen| seen.id.starts_with(name);
+    let count = |seen: &azuregate_platform::fakes::ReceivedRequest| seen.id.starts_with(name);
     world
         .backends
         .iter()
-        .map(|backend| backend.seen().iter().filter(|s| count(s)).count())
+        .map(|backend| backend.received().iter().filter(|s| count(s)).count())
         .collect()
 }
 
@@ -71,7 +71,7 @@
     world.store.remove("op", "evacuate/zone-c");
     eventually("the zone serves again", async || {
         spread(&world, &entry, "back").await;
-        away.seen().iter().any(|seen| seen.id.starts_with("back"))
+        away.received().iter().any(|seen| seen.id.starts_with("back"))
     })
     .await;
 }
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -128,7 +128,7 @@
 
     /// Requests of all backend servers with the id `id`.
     pub(crate) fn arrivals(&self, id: &str) -> usize {
-        let seen = self.backends.iter().flat_map(FakeBackend::seen);
+        let seen = self.backends.iter().flat_map(FakeBackend::received);
         seen.filter(|seen| seen.id == id).count()
     }
 }
--- a/crates/azuregate/tests/soak/checks.rs
+++ b/crates/azuregate/tests/soak/checks.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::fakes::Seen;
+use azuregate_platform::fakes::ReceivedRequest;
 
 use crate::{
     clients::{End, Exchange, body_of},
@@ -39,7 +39,8 @@
     exchanges: &[Exchange],
     calm_at: Instant,
 ) -> Vec<String> {
-    let seen: Vec<Seen> = stage.servers.iter().flat_map(|server| server.backend.seen()).collect();
+    let seen: Vec<ReceivedRequest> =
+        stage.servers.iter().flat_map(|server| server.backend.received()).collect();
     let mut problems: Vec<String> =
         stage.instances.iter().filter_map(|instance| instance.own_end()).collect();
     problems.extend(answers(exchanges));
@@ -60,9 +61,9 @@
 }
 
 /// A write runs once at the most, and not at all if it is refused as not run.
-fn runs(exchanges: &[Exchange], seen: &[Seen]) -> Vec<String> {
+fn runs(exchanges: &[Exchange], seen: &[ReceivedRequest]) -> Vec<String> {
     let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-    for seen in seen.iter().filter(|seen| seen.is_run) {
+    for seen in seen.iter().filter(|seen| seen.is_executed) {
         *runs.entry(&seen.id).or_default() += 1;
     }
     let mut problems = Vec::new();
@@ -81,17 +82,19 @@
 }
 
 /// Servers get what clients sent, unchanged.
-fn unasked(exchanges: &[Exchange], seen: &[Seen]) -> Vec<String> {
+fn unasked(exchanges: &[Exchange], seen: &[ReceivedRequest]) -> Vec<String> {
     let sent: BTreeMap<&str, bool> =
         exchanges.iter().map(|exchange| (exchange.id.as_str(), exchange.is_write)).collect();
-    let is_as_sent = |seen: &&Seen| match sent.get(seen.id.as_str()) {
-        Some(true) => seen.line == "POST /write/x" && seen.body == body_of(&seen.id).as_bytes(),
-        Some(false) => seen.line == "GET /read/x" && seen.body.is_empty(),
+    let is_as_sent = |seen: &&ReceivedRequest| match sent.get(seen.id.as_str()) {
+        Some(true) => {
+            seen.method_and_path == "POST /write/x" && seen.body == body_of(&seen.id).as_bytes()
+        }
+        Some(false) => seen.method_and_path == "GET /read/x" && seen.body.is_empty(),
         // The requests by which it is checked that all is well.
-        None => seen.line.starts_with("GET /new") && seen.id.starts_with('c'),
+        None => seen.method_and_path.starts_with("GET /new") && seen.id.starts_with('c'),
     };
     let unasked = seen.iter().filter(|seen| !is_as_sent(seen));
-    unasked.map(|seen| format!("nobody sent {} {}", seen.line, seen.id)).collect()
+    unasked.map(|seen| format!("nobody sent {} {}", seen.method_and_path, seen.id)).collect()
 }
 
 /// A server that leaves gets nothing new after a while. With faults around, that
@@ -102,8 +105,8 @@
         true => drained_at + DRAINED_AFTER,
         false => (drained_at + DRAINED_AFTER).max(calm_at),
     };
-    let late = server.backend.seen().into_iter().find(|seen| seen.at > quiet_from)?;
-    let after = late.at - drained_at;
+    let late = server.backend.received().into_iter().find(|seen| seen.received_at > quiet_from)?;
+    let after = late.received_at - drained_at;
     Some(format!("{} got {} {after:?} after it began to leave", server.backend.id(), late.id))
 }
 
@@ -121,7 +124,7 @@
 }
 
 /// Around planned work, a request that reached a server is answered.
-fn lost(exchanges: &[Exchange], seen: &[Seen]) -> Vec<String> {
+fn lost(exchanges: &[Exchange], seen: &[ReceivedRequest]) -> Vec<String> {
     let arrived: BTreeSet<&str> = seen.iter().map(|seen| seen.id.as_str()).collect();
     let cut = exchanges.iter().filter(|e| !matches!(e.end, End::Answered { .. }));
     let lost = cut.filter(|exchange| arrived.contains(exchange.id.as_str()));
--- a/crates/platform/src/fakes/backend.rs
+++ b/crates/platform/src/fakes/backend.rs
@@ -44,21 +44,21 @@
 
 /// A request that the stand-in got.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReceivedRequest {
     /// The method and the path.
-    pub line: String,
+    pub method_and_path: String,
     /// The request's id.
     pub id: String,
     /// How long its sender waits.
     pub deadline_ms: u64,
     /// The server that it was meant for.
-    pub expected_backend: String,
+    pub target_backend: String,
     /// Whether it was run; a request that is rejected is not.
-    pub is_run: bool,
+    pub is_executed: bool,
     /// Its body.
     pub body: Vec<u8>,
     /// When it had arrived.
-    pub at: Instant,
+    pub received_at: Instant,
     /// When its connection was closed before the answer.
     pub cancelled_at: Option<Instant>,
 }
@@ -73,7 +73,7 @@
 struct Shared {
     id: String,
     behaviour: Mutex<Behaviour>,
-    seen: Mutex<Vec<Seen>>,
+    received: Mutex<Vec<ReceivedRequest>>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -90,7 +90,7 @@
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
         let id = id.to_owned();
-        let shared = Shared { id, behaviour: Mutex::default(), seen: Mutex::default() };
+        let shared = Shared { id, behaviour: Mutex::default(), received: Mutex::default() };
         let shared = Arc::new(shared);
         tokio::spawn(accept(listener, Arc::clone(&shared)));
         FakeBackend { addr, shared }
@@ -112,8 +112,8 @@
     }
 
     /// All requests so far.
-    pub fn seen(&self) -> Vec<Seen> {
-        lock(&self.shared.seen).clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        lock(&self.shared.received).clone()
     }
 }
 
@@ -126,17 +126,17 @@
 async fn serve(mut stream: TcpStream, shared: Arc<Shared>) {
     let mut bytes = Vec::new();
     let mut last_id = "none".to_owned();
-    while let Some(mut seen) = read(&mut stream, &mut bytes).await {
-        let is_for_another = seen.expected_backend != shared.id;
+    while let Some(mut received) = read(&mut stream, &mut bytes).await {
+        let is_for_another = received.target_backend != shared.id;
         let behaviour = match is_for_another {
             true => Behaviour::Misdirect,
             false => lock(&shared.behaviour).clone(),
         };
-        seen.is_run = !matches!(behaviour, Behaviour::Reject | Behaviour::Misdirect);
-        let id = seen.id.clone();
+        received.is_executed = !matches!(behaviour, Behaviour::Reject | Behaviour::Misdirect);
+        let id = received.id.clone();
         let index = {
-            let mut all = lock(&shared.seen);
-            all.push(seen);
+            let mut all = lock(&shared.received);
+            all.push(received);
             all.len() - 1
         };
         if let Behaviour::Delay(pause) = behaviour {
@@ -144,7 +144,7 @@
             tokio::select! {
                 () = time::sleep(pause) => {}
                 _ = stream.peek(&mut end) => {
-                    lock(&shared.seen)[index].cancelled_at = Some(Instant::now());
+                    lock(&shared.received)[index].cancelled_at = Some(Instant::now());
                     return;
                 }
             }
@@ -206,7 +206,7 @@
     )
 }
 
-async fn read(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<Seen> {
+async fn read(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<ReceivedRequest> {
     let head_end = loop {
         if let Some(at) = bytes.windows(4).position(|window| window == b"\r\n\r\n") {
             break at + 4;
@@ -227,14 +227,14 @@
     let body = bytes[head_end..head_end + length].to_vec();
     bytes.drain(..head_end + length);
     let line = head.lines().next().unwrap_or_default();
-    Some(Seen {
-        line: line.trim_end_matches(" HTTP/1.1").to_owned(),
+    Some(ReceivedRequest {
+        method_and_path: line.trim_end_matches(" HTTP/1.1").to_owned(),
         id: field("x-request-id").unwrap_or_default(),
         deadline_ms: field("x-deadline-ms").and_then(|text| text.parse().ok()).unwrap_or(0),
-        expected_backend: field("x-target-instance").unwrap_or_default(),
-        is_run: false,
+        target_backend: field("x-target-instance").unwrap_or_default(),
+        is_executed: false,
         body,
-        at: Instant::now(),
+        received_at: Instant::now(),
         cancelled_at: None,
     })
 }
--- a/crates/platform/src/fakes/mod.rs
+++ b/crates/platform/src/fakes/mod.rs
@@ -11,6 +11,6 @@
 mod rows;
 mod store;
 
-pub use backend::{Behaviour, FakeBackend, Seen};
+pub use backend::{Behaviour, FakeBackend, ReceivedRequest};
 pub use fixtures::{ConfigText, backend_row, config_row, settings_text};
 pub use store::{FakeStore, StoreFault};
