--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -39,7 +39,7 @@
 async fn a_watch_that_went_silent_is_noticed() {
     let mut world = World::start(1).await;
     let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Silent);
+    world.store.set_fault(StoreFault::Hang);
     time::sleep(Duration::from_millis(300)).await;
     world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
     world.store.set_fault(StoreFault::None);
@@ -56,7 +56,7 @@
     let mut world = World::start(1).await;
     let entry = world.instance(1).await;
     world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
-    world.store.forget_history();
+    world.store.discard_history();
     eventually("the route is served", async || {
         entry.send(&read_request("/new/x", "r1")).await.unwrap().status == 200
     })
@@ -81,7 +81,7 @@
 #[tokio::test]
 async fn without_a_configuration_nothing_is_served() {
     let world = World::start(1).await;
-    world.store.set_fault(StoreFault::Refuse(503));
+    world.store.set_fault(StoreFault::ErrorStatus(503));
     let entry = world.start_instance(1);
     eventually("the instance answers", async || entry.ready().await == 503).await;
     let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
@@ -96,7 +96,7 @@
 async fn without_contact_no_route_is_denied() {
     let world = World::start(1).await;
     let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Silent);
+    world.store.set_fault(StoreFault::Hang);
     let denied = |path| {
         let entry = &entry;
         async move { entry.send(&read_request(path, "r1")).await.unwrap().status }
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -74,7 +74,7 @@
 async fn a_store_that_is_away_is_asked_seldom() {
     let mut world = World::start(1).await;
     let entries = settled(&world, 4).await;
-    world.store.set_fault(StoreFault::Refuse(503));
+    world.store.set_fault(StoreFault::ErrorStatus(503));
     // The first calls fail within a wait, and the pauses grow after that.
     time::sleep(Duration::from_millis(2_500)).await;
     let before = world.store.calls().len();
--- a/crates/azuregate/tests/serve/servers.rs
+++ b/crates/azuregate/tests/serve/servers.rs
@@ -83,7 +83,7 @@
 async fn rows_that_ran_out_while_the_store_was_away_are_still_believed() {
     let world = World::start(2).await;
     let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Refuse(503));
+    world.store.set_fault(StoreFault::ErrorStatus(503));
     time::sleep(Duration::from_millis(1_500)).await;
     world.backends.iter().for_each(|backend| world.store.remove("servers", backend.id()));
     world.store.set_fault(StoreFault::None);
--- a/crates/azuregate/tests/soak/plan.rs
+++ b/crates/azuregate/tests/soak/plan.rs
@@ -21,7 +21,7 @@
     Settings { instance: usize, hangs_up: bool },
     StoreLink { instance: usize, link: Link, lasts: Duration },
     Store { fault: StoreFault, lasts: Duration, rows_run_out: bool },
-    ForgetHistory,
+    DiscardHistory,
     ServerLink { server: usize, link: Link, lasts: Duration },
     ServerBehaviour { server: usize, behaviour: Behaviour, lasts: Duration },
     Drain { server: usize },
@@ -83,14 +83,14 @@
         5..=7 => Fault::StoreLink { instance, link: link(random), lasts },
         8 | 9 => {
             let fault = match random.usize(..4) {
-                0 => StoreFault::Refuse(503),
-                1 => StoreFault::Refuse(429),
-                2 => StoreFault::AnswerLost,
-                _ => StoreFault::Silent,
+                0 => StoreFault::ErrorStatus(503),
+                1 => StoreFault::ErrorStatus(429),
+                2 => StoreFault::DropResponse,
+                _ => StoreFault::Hang,
             };
             Fault::Store { fault, lasts, rows_run_out: random.bool() }
         }
-        10 => Fault::ForgetHistory,
+        10 => Fault::DiscardHistory,
         11 | 12 => Fault::ServerLink { server, link: link(random), lasts },
         13 => Fault::ServerBehaviour { server, behaviour: behaviour(random), lasts },
         _ => planned(random, instances, servers),
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -193,7 +193,7 @@
             Fault::Store { fault, lasts, rows_run_out } => {
                 self.harm_store(fault, lasts, rows_run_out).await;
             }
-            Fault::ForgetHistory => self.store.forget_history(),
+            Fault::DiscardHistory => self.store.discard_history(),
             Fault::ServerLink { server, link, lasts } => {
                 harm_link(&self.servers[server].proxy, link, lasts).await;
             }
--- a/crates/platform/src/fakes/rows.rs
+++ b/crates/platform/src/fakes/rows.rs
@@ -25,8 +25,8 @@
     rows: BTreeMap<(String, String), Row>,
     changes: Vec<Change>,
     version: u64,
-    /// Changes up to this version are forgotten.
-    forgotten: u64,
+    /// Changes up to this version are discarded.
+    discarded_up_to: u64,
 }
 
 impl Rows {
@@ -48,9 +48,9 @@
         }
     }
 
-    pub(super) fn forget_history(&mut self) {
+    pub(super) fn discard_history(&mut self) {
         self.version += 1;
-        self.forgotten = self.version;
+        self.discarded_up_to = self.version;
         self.changes.clear();
     }
 
@@ -75,9 +75,9 @@
         json!({ "rows": rows, "truncated": matching.len() > limit, "ver": self.version, "nowS": 1.0 })
     }
 
-    /// The changes after a version, or `None` if they are forgotten.
+    /// The changes after a version, or `None` if they are discarded.
     pub(super) fn changes(&self, table: &str, after: u64) -> Option<Value> {
-        if after < self.forgotten {
+        if after < self.discarded_up_to {
             return None;
         }
         let changed = self.changes.iter().filter(|c| c.table == table && c.version > after);
@@ -87,7 +87,8 @@
     }
 
     pub(super) fn has_changes(&self, table: &str, after: u64) -> bool {
-        after < self.forgotten || self.changes.iter().any(|c| c.table == table && c.version > after)
+        after < self.discarded_up_to
+            || self.changes.iter().any(|c| c.table == table && c.version > after)
     }
 
     fn changed(&mut self, table: &str, key: &str, value: Option<Vec<u8>>) {
--- a/crates/platform/src/fakes/store.rs
+++ b/crates/platform/src/fakes/store.rs
@@ -26,11 +26,11 @@
     #[default]
     None,
     /// Every call gets this status and does nothing.
-    Refuse(u16),
+    ErrorStatus(u16),
     /// Calls are never answered.
-    Silent,
-    /// Calls are done and the connection is closed without an answer.
-    AnswerLost,
+    Hang,
+    /// Calls are executed and the connection is closed without a response.
+    DropResponse,
 }
 
 /// Keeps rows in memory and answers like the platform's store.
@@ -43,7 +43,7 @@
 struct Shared {
     rows: Mutex<Rows>,
     fault: Mutex<StoreFault>,
-    page_rows: Mutex<usize>,
+    page_size: Mutex<usize>,
     calls: Mutex<Vec<String>>,
     changed: watch::Sender<()>,
 }
@@ -64,7 +64,7 @@
         let shared = Arc::new(Shared {
             rows: Mutex::default(),
             fault: Mutex::default(),
-            page_rows: Mutex::new(500),
+            page_size: Mutex::new(500),
             calls: Mutex::default(),
             changed: watch::Sender::new(()),
         });
@@ -90,8 +90,8 @@
     }
 
     /// Drops the history, so that watches have to start anew.
-    pub fn forget_history(&self) {
-        lock(&self.shared.rows).forget_history();
+    pub fn discard_history(&self) {
+        lock(&self.shared.rows).discard_history();
         self.shared.changed.send_replace(());
     }
 
@@ -112,8 +112,8 @@
     }
 
     /// Answers with at most so many rows at a time.
-    pub fn set_page_rows(&self, rows: usize) {
-        *lock(&self.shared.page_rows) = rows;
+    pub fn set_page_size(&self, rows: usize) {
+        *lock(&self.shared.page_size) = rows;
     }
 
     /// The paths and queries of all calls so far.
@@ -134,56 +134,56 @@
 
 /// An error closes the connection without an answer.
 #[derive(Debug)]
-struct Lost;
+struct ResponseDropped;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer is lost")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for ResponseDropped {}
 
 async fn answer(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Lost> {
+) -> Result<Response<Full<Bytes>>, ResponseDropped> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
     lock(&shared.calls).push(format!("{path}?{query}"));
     let body = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return Err(Lost),
+        Err(_) => return Err(ResponseDropped),
     };
     if path == "/-/rows-feed" && *lock(&shared.fault) == StoreFault::None {
         wait_for_change(&shared, &query).await;
     }
     let fault = *lock(&shared.fault);
     match fault {
-        StoreFault::None => Ok(done(&shared, &path, &query, &body)),
-        StoreFault::Refuse(status) => Ok(reply(status, Bytes::new())),
-        StoreFault::Silent => std::future::pending().await,
-        StoreFault::AnswerLost => {
-            done(&shared, &path, &query, &body);
-            Err(Lost)
+        StoreFault::None => Ok(execute(&shared, &path, &query, &body)),
+        StoreFault::ErrorStatus(status) => Ok(response(status, Bytes::new())),
+        StoreFault::Hang => std::future::pending().await,
+        StoreFault::DropResponse => {
+            execute(&shared, &path, &query, &body);
+            Err(ResponseDropped)
         }
     }
 }
 
-fn done(shared: &Shared, path: &str, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
+fn execute(shared: &Shared, path: &str, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
     let table = field(query, "table");
     match path {
         "/-/rows-get" => {
-            let limit = *lock(&shared.page_rows);
+            let limit = *lock(&shared.page_size);
             let rows = lock(&shared.rows).read(&table, &field(query, "from"), limit);
-            reply(200, Bytes::from(rows.to_string()))
+            response(200, Bytes::from(rows.to_string()))
         }
         "/-/rows-feed" => match lock(&shared.rows).changes(&table, after(query)) {
-            Some(rows) => reply(200, Bytes::from(rows.to_string())),
-            None => reply(410, Bytes::new()),
+            Some(rows) => response(200, Bytes::from(rows.to_string())),
+            None => response(410, Bytes::new()),
         },
         "/-/rows-tx" => transact(shared, body),
-        _ => reply(404, Bytes::new()),
+        _ => response(404, Bytes::new()),
     }
 }
 
@@ -205,7 +205,7 @@
 
 fn transact(shared: &Shared, body: &[u8]) -> Response<Full<Bytes>> {
     let Ok(transaction) = serde_json::from_slice::<Value>(body) else {
-        return reply(400, Bytes::new());
+        return response(400, Bytes::new());
     };
     let mut rows = lock(&shared.rows);
     let entries = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
@@ -221,7 +221,7 @@
     let version = rows.version();
     drop(rows);
     shared.changed.send_replace(());
-    reply(200, Bytes::from(format!("{{\"ver\":{version},\"nowS\":1.0}}")))
+    response(200, Bytes::from(format!("{{\"ver\":{version},\"nowS\":1.0}}")))
 }
 
 fn after(query: &str) -> u64 {
@@ -234,7 +234,7 @@
     percent_decode_str(value.unwrap_or_default()).decode_utf8_lossy().into_owned()
 }
 
-fn reply(status: u16, body: Bytes) -> Response<Full<Bytes>> {
+fn response(status: u16, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::IM_A_TEAPOT);
     response
--- a/crates/platform/tests/store.rs
+++ b/crates/platform/tests/store.rs
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn rows_are_read_page_by_page() {
     let (fake, mut store) = start().await;
-    fake.set_page_rows(2);
+    fake.set_page_size(2);
     for key in ["a", "b", "b+", "c d", "e"] {
         fake.put("servers", key, key);
     }
@@ -67,12 +67,12 @@
 async fn refusals_and_lost_answers_are_told_apart() {
     let (fake, mut store) = start().await;
     for status in [429, 503] {
-        fake.set_fault(StoreFault::Refuse(status));
+        fake.set_fault(StoreFault::ErrorStatus(status));
         let e = store.put(Table::Members, "refused", b"1").await.unwrap_err();
         assert_eq!(e, StoreError::Refused(status));
     }
     assert!(fake.keys("instances").is_empty());
-    fake.set_fault(StoreFault::AnswerLost);
+    fake.set_fault(StoreFault::DropResponse);
     let e = store.put(Table::Members, "lost", b"1").await.unwrap_err();
     assert!(matches!(e, StoreError::NoAnswer(_)), "{e}");
     assert_eq!(fake.keys("instances"), ["lost"]);
@@ -84,7 +84,7 @@
 async fn a_watch_is_told_when_the_history_is_gone() {
     let (fake, mut store) = start().await;
     fake.put("servers", "a", "1");
-    fake.forget_history();
+    fake.discard_history();
     let e = store.watch(Table::Backends, 1, 1_000).await.unwrap_err();
     assert_eq!(e, StoreError::HistoryGone);
 }
@@ -95,7 +95,7 @@
 async fn a_silent_store_is_given_up() {
     let (fake, mut store) = start().await;
     store.read(Table::Backends).await.unwrap();
-    fake.set_fault(StoreFault::Silent);
+    fake.set_fault(StoreFault::Hang);
     let call = time::timeout(Duration::from_secs(8), store.watch(Table::Backends, 0, 100));
     let e = call.await.expect("the call ends by itself").unwrap_err();
     assert_eq!(e, StoreError::NoAnswer("timeout".to_owned()));
