--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -12,7 +12,7 @@
     let mut world = World::start(1).await;
     let entry = world.instance(1).await;
     assert_eq!(entry.send(&read_request("/new/x", "r1")).await.unwrap().status, 404);
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     eventually("the route is served", async || {
         entry.send(&read_request("/new/x", "r2")).await.unwrap().status == 200
     })
@@ -25,7 +25,7 @@
 async fn an_older_configuration_never_comes_back() {
     let mut world = World::start(1).await;
     let old = config_row(&world.config);
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     let entry = world.instance(1).await;
     world.store.put("op", "config", old);
     time::sleep(Duration::from_millis(800)).await;
@@ -41,7 +41,7 @@
     let entry = world.instance(1).await;
     world.store.set_fault(StoreFault::Hang);
     time::sleep(Duration::from_millis(300)).await;
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     world.store.set_fault(StoreFault::None);
     eventually("the route is served", async || {
         entry.send(&read_request("/new/x", "r1")).await.unwrap().status == 200
@@ -55,7 +55,7 @@
 async fn a_lost_history_is_read_anew() {
     let mut world = World::start(1).await;
     let entry = world.instance(1).await;
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     world.store.discard_history();
     eventually("the route is served", async || {
         entry.send(&read_request("/new/x", "r1")).await.unwrap().status == 200
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -45,7 +45,7 @@
     // A call for each change, and one for a wait that ended before it.
     let calls = watches_of_backends(&world) - before;
     assert!(calls <= 2 * 2 * changes, "{calls} calls for {changes} changes");
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     for entry in &entries {
         eventually("the change is in force", async || serves(entry, "/new/x").await).await;
     }
@@ -62,7 +62,7 @@
     for entry in entries {
         eventually("the instance has stopped", async || entry.thread.is_finished()).await;
     }
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     let changed_at = time::Instant::now();
     eventually("the change is in force", async || serves(&last, "/new/x").await).await;
     assert!(changed_at.elapsed() < Duration::from_millis(2_000));
@@ -83,7 +83,7 @@
     assert!(calls <= 4 * entries.len() + 2, "{calls} calls in four seconds");
     world.store.set_fault(StoreFault::None);
     let returned_at = time::Instant::now();
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     for entry in &entries {
         eventually("the change is in force", async || serves(entry, "/new/x").await).await;
     }
--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -74,7 +74,7 @@
         entries.iter().for_each(|(_, link)| link.set_delay(delay));
         time::sleep(Duration::from_millis(700)).await;
     }
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     let taken = served_by_all(&entries, "/new/x", Instant::now()).await;
     assert!(taken < CHANGE, "in force after {taken:?}");
 }
@@ -88,7 +88,7 @@
     let carried = || entries.iter().map(|(_, link)| link.carried_bytes()).collect::<Vec<_>>();
     let before = carried();
     world.configure(|config| {
-        config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
+        config.extra_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     served_by_all(&entries, "/more1399/x", Instant::now()).await;
     // More than that is late on such a link.
@@ -112,7 +112,7 @@
         }
     }
     assert!((4..=8).contains(&silent), "two watch and two of each zone pass on, not {silent}");
-    world.configure(|config| config.more_prefixes.push("/new/".to_owned()));
+    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
     // The relays would deliver it after an hour.
     served_by_all(&entries, "/new/x", Instant::now()).await;
 }
@@ -123,7 +123,7 @@
 async fn a_large_configuration_is_read_over_a_slow_link() {
     let mut world = World::start(1).await;
     world.configure(|config| {
-        config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
+        config.extra_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     let ip = format!("{}.200", world.network).parse().unwrap();
     let slow = Shape { bytes_per_s: 150_000, delay: Duration::ZERO };
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -13,7 +13,7 @@
     stop::{self, Stopper},
 };
 use azuregate_platform::{
-    fakes::{ConfigText, FakeBackend, FakeStore, backend_row, config_row, settings_text},
+    fakes::{ConfigDocument, FakeBackend, FakeStore, backend_row, config_row, settings_text},
     settings::Settings,
 };
 use tokio::{
@@ -38,7 +38,7 @@
 pub(crate) struct World {
     pub(crate) store: FakeStore,
     pub(crate) backends: Vec<FakeBackend>,
-    pub(crate) config: ConfigText,
+    pub(crate) config: ConfigDocument,
     pub(crate) network: String,
 }
 
@@ -49,7 +49,7 @@
         let process = std::process::id() % 200 + 20;
         let network = format!("127.{process}.{}", NETWORKS.fetch_add(1, Ordering::Relaxed));
         let store = FakeStore::start("127.0.0.1").await;
-        let config = ConfigText::new(SERVICE);
+        let config = ConfigDocument::new(SERVICE);
         store.put("op", "config", config_row(&config));
         let mut world = World { store, backends: Vec::new(), config, network };
         for _ in 0..count {
@@ -68,7 +68,7 @@
     }
 
     /// Changes the configuration.
-    pub(crate) fn configure(&mut self, change: impl FnOnce(&mut ConfigText)) {
+    pub(crate) fn configure(&mut self, change: impl FnOnce(&mut ConfigDocument)) {
         self.config.version += 1;
         change(&mut self.config);
         self.store.put("op", "config", config_row(&self.config));
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -12,7 +12,7 @@
 };
 
 use azuregate_platform::fakes::{
-    Behaviour, ConfigText, FakeBackend, FakeStore, StoreFault, backend_row, config_row,
+    Behaviour, ConfigDocument, FakeBackend, FakeStore, StoreFault, backend_row, config_row,
 };
 use tokio::time;
 
@@ -52,7 +52,7 @@
     pub(crate) problems: Mutex<Vec<String>>,
     store: FakeStore,
     store_links: Vec<Proxy>,
-    config: Mutex<ConfigText>,
+    config: Mutex<ConfigDocument>,
 }
 
 /// Plays `seed` with so many instances and returns what was wrong.
@@ -118,7 +118,7 @@
 
 async fn set_up(seed: u64, count: usize) -> Stage {
     let store = FakeStore::start("127.0.0.1").await;
-    let config = ConfigText::new(SERVICE);
+    let config = ConfigDocument::new(SERVICE);
     store.put("op", "config", config_row(&config));
     let mut servers = Vec::new();
     for number in 0..SERVERS {
@@ -244,9 +244,9 @@
         let mut config = self.config.lock().unwrap();
         config.version += 1;
         let prefix = format!("/new{}/", config.version);
-        config.more_prefixes = vec![prefix];
+        config.extra_prefixes = vec![prefix];
         if self.instances.len() >= MANY_ROUTES_FROM {
-            config.more_prefixes.extend((0..MANY_ROUTES).map(|n| format!("/more{n}/")));
+            config.extra_prefixes.extend((0..MANY_ROUTES).map(|n| format!("/more{n}/")));
         }
         self.store.put("op", "config", config_row(&config));
     }
@@ -261,7 +261,7 @@
                 continue;
             }
             // The first one is new in this version.
-            for prefix in config.more_prefixes.iter().take(1) {
+            for prefix in config.extra_prefixes.iter().take(1) {
                 let mut client = Client::connect(instance.traffic).await;
                 client.send(&read_request(&format!("{prefix}x"), &format!("c{number}"))).await;
                 let status = client.answer().await.map(|answer| answer.status);
--- a/crates/platform/src/fakes/fixtures.rs
+++ b/crates/platform/src/fakes/fixtures.rs
@@ -6,7 +6,7 @@
 
 /// A configuration in the platform's form, to be changed by tests.
 #[derive(Clone, Debug)]
-pub struct ConfigText {
+pub struct ConfigDocument {
     /// The version.
     pub version: u64,
     /// The service of `/read/`, `/write/` and `/upload/`.
@@ -14,17 +14,17 @@
     /// The timeout of these routes.
     pub timeout_ms: u64,
     /// Paths of further routes to the same service.
-    pub more_prefixes: Vec<String>,
+    pub extra_prefixes: Vec<String>,
 }
 
-impl ConfigText {
+impl ConfigDocument {
     /// The first version, with routes for each kind of request to `service`.
-    pub fn new(service: &str) -> ConfigText {
-        ConfigText {
+    pub fn new(service: &str) -> ConfigDocument {
+        ConfigDocument {
             version: 1,
             service: service.to_owned(),
             timeout_ms: 1_000,
-            more_prefixes: Vec::new(),
+            extra_prefixes: Vec::new(),
         }
     }
 
@@ -47,7 +47,7 @@
             self.rule("/write/", "non_idempotent"),
             self.rule("/upload/", "upload"),
         ];
-        rules.extend(self.more_prefixes.iter().map(|prefix| self.rule(prefix, "idempotent")));
+        rules.extend(self.extra_prefixes.iter().map(|prefix| self.rule(prefix, "idempotent")));
         json!({
             "configVersion": format!("{:08x}", self.version),
             "limits": {
@@ -64,7 +64,7 @@
 }
 
 /// The value of the operator's row that holds a configuration.
-pub fn config_row(config: &ConfigText) -> Vec<u8> {
+pub fn config_row(config: &ConfigDocument) -> Vec<u8> {
     config.json().to_string().into_bytes()
 }
 
--- a/crates/platform/src/fakes/mod.rs
+++ b/crates/platform/src/fakes/mod.rs
@@ -12,5 +12,5 @@
 mod store;
 
 pub use backend::{Behaviour, FakeBackend, ReceivedRequest};
-pub use fixtures::{ConfigText, backend_row, config_row, settings_text};
+pub use fixtures::{ConfigDocument, backend_row, config_row, settings_text};
 pub use store::{FakeStore, StoreFault};
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -9,19 +9,19 @@
 use azuregate_platform::{
     backend,
     config::{self, OperatorRow},
-    fakes::{ConfigText, backend_row, config_row},
+    fakes::{ConfigDocument, backend_row, config_row},
     member,
     request::{LoadReport, Lookup, lookup_answer},
 };
 use serde_json::{Value, json};
 
 fn configuration() -> Value {
-    ConfigText::new("shop").json()
+    ConfigDocument::new("shop").json()
 }
 
 #[test]
 fn a_configuration_is_read() {
-    let config = config::decode(&config_row(&ConfigText::new("shop"))).unwrap();
+    let config = config::decode(&config_row(&ConfigDocument::new("shop"))).unwrap();
     assert_eq!(config.version(), 1);
     assert_eq!(config.limits().idle_timeout_ms, 15_000);
     let kind = |path| config.route("shop.example", path).map(|route| route.kind);
