--- a/crates/azuregate/src/serve/answer.rs
+++ b/crates/azuregate/src/serve/answer.rs
@@ -133,7 +133,9 @@
 
 /// Removes what a backend server tells only us.
 pub(super) fn remove_internal(headers: &mut HeaderMap) {
-    for name in [request::LOAD, request::BACKEND, request::COLD_MS, request::NOT_RUN] {
+    for name in
+        [request::BACKEND_LOAD, request::BACKEND_ID, request::WARMUP_MS, request::NOT_EXECUTED]
+    {
         headers.remove(name);
     }
 }
--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -143,7 +143,7 @@
     let headers = request.headers_mut();
     headers.insert(request::DEADLINE_MS, HeaderValue::from(left_ms));
     if let Ok(id) = HeaderValue::from_str(choice.backend.id.as_str()) {
-        headers.insert(request::EXPECTED_BACKEND, id);
+        headers.insert(request::TARGET_BACKEND, id);
     }
     request
 }
@@ -151,7 +151,7 @@
 fn take_reports(state: &State, choice: &Choice, headers: &HeaderMap) {
     let now_ms = state.now_ms();
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-    if let Some(left_ms) = text(request::COLD_MS).and_then(|text| text.parse().ok()) {
+    if let Some(left_ms) = text(request::WARMUP_MS).and_then(|text| text.parse().ok()) {
         state.balancer.borrow_mut().set_cold(choice.handle, left_ms, now_ms);
     }
 }
@@ -166,7 +166,7 @@
 ) -> Ended {
     let echoed = head.headers().get(request::REQUEST_ID);
     let sent = outgoing.headers.get(request::REQUEST_ID);
-    let is_rejection = head.headers().contains_key(request::NOT_RUN)
+    let is_rejection = head.headers().contains_key(request::NOT_EXECUTED)
         || head.status() == StatusCode::MISDIRECTED_REQUEST;
     // An answer to an earlier request on this connection, which came twice: ours
     // is still under way, and its answer cannot be told from what follows.
@@ -226,7 +226,7 @@
 /// Clients take a success only with the server's signature and echo, and without
 /// an encoding that they did not ask for.
 fn is_usable_success(headers: &HeaderMap) -> bool {
-    headers.contains_key(request::SIGNATURE)
+    headers.contains_key(request::RESPONSE_SIGNATURE)
         && headers.contains_key(request::REQUEST_ID)
         && !headers.contains_key(header::CONTENT_ENCODING)
 }
--- a/crates/azuregate/src/serve/ports.rs
+++ b/crates/azuregate/src/serve/ports.rs
@@ -3,7 +3,7 @@
 
 use std::{convert::Infallible, rc::Rc};
 
-use azuregate_platform::request::{LOOKUP_PATH, Lookup, READY_PATH, lookup_answer};
+use azuregate_platform::request::{LOOKUP_PATH, Lookup, READINESS_PATH, encode_lookup_response};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{
@@ -53,7 +53,7 @@
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     match request.uri().path() {
-        READY_PATH => ready(state),
+        READINESS_PATH => ready(state),
         METRICS_PATH if audience == Audience::Operators => metrics(state),
         LOOKUP_PATH => lookup(state, request.uri().query().unwrap_or_default()),
         _ => plain(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
@@ -94,5 +94,5 @@
         return plain(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
     let keep_ms = KEEP_MS.min(state.bounds().lookup_keep_ms);
-    plain(StatusCode::OK, "application/json", lookup_answer(&addrs, keep_ms))
+    plain(StatusCode::OK, "application/json", encode_lookup_response(&addrs, keep_ms))
 }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -87,7 +87,7 @@
         let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
         Record {
             id: text(request::REQUEST_ID).unwrap_or_default().to_owned(),
-            object: text(request::OBJECT_KEY).unwrap_or_default().to_owned(),
+            object: text(request::AFFINITY_KEY).unwrap_or_default().to_owned(),
             route: String::new(),
             service: String::new(),
             version: 0,
@@ -324,7 +324,7 @@
 
     fn choose(&self, progress: &Progress, record: &mut Record) -> Option<Choice> {
         let headers = &self.outgoing.headers;
-        let known = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
+        let known = headers.get(request::AFFINITY_KEY).filter(|_| self.route.has_warm_objects);
         let known = known.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
         let object = known.unwrap_or_else(|| fastrand::u64(..));
         let query = Query {
@@ -356,7 +356,7 @@
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::REQUEST_TIMEOUT
         );
-        let is_signed = response.headers().contains_key(request::SIGNATURE);
+        let is_signed = response.headers().contains_key(request::RESPONSE_SIGNATURE);
         if is_promise && !is_signed && !self.outgoing.is_idempotent {
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response.headers_mut().remove(header::RETRY_AFTER);
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -11,22 +11,22 @@
 /// How many milliseconds the sender will wait.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
 /// Names the object that a request is about.
-pub const OBJECT_KEY: HeaderName = HeaderName::from_static("x-affinity-key");
-/// Proof that a backend server made the answer.
-pub const SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
+pub const AFFINITY_KEY: HeaderName = HeaderName::from_static("x-affinity-key");
+/// Proof that a backend server made the response.
+pub const RESPONSE_SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
 /// The backend server that a request is meant for; any other rejects it.
-pub const EXPECTED_BACKEND: HeaderName = HeaderName::from_static("x-target-instance");
+pub const TARGET_BACKEND: HeaderName = HeaderName::from_static("x-target-instance");
 /// Running and waiting requests and slots of the backend server that answers.
-pub const LOAD: HeaderName = HeaderName::from_static("x-backend-load");
-/// Marks an answer as a rejection: the backend server did not run the request.
-pub const NOT_RUN: HeaderName = HeaderName::from_static("x-not-executed");
+pub const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
+/// Marks a response as a rejection: the backend server did not run the request.
+pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
 /// The backend server that answers.
-pub const BACKEND: HeaderName = HeaderName::from_static("x-instance-id");
+pub const BACKEND_ID: HeaderName = HeaderName::from_static("x-instance-id");
 /// For how long the backend server that answers stays cold.
-pub const COLD_MS: HeaderName = HeaderName::from_static("x-warmup-ms");
+pub const WARMUP_MS: HeaderName = HeaderName::from_static("x-warmup-ms");
 
 /// Where an instance says whether it takes requests.
-pub const READY_PATH: &str = "/-/readyz";
+pub const READINESS_PATH: &str = "/-/readyz";
 /// Where clients ask which instances to use.
 pub const LOOKUP_PATH: &str = "/-/resolve";
 
@@ -56,20 +56,20 @@
     }
 }
 
-/// Writes the answer to a [`Lookup`] as JSON: the instances' addresses for
-/// clients, and how long the answer may be kept.
-pub fn lookup_answer(addrs: &[SocketAddr], keep_ms: u64) -> Vec<u8> {
+/// Writes the response to a [`Lookup`] as JSON: the instances' addresses for
+/// clients, and how long the response may be kept.
+pub fn encode_lookup_response(addrs: &[SocketAddr], ttl_ms: u64) -> Vec<u8> {
     #[derive(Serialize)]
-    struct Answer<'a> {
+    struct LookupResponse<'a> {
         addresses: &'a [SocketAddr],
         #[serde(rename = "ttlS")]
         ttl_s: f64,
     }
-    let answer = Answer { addresses: addrs, ttl_s: keep_ms as f64 / 1_000.0 };
-    serde_json::to_vec(&answer).expect("addresses and a number are always JSON")
+    let response = LookupResponse { addresses: addrs, ttl_s: ttl_ms as f64 / 1_000.0 };
+    serde_json::to_vec(&response).expect("addresses and a number are always JSON")
 }
 
-/// The load that a backend server reports with an answer.
+/// The load that a backend server reports with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
     /// Requests at work.
@@ -81,7 +81,7 @@
 }
 
 impl LoadReport {
-    /// Reads the value of [`LOAD`]; `None` if it is not three numbers.
+    /// Reads the value of [`BACKEND_LOAD`]; `None` if it is not three numbers.
     pub fn parse(text: &str) -> Option<LoadReport> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
         let report = LoadReport {
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -11,7 +11,7 @@
     config::{self, OperatorRow},
     fakes::{ConfigDocument, backend_row, config_row},
     member,
-    request::{LoadReport, Lookup, lookup_answer},
+    request::{LoadReport, Lookup, encode_lookup_response},
 };
 use serde_json::{Value, json};
 
@@ -132,7 +132,7 @@
     let expected = Lookup { region: "east mids".to_owned(), zone: "em-1".to_owned() };
     assert_eq!(lookup, expected);
     assert_eq!(Lookup::parse(""), Lookup::default());
-    let answer = lookup_answer(&["10.0.0.1:80".parse().unwrap()], 1_500);
+    let answer = encode_lookup_response(&["10.0.0.1:80".parse().unwrap()], 1_500);
     assert_eq!(String::from_utf8(answer).unwrap(), r#"{"addresses":["10.0.0.1:80"],"ttlS":1.5}"#);
 }
 
