--- a/crates/azuregate/src/serve/listen.rs
+++ b/crates/azuregate/src/serve/listen.rs
@@ -44,7 +44,7 @@
         };
         Ok(Listeners {
             traffic: bind(settings.traffic_addr).await?,
-            ready: bind(settings.ready_addr).await?,
+            ready: bind(settings.readiness_addr).await?,
             lookups: bind(settings.lookup_addr).await?,
             heartbeats,
             followers: bind(heartbeats_addr).await?,
--- a/crates/azuregate/src/serve/ports.rs
+++ b/crates/azuregate/src/serve/ports.rs
@@ -93,6 +93,6 @@
     if addrs.is_empty() {
         return plain(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
-    let keep_ms = KEEP_MS.min(state.bounds().lookup_keep_ms);
+    let keep_ms = KEEP_MS.min(state.bounds().lookup_ttl_ms);
     plain(StatusCode::OK, "application/json", encode_lookup_response(&addrs, keep_ms))
 }
--- a/crates/azuregate/src/serve/reload.rs
+++ b/crates/azuregate/src/serve/reload.rs
@@ -57,7 +57,7 @@
     let old = &state.settings;
     let needs_start = settings.instance != old.instance
         || settings.traffic_addr != old.traffic_addr
-        || settings.ready_addr != old.ready_addr
+        || settings.readiness_addr != old.readiness_addr
         || settings.lookup_addr != old.lookup_addr
         || settings.store_addr != old.store_addr
         || settings.peer_port != old.peer_port
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -92,7 +92,7 @@
             tables: RefCell::default(),
             encoded: RefCell::default(),
             changed: watch::Sender::new(()),
-            contact: RefCell::new(Contact::new(settings.bounds.change_ms)),
+            contact: RefCell::new(Contact::new(settings.bounds.propagation_ms)),
             is_watching: watch::Sender::new(true),
             watches_for_others: Cell::new(false),
             followers: Cell::new(0),
@@ -133,7 +133,7 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_cold_rates(bounds.cold_rate_factor, bounds.cold_rate_slack);
         balancer.set_cold_limits(&self.members.borrow());
-        self.contact.borrow_mut().set_change_ms(bounds.change_ms);
+        self.contact.borrow_mut().set_change_ms(bounds.propagation_ms);
         *self.bounds.borrow_mut() = bounds;
         // They are made anew with the new share, and start empty, which allows less.
         self.retries.borrow_mut().clear();
@@ -225,7 +225,8 @@
         let bounds = self.bounds.borrow();
         let mut retries = self.retries.borrow_mut();
         if !retries.contains_key(service) {
-            let budget = RetryBudget::new(bounds.retry_ratio * RETRY_SHARE, bounds.retry_window_ms);
+            let budget =
+                RetryBudget::new(bounds.retry_budget_ratio * RETRY_SHARE, bounds.retry_window_ms);
             retries.insert(service.clone(), budget);
         }
         f(retries.get_mut(service).expect("it was just added"))
--- a/crates/azuregate/src/serve/stop.rs
+++ b/crates/azuregate/src/serve/stop.rs
@@ -30,7 +30,7 @@
     state.stop.clone().wait().await;
     log::info!(connections = state.connections.get(); "planned stop");
     phase.send_replace(Phase::Leaving);
-    let deadline_ms = state.bounds().grace_ms.saturating_sub(MARGIN_MS);
+    let deadline_ms = state.bounds().grace_period_ms.saturating_sub(MARGIN_MS);
     let deadline = time::Instant::now() + Duration::from_millis(deadline_ms);
     let steps = async {
         let idle_at = time::Instant::now() + Duration::from_millis(KEEP_MS + LEAVE_MS);
--- a/crates/azuregate/src/serve/watch.rs
+++ b/crates/azuregate/src/serve/watch.rs
@@ -192,7 +192,7 @@
     fn wait_ms(&self) -> u64 {
         match self.table {
             Table::Members => MEMBERS_WAIT_MS,
-            Table::Operator => self.state.bounds().contact_ms,
+            Table::Operator => self.state.bounds().instance_expiry_ms,
             Table::Backends if self.state.watches_for_others.get() => {
                 self.state.contact.borrow().wait_ms()
             }
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -102,7 +102,7 @@
         let settings = Settings::parse(&text).expect("the settings are complete");
         std::fs::write(self.settings_file(number), text).expect("the file can be written");
         let (traffic, ready, lookups) =
-            (settings.traffic_addr, settings.ready_addr, settings.lookup_addr);
+            (settings.traffic_addr, settings.readiness_addr, settings.lookup_addr);
         let file = self.settings_file(number);
         let (stopper, stop) = stop::channel();
         let thread = std::thread::spawn(move || {
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -31,7 +31,7 @@
     /// Where clients send requests.
     pub traffic_addr: SocketAddr,
     /// Where the platform asks whether this instance takes requests.
-    pub ready_addr: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Where clients ask which instances to use.
     pub lookup_addr: SocketAddr,
     /// The first of the ports that are free for traffic between instances; the
@@ -52,14 +52,14 @@
 pub struct Bounds {
     /// Time after which an instance that is gone must not be named any more,
     /// counted from when it was last in contact.
-    pub contact_ms: u64,
+    pub instance_expiry_ms: u64,
     /// Time after which a change that the store acknowledged must be in force: the
     /// shortest of those for a leaving server, a configuration and an evacuation.
-    pub change_ms: u64,
+    pub propagation_ms: u64,
     /// Time from SIGTERM to SIGKILL.
-    pub grace_ms: u64,
+    pub grace_period_ms: u64,
     /// Retries of a service, as a share of its requests.
-    pub retry_ratio: f64,
+    pub retry_budget_ratio: f64,
     /// The window over which retries are counted.
     pub retry_window_ms: u64,
     /// Retries that are allowed in a window beyond the share.
@@ -69,7 +69,7 @@
     /// Requests a second that a cold backend server may get beyond that.
     pub cold_rate_slack: f64,
     /// The longest time for which clients keep the answer to a lookup.
-    pub lookup_keep_ms: u64,
+    pub lookup_ttl_ms: u64,
 }
 
 /// Settings that cannot be used.
@@ -135,7 +135,7 @@
         let zone = self.required::<String>("self.zone");
         let region = self.required::<String>("self.region");
         let traffic_addr = self.required("network.listen.frontend");
-        let ready_addr = self.required("network.listen.readiness");
+        let readiness_addr = self.required("network.listen.readiness");
         let lookup_addr = self.required("network.listen.directory");
         let store_addr = self.required("provider.provider.address");
         let ports = self.port_range("network.internalPorts");
@@ -149,7 +149,7 @@
             region: RegionName::new(&region?),
             zones: self.zones(),
             traffic_addr: traffic_addr?,
-            ready_addr: ready_addr?,
+            readiness_addr: readiness_addr?,
             lookup_addr: lookup_addr?,
             peer_port,
             last_peer_port,
@@ -163,18 +163,18 @@
     /// those of the platform's own example.
     fn bounds(&mut self) -> Bounds {
         Bounds {
-            contact_ms: self.millis("terms.bounds.contactS", 3_000),
-            change_ms: self
+            instance_expiry_ms: self.millis("terms.bounds.contactS", 3_000),
+            propagation_ms: self
                 .millis("terms.bounds.drainS", 2_000)
                 .min(self.millis("terms.bounds.configApplyS", 2_000))
                 .min(self.millis("terms.bounds.evacuateS", 5_000)),
-            grace_ms: self.millis("terms.bounds.graceS", 6_000),
-            retry_ratio: self.number("terms.bounds.retryBudgetRatio", 0.2),
+            grace_period_ms: self.millis("terms.bounds.graceS", 6_000),
+            retry_budget_ratio: self.number("terms.bounds.retryBudgetRatio", 0.2),
             retry_window_ms: self.millis("terms.bounds.retryWindowS", 10_000),
             retry_burst: self.number("terms.bounds.retryBurst", 0.0),
             cold_rate_factor: self.number("terms.bounds.warmupOverage", 1.0),
             cold_rate_slack: self.number("terms.bounds.warmupSlack", 0.0),
-            lookup_keep_ms: self.millis("terms.bounds.ttl_max_s", 5_000),
+            lookup_ttl_ms: self.millis("terms.bounds.ttl_max_s", 5_000),
         }
     }
 
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -22,8 +22,11 @@
     assert_eq!(settings.zones.len(), 2);
     assert_eq!((settings.peer_port, settings.last_peer_port), (7720, 7735));
     assert_eq!(settings.heartbeat_ms, 1_500);
-    assert_eq!((settings.bounds.contact_ms, settings.bounds.grace_ms), (3_000, 6_500));
-    assert_eq!(settings.bounds.retry_ratio, 0.25);
+    assert_eq!(
+        (settings.bounds.instance_expiry_ms, settings.bounds.grace_period_ms),
+        (3_000, 6_500)
+    );
+    assert_eq!(settings.bounds.retry_budget_ratio, 0.25);
 }
 
 #[test]
@@ -34,7 +37,10 @@
         .map(|l| format!("{l}\n"))
         .collect();
     let bounds = Settings::parse(&text).unwrap().bounds;
-    assert_eq!((bounds.contact_ms, bounds.grace_ms, bounds.lookup_keep_ms), (3_000, 6_000, 5_000));
+    assert_eq!(
+        (bounds.instance_expiry_ms, bounds.grace_period_ms, bounds.lookup_ttl_ms),
+        (3_000, 6_000, 5_000)
+    );
 }
 
 #[test]
