--- a/crates/azuregate/src/serve/watch.rs
+++ b/crates/azuregate/src/serve/watch.rs
@@ -8,7 +8,7 @@
 };
 use azuregate_platform::{
     member,
-    store::{Store, StoreError},
+    store::{StoreClient, StoreError},
 };
 use tokio::{sync::Notify, task::spawn_local, time};
 
@@ -38,7 +38,7 @@
 
 /// Registers this instance and follows the members.
 async fn register_and_watch(state: Rc<State>) {
-    let mut store = Store::new(state.settings.store_addr);
+    let mut store = StoreClient::new(state.settings.store_addr);
     let mut pause = Pause::default();
     let own = own_member(&state);
     while let Err(e) = store.put(Table::Members, own.instance.as_str(), &member::encode(&own)).await
@@ -52,7 +52,7 @@
 
 /// Ends the registration of this instance at a planned stop.
 pub(super) async fn unregister(state: &State) {
-    let mut store = Store::new(state.settings.store_addr);
+    let mut store = StoreClient::new(state.settings.store_addr);
     if let Err(e) = store.remove(Table::Members, state.settings.instance.as_str()).await {
         log::warn!(error:% = e; "cannot unregister");
     }
@@ -88,7 +88,7 @@
 /// Follows one table at the store, while this instance has to.
 struct Watch {
     state: Rc<State>,
-    store: Store,
+    store: StoreClient,
     table: Table,
     pause: Pause,
     /// Whether the table must be read whole, since changes may have been missed.
@@ -98,7 +98,7 @@
 
 impl Watch {
     fn new(state: Rc<State>, table: Table) -> Watch {
-        let store = Store::new(state.settings.store_addr);
+        let store = StoreClient::new(state.settings.store_addr);
         Watch { state, store, table, pause: Pause::default(), must_read: true, is_away: false }
     }
 
@@ -108,7 +108,7 @@
             let next_at = time::Instant::now() + Duration::from_millis(LEAST_INTERVAL_MS);
             match self.step().await {
                 Ok(()) => time::sleep_until(next_at).await,
-                Err(StoreError::HistoryGone) => {
+                Err(StoreError::HistoryExpired) => {
                     log::info!(table = self.table.as_str(); "history is gone, table is read anew");
                     self.must_read = true;
                 }
@@ -150,7 +150,7 @@
     /// the store holds changes back from it, or those it follows lag.
     fn is_behind(&mut self) {
         log::info!(table = self.table.as_str(); "behind others, table is read anew");
-        self.store = Store::new(self.state.settings.store_addr);
+        self.store = StoreClient::new(self.state.settings.store_addr);
         self.must_read = true;
     }
 
@@ -179,7 +179,7 @@
         // Before the rows: whether a missing row ran out depends on it.
         self.returned();
         let replaced = self.state.replace(self.table, whole);
-        replaced.map_err(|e| StoreError::BadAnswer(e.to_string()))?;
+        replaced.map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
         self.must_read = false;
         count(&self.state.metrics.changes.tables_read, 1);
         Ok(())
@@ -218,7 +218,7 @@
             log::info!(table = self.table.as_str(); "store regained");
         }
         if self.table == Table::Backends {
-            let answered_at_ms = self.state.now_ms().saturating_sub(self.store.answer_age_ms());
+            let answered_at_ms = self.state.now_ms().saturating_sub(self.store.response_age_ms());
             self.state.contact.borrow_mut().answered(answered_at_ms);
             self.state.check_contact();
         }
@@ -236,7 +236,7 @@
 /// Waits for rows; `None` when there is news elsewhere that the watch should
 /// have brought.
 async fn watch_or_news(
-    store: &mut Store,
+    store: &mut StoreClient,
     table: Table,
     version: u64,
     wait_ms: u64,
--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -22,22 +22,22 @@
 /// How long the store may be silent in a call, beyond the time that it is asked to
 /// wait: before the head of the answer, and before each part of its body. A limit
 /// for whole answers would break off a large one on a slow link each time anew.
-const SILENCE_MS: u64 = 1_500;
+const RESPONSE_TIMEOUT_MS: u64 = 1_500;
 /// How long opening a connection may take.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
 /// Idle time after which the connection is probed, and the pause between
 /// probes: a peer that is gone is noticed in about three seconds.
-const KEEPALIVE_S: u64 = 1;
+const KEEPALIVE_INTERVAL_S: u64 = 1;
 /// Probes without an answer after which the connection counts as dead.
 const KEEPALIVE_PROBES: u32 = 2;
 /// How long sent bytes may stay without acknowledgement.
-const UNACKED_LIMIT_MS: u64 = 2_000;
+const TCP_USER_TIMEOUT_MS: u64 = 2_000;
 /// The largest answer that is read; the store's own limit for an answer is 1 MB
 /// before encoding.
-const ANSWER_LIMIT_BYTES: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
 /// The table's name in the store.
-fn name(table: Table) -> &'static str {
+fn table_name(table: Table) -> &'static str {
     match table {
         Table::Operator => "op",
         Table::Backends => "servers",
@@ -51,20 +51,20 @@
     /// The store refused the call; nothing was done.
     Refused(u16),
     /// The history that a watch asked for is gone; the table is to be read anew.
-    HistoryGone,
+    HistoryExpired,
     /// There was no answer; the call may have been done, or may be done later.
-    NoAnswer(String),
+    NoResponse(String),
     /// The answer cannot be read.
-    BadAnswer(String),
+    InvalidResponse(String),
 }
 
 impl fmt::Display for StoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::Refused(status) => write!(f, "refused with status {status}"),
-            StoreError::HistoryGone => f.write_str("the history is gone"),
-            StoreError::NoAnswer(detail) => write!(f, "no answer: {detail}"),
-            StoreError::BadAnswer(detail) => write!(f, "bad answer: {detail}"),
+            StoreError::HistoryExpired => f.write_str("the history is gone"),
+            StoreError::NoResponse(detail) => write!(f, "no answer: {detail}"),
+            StoreError::InvalidResponse(detail) => write!(f, "bad answer: {detail}"),
         }
     }
 }
@@ -94,8 +94,8 @@
 }
 
 #[derive(Deserialize)]
-struct WireRows {
-    rows: Vec<WireRow>,
+struct RowsPage {
+    rows: Vec<PageRow>,
     ver: u64,
     /// More rows follow the last one.
     #[serde(default)]
@@ -103,7 +103,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireRow {
+struct PageRow {
     key: String,
     #[serde(default)]
     value: Option<String>,
@@ -138,22 +138,22 @@
 
 /// A client with one connection, which makes one call at a time.
 #[derive(Debug)]
-pub struct Store {
+pub struct StoreClient {
     addr: SocketAddr,
     connection: Option<SendRequest<Full<Bytes>>>,
-    answered_at: Option<Instant>,
+    response_at: Option<Instant>,
 }
 
-impl Store {
+impl StoreClient {
     /// A client of the store at `addr`; connects when it is first used.
-    pub fn new(addr: SocketAddr) -> Store {
-        Store { addr, connection: None, answered_at: None }
+    pub fn new(addr: SocketAddr) -> StoreClient {
+        StoreClient { addr, connection: None, response_at: None }
     }
 
     /// Time since the last answer began to arrive: the age of what it says, which
     /// the rest of a large answer adds to.
-    pub fn answer_age_ms(&self) -> u64 {
-        let age = self.answered_at.map(|at| at.elapsed()).unwrap_or_default();
+    pub fn response_age_ms(&self) -> u64 {
+        let age = self.response_at.map(|at| at.elapsed()).unwrap_or_default();
         u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
     }
 
@@ -165,20 +165,20 @@
     pub async fn read(&mut self, table: Table) -> Result<Changes, StoreError> {
         let mut all = Changes { is_whole: true, rows: Vec::new(), version: 0 };
         let mut from = String::new();
-        let mut first_answered_at = None;
+        let mut first_response_at = None;
         loop {
-            let path = format!("/-/rows-get?table={}&part=&from={from}", name(table));
+            let path = format!("/-/rows-get?table={}&part=&from={from}", table_name(table));
             let body = self.call(Method::GET, &path, Bytes::new(), 0).await?;
-            let page = parse(&body)?;
+            let page = parse_page(&body)?;
             // Pages may belong to different moments: a watch that goes on from
             // the first of them misses nothing.
             if all.rows.is_empty() {
                 all.version = page.ver;
-                first_answered_at = self.answered_at;
+                first_response_at = self.response_at;
             }
-            all.rows.extend(page.rows.into_iter().map(row));
+            all.rows.extend(page.rows.into_iter().map(decode_row));
             let (true, Some(last)) = (page.truncated, all.rows.last()) else {
-                self.answered_at = first_answered_at;
+                self.response_at = first_response_at;
                 return Ok(all);
             };
             // The first key after `last`; the range begins with `from` itself.
@@ -190,7 +190,7 @@
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryGone`] when the table has to be read anew, others
+    /// [`StoreError::HistoryExpired`] when the table has to be read anew, others
     /// when the store does not answer with rows.
     pub async fn watch(
         &mut self,
@@ -198,10 +198,11 @@
         version: u64,
         wait_ms: u64,
     ) -> Result<Changes, StoreError> {
-        let path = format!("/-/rows-feed?table={}&after={version}&waitMs={wait_ms}", name(table));
+        let path =
+            format!("/-/rows-feed?table={}&after={version}&waitMs={wait_ms}", table_name(table));
         let body = self.call(Method::GET, &path, Bytes::new(), wait_ms).await?;
-        let page = parse(&body)?;
-        let rows = page.rows.into_iter().map(row).collect();
+        let page = parse_page(&body)?;
+        let rows = page.rows.into_iter().map(decode_row).collect();
         Ok(Changes { is_whole: false, rows, version: page.ver })
     }
 
@@ -212,7 +213,7 @@
     /// When the store does not confirm the write. It may have been done all the
     /// same; the same write may be repeated.
     pub async fn put(&mut self, table: Table, key: &str, value: &[u8]) -> Result<(), StoreError> {
-        let put = Put { table: name(table), part: "", key, value: STANDARD.encode(value) };
+        let put = Put { table: table_name(table), part: "", key, value: STANDARD.encode(value) };
         self.transact(&Transaction { precondition: [], puts: &[put], remove: &[] }).await
     }
 
@@ -222,7 +223,7 @@
     ///
     /// When the store does not confirm the removal, which may have been done.
     pub async fn remove(&mut self, table: Table, key: &str) -> Result<(), StoreError> {
-        let key = Key { table: name(table), part: "", key };
+        let key = Key { table: table_name(table), part: "", key };
         self.transact(&Transaction { precondition: [], puts: &[], remove: &[key] }).await
     }
 
@@ -239,7 +240,7 @@
         wait_ms: u64,
     ) -> Result<Bytes, StoreError> {
         let result = self.call_once(method, path, body, wait_ms).await;
-        if matches!(result, Err(StoreError::NoAnswer(_) | StoreError::BadAnswer(_))) {
+        if matches!(result, Err(StoreError::NoResponse(_) | StoreError::InvalidResponse(_))) {
             // The connection may still deliver the late answer, or be silent.
             self.connection = None;
         }
@@ -259,18 +260,18 @@
             .header(header::HOST, self.addr.to_string())
             .header(header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(no_answer)?;
-        let answering = async {
+            .map_err(no_response)?;
+        let response = async {
             let connection = self.connection().await?;
-            connection.send_request(request).await.map_err(no_answer)
+            connection.send_request(request).await.map_err(no_response)
         };
-        let response = not_silent(SILENCE_MS + wait_ms, answering).await?;
-        self.answered_at = Some(Instant::now());
+        let response = with_timeout(RESPONSE_TIMEOUT_MS + wait_ms, response).await?;
+        self.response_at = Some(Instant::now());
         let status = response.status();
         let body = read_body(response.into_body()).await?;
         match status {
             StatusCode::OK => Ok(body),
-            StatusCode::GONE => Err(StoreError::HistoryGone),
+            StatusCode::GONE => Err(StoreError::HistoryExpired),
             status => Err(StoreError::Refused(status.as_u16())),
         }
     }
@@ -283,24 +284,26 @@
         if !is_open {
             self.connection = Some(connect(self.addr).await?);
         }
-        self.connection.as_mut().ok_or_else(|| StoreError::NoAnswer("not connected".to_owned()))
+        self.connection.as_mut().ok_or_else(|| StoreError::NoResponse("not connected".to_owned()))
     }
 }
 
-async fn not_silent<T>(
-    limit_ms: u64,
-    answering: impl Future<Output = Result<T, StoreError>>,
+async fn with_timeout<T>(
+    timeout_ms: u64,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    let answer = time::timeout(Duration::from_millis(limit_ms), answering).await;
-    answer.unwrap_or_else(|_| Err(StoreError::NoAnswer("timeout".to_owned())))
+    let answer = time::timeout(Duration::from_millis(timeout_ms), response).await;
+    answer.unwrap_or_else(|_| Err(StoreError::NoResponse("timeout".to_owned())))
 }
 
 async fn read_body(incoming: Incoming) -> Result<Bytes, StoreError> {
-    let mut incoming = Limited::new(incoming, ANSWER_LIMIT_BYTES);
+    let mut incoming = Limited::new(incoming, MAX_RESPONSE_BYTES);
     let mut body = BytesMut::new();
     loop {
-        let frame = async { incoming.frame().await.transpose().map_err(no_answer) };
-        let Some(frame) = not_silent(SILENCE_MS, frame).await? else { return Ok(body.freeze()) };
+        let frame = async { incoming.frame().await.transpose().map_err(no_response) };
+        let Some(frame) = with_timeout(RESPONSE_TIMEOUT_MS, frame).await? else {
+            return Ok(body.freeze());
+        };
         if let Ok(data) = frame.into_data() {
             body.extend_from_slice(&data);
         }
@@ -311,11 +314,11 @@
     let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
     let stream = time::timeout(limit, TcpStream::connect(addr))
         .await
-        .map_err(|_| StoreError::NoAnswer("timeout while connecting".to_owned()))?
-        .map_err(no_answer)?;
-    watch_for_silence(&stream).map_err(no_answer)?;
+        .map_err(|_| StoreError::NoResponse("timeout while connecting".to_owned()))?
+        .map_err(no_response)?;
+    enable_keepalive(&stream).map_err(no_response)?;
     let (sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(no_answer)?;
+        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(no_response)?;
     // The task ends with the connection, which ends when the sender is dropped.
     tokio::spawn(async move {
         let _ = connection.await;
@@ -326,27 +329,27 @@
 /// A connection can go silent for good without a reset: the peer lost power, or
 /// something on the way lost track of it. A watch on it would wait until its
 /// time is over and miss all changes; probes by the kernel end it within seconds.
-fn watch_for_silence(stream: &TcpStream) -> std::io::Result<()> {
-    let interval = Duration::from_secs(KEEPALIVE_S);
+fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
+    let interval = Duration::from_secs(KEEPALIVE_INTERVAL_S);
     let keepalive = TcpKeepalive::new()
         .with_time(interval)
         .with_interval(interval)
         .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKED_LIMIT_MS)))?;
+    socket.set_tcp_user_timeout(Some(Duration::from_millis(TCP_USER_TIMEOUT_MS)))?;
     stream.set_nodelay(true)
 }
 
-fn no_answer(e: impl fmt::Display) -> StoreError {
-    StoreError::NoAnswer(e.to_string())
+fn no_response(e: impl fmt::Display) -> StoreError {
+    StoreError::NoResponse(e.to_string())
 }
 
-fn parse(body: &[u8]) -> Result<WireRows, StoreError> {
-    serde_json::from_slice(body).map_err(|e| StoreError::BadAnswer(e.to_string()))
+fn parse_page(body: &[u8]) -> Result<RowsPage, StoreError> {
+    serde_json::from_slice(body).map_err(|e| StoreError::InvalidResponse(e.to_string()))
 }
 
-fn row(row: WireRow) -> Row {
+fn decode_row(row: PageRow) -> Row {
     let value = row.value.and_then(|text| String::from_utf8(STANDARD.decode(text).ok()?).ok());
     Row { key: row.key, value, is_removed: row.tombstone, version: row.ver }
 }
--- a/crates/platform/tests/store.rs
+++ b/crates/platform/tests/store.rs
@@ -7,13 +7,13 @@
 use azuregate_core::replica::{Row, Table};
 use azuregate_platform::{
     fakes::{FakeStore, StoreFault},
-    store::{Store, StoreError},
+    store::{StoreClient, StoreError},
 };
 use tokio::{net::TcpListener, time};
 
-async fn start() -> (FakeStore, Store) {
+async fn start() -> (FakeStore, StoreClient) {
     let fake = FakeStore::start("127.0.0.1").await;
-    let store = Store::new(fake.addr());
+    let store = StoreClient::new(fake.addr());
     (fake, store)
 }
 
@@ -74,7 +74,7 @@
     assert!(fake.keys("instances").is_empty());
     fake.set_fault(StoreFault::DropResponse);
     let e = store.put(Table::Members, "lost", b"1").await.unwrap_err();
-    assert!(matches!(e, StoreError::NoAnswer(_)), "{e}");
+    assert!(matches!(e, StoreError::NoResponse(_)), "{e}");
     assert_eq!(fake.keys("instances"), ["lost"]);
     fake.set_fault(StoreFault::None);
     store.put(Table::Members, "again", b"1").await.unwrap();
@@ -86,7 +86,7 @@
     fake.put("servers", "a", "1");
     fake.discard_history();
     let e = store.watch(Table::Backends, 1, 1_000).await.unwrap_err();
-    assert_eq!(e, StoreError::HistoryGone);
+    assert_eq!(e, StoreError::HistoryExpired);
 }
 
 /// The store takes the call and says nothing. The caller is told after the time
@@ -98,7 +98,7 @@
     fake.set_fault(StoreFault::Hang);
     let call = time::timeout(Duration::from_secs(8), store.watch(Table::Backends, 0, 100));
     let e = call.await.expect("the call ends by itself").unwrap_err();
-    assert_eq!(e, StoreError::NoAnswer("timeout".to_owned()));
+    assert_eq!(e, StoreError::NoResponse("timeout".to_owned()));
     fake.set_fault(StoreFault::None);
     store.read(Table::Backends).await.unwrap();
 }
@@ -109,6 +109,6 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         listener.local_addr().unwrap()
     };
-    let e = Store::new(addr).read(Table::Operator).await.unwrap_err();
-    assert!(matches!(e, StoreError::NoAnswer(_)), "{e}");
+    let e = StoreClient::new(addr).read(Table::Operator).await.unwrap_err();
+    assert!(matches!(e, StoreError::NoResponse(_)), "{e}");
 }
