--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -6,7 +6,7 @@
 };
 use azuregate_platform::{
     backend,
-    config::{self, OperatorRow},
+    config::{self, OperatorKey},
     member,
 };
 
@@ -42,21 +42,21 @@
 
     fn apply_operator(&self, row: &Row) {
         let key = row.key.as_str();
-        match config::operator_row(key) {
-            OperatorRow::Evacuate(zone) => {
+        match config::parse_operator_key(key) {
+            OperatorKey::Evacuate(zone) => {
                 let is_evacuated = !row.is_removed;
                 let now_ms = self.now_ms();
                 if self.balancer.borrow_mut().set_evacuated(&zone, is_evacuated, now_ms) {
                     log::info!(zone:% = zone, evacuated = is_evacuated, row_version = row.version; "evacuation of a zone");
                 }
             }
-            OperatorRow::Config => match config::decode(value(row)) {
+            OperatorKey::Config => match config::decode(value(row)) {
                 Ok(config) => self.set_config(config),
                 Err(e) => {
                     log::warn!(key = key, row_version = row.version, error:% = e; "configuration ignored");
                 }
             },
-            OperatorRow::Other => log::warn!(key = key; "unknown row of the operator ignored"),
+            OperatorKey::Unknown => log::warn!(key = key; "unknown row of the operator ignored"),
         }
     }
 
--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -12,7 +12,7 @@
 
 /// A backend server's row. Fields that are not used here are ignored.
 #[derive(Deserialize)]
-struct Entry {
+struct Row {
     /// The name of the service.
     backend: String,
     address: SocketAddr,
@@ -42,18 +42,18 @@
 /// When another writer wrote the row: a field is missing or of another type, or
 /// the state is unknown.
 pub fn decode(key: &str, value: &[u8]) -> Result<Backend, DecodeError> {
-    let entry: Entry = decode_json(value)?;
-    if !entry.warmup_left_s.is_finite() || entry.capacity == 0 {
+    let row: Row = decode_json(value)?;
+    if !row.warmup_left_s.is_finite() || row.capacity == 0 {
         return Err(DecodeError::new("the capacity or the time to warm up is out of range"));
     }
     Ok(Backend {
         id: BackendId::new(key),
-        service: ServiceName::new(&entry.backend),
-        addr: entry.address,
-        zone: ZoneName::new(&entry.zone),
-        slots: entry.capacity,
-        is_draining: entry.state == State::Draining,
-        cold_left_ms: (entry.warmup_left_s.max(0.0) * 1_000.0) as u64,
-        start_epoch_ms: entry.born,
+        service: ServiceName::new(&row.backend),
+        addr: row.address,
+        zone: ZoneName::new(&row.zone),
+        slots: row.capacity,
+        is_draining: row.state == State::Draining,
+        cold_left_ms: (row.warmup_left_s.max(0.0) * 1_000.0) as u64,
+        start_epoch_ms: row.born,
     })
 }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -17,23 +17,23 @@
 
 /// What a row of the operator's table is about.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum OperatorRow {
+pub enum OperatorKey {
     /// The configuration.
     Config,
     /// A request that the zone gets nothing while the row is there.
     Evacuate(ZoneName),
     /// Something that is not known here.
-    Other,
+    Unknown,
 }
 
 /// Tells from its key what a row of the operator's table is about.
-pub fn operator_row(key: &str) -> OperatorRow {
+pub fn parse_operator_key(key: &str) -> OperatorKey {
     if key == CONFIG_KEY {
-        return OperatorRow::Config;
+        return OperatorKey::Config;
     }
     match key.strip_prefix(EVACUATE_PREFIX) {
-        Some(zone) => OperatorRow::Evacuate(ZoneName::new(zone)),
-        None => OperatorRow::Other,
+        Some(zone) => OperatorKey::Evacuate(ZoneName::new(zone)),
+        None => OperatorKey::Unknown,
     }
 }
 
@@ -68,7 +68,7 @@
 struct Rule {
     name: String,
     /// What may be repeated.
-    r#type: Kind,
+    r#type: RuleKind,
     target_latency_s: f64,
     #[serde(default)]
     priority: u32,
@@ -81,7 +81,7 @@
 
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Kind {
+enum RuleKind {
     Idempotent,
     NonIdempotent,
     Upload,
@@ -97,7 +97,7 @@
 struct Action {
     /// The only service, where there is no split.
     backend: Option<String>,
-    traffic_split: Option<Vec<Part>>,
+    traffic_split: Option<Vec<WeightedBackend>>,
     timeout_s: f64,
     attempts: u32,
     #[serde(default)]
@@ -105,7 +105,7 @@
 }
 
 #[derive(Deserialize)]
-struct Part {
+struct WeightedBackend {
     backend: String,
     weight: f64,
 }
@@ -136,30 +136,30 @@
     let limits = CallerLimits {
         header_bytes: document.limits.max_header_bytes,
         body_bytes: document.limits.max_body_bytes,
-        header_timeout_ms: millis(document.limits.header_timeout_s)?,
-        idle_timeout_ms: millis(document.limits.idle_timeout_s)?,
+        header_timeout_ms: seconds_to_millis(document.limits.header_timeout_s)?,
+        idle_timeout_ms: seconds_to_millis(document.limits.idle_timeout_s)?,
     };
-    let services = document.clusters.iter().map(service).collect::<Result<_, _>>()?;
+    let services = document.clusters.iter().map(decode_service).collect::<Result<_, _>>()?;
     let mut routes = Vec::new();
     for listener in &document.listeners {
         for rule in &listener.rules {
-            routes.push((listener.host.clone(), Arc::new(route(rule)?)));
+            routes.push((listener.host.clone(), Arc::new(decode_route(rule)?)));
         }
     }
     Config::new(ConfigParts { version, limits, services, routes })
         .map_err(|e| DecodeError::new(&e.to_string()))
 }
 
-fn service(cluster: &Cluster) -> Result<(ServiceName, Service), DecodeError> {
+fn decode_service(cluster: &Cluster) -> Result<(ServiceName, Service), DecodeError> {
     let service = Service {
         connection_limit: cluster.max_conns,
-        cold_ms: millis(cluster.warmup_s)?,
+        cold_ms: seconds_to_millis(cluster.warmup_s)?,
         cold_rate_per_s: cluster.warmup_per_s.max(0.0),
     };
     Ok((ServiceName::new(&cluster.name), service))
 }
 
-fn route(rule: &Rule) -> Result<Route, DecodeError> {
+fn decode_route(rule: &Rule) -> Result<Route, DecodeError> {
     let destinations = match (&rule.action.traffic_split, &rule.action.backend) {
         (Some(parts), _) => {
             parts.iter().map(|part| destination(&part.backend, part.weight)).collect()
@@ -171,11 +171,11 @@
         name: rule.name.clone(),
         prefix: rule.r#match.prefix.clone(),
         kind: match rule.r#type {
-            Kind::Idempotent => RequestKind::Idempotent,
-            Kind::NonIdempotent | Kind::Upload => RequestKind::NonIdempotent,
+            RuleKind::Idempotent => RequestKind::Idempotent,
+            RuleKind::NonIdempotent | RuleKind::Upload => RequestKind::NonIdempotent,
         },
-        timeout_ms: millis(rule.action.timeout_s)?,
-        objective_ms: millis(rule.target_latency_s)?,
+        timeout_ms: seconds_to_millis(rule.action.timeout_s)?,
+        objective_ms: seconds_to_millis(rule.target_latency_s)?,
         attempts: rule.action.attempts,
         priority: rule.priority,
         has_warm_objects: rule.session_affinity,
@@ -188,7 +188,7 @@
     Destination { service: ServiceName::new(service), weight }
 }
 
-fn millis(seconds: f64) -> Result<u64, DecodeError> {
+fn seconds_to_millis(seconds: f64) -> Result<u64, DecodeError> {
     if !seconds.is_finite() || seconds < 0.0 {
         return Err(DecodeError::new("a time is out of range"));
     }
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -8,7 +8,7 @@
 };
 use azuregate_platform::{
     backend,
-    config::{self, OperatorRow},
+    config::{self, OperatorKey},
     fakes::{ConfigDocument, backend_row, config_row},
     member,
     request::{LoadReport, Lookup, encode_lookup_response},
@@ -75,10 +75,10 @@
 
 #[test]
 fn rows_of_the_operator_are_told_apart() {
-    assert_eq!(config::operator_row("config"), OperatorRow::Config);
+    assert_eq!(config::parse_operator_key("config"), OperatorKey::Config);
     let zone = ZoneName::new("sofia-a");
-    assert_eq!(config::operator_row("evacuate/sofia-a"), OperatorRow::Evacuate(zone));
-    assert_eq!(config::operator_row("other"), OperatorRow::Other);
+    assert_eq!(config::parse_operator_key("evacuate/sofia-a"), OperatorKey::Evacuate(zone));
+    assert_eq!(config::parse_operator_key("other"), OperatorKey::Unknown);
 }
 
 #[test]
