--- a/crates/azuregate-lab/src/cli/measure.rs
+++ b/crates/azuregate-lab/src/cli/measure.rs
@@ -45,7 +45,7 @@
 
 /// Runs `measure`.
 pub(crate) async fn run(args: MeasureArgs) -> Result<(), ClientError> {
-    azuregate::logs::start("off");
+    azuregate::logs::init("off");
     let what = args.what.as_deref().unwrap_or("all");
     if what == "all" {
         return run_all(&args).await;
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -38,7 +38,7 @@
 
 /// Runs `up`.
 pub(crate) async fn run(args: &UpArgs) -> Result<(), ClientError> {
-    azuregate::logs::start("warn");
+    azuregate::logs::init("warn");
     let example = load_example(&args.example)?;
     let Some(service) = example.services.first() else {
         return Err("the example has no service".into());
--- a/crates/azuregate/src/cli/mod.rs
+++ b/crates/azuregate/src/cli/mod.rs
@@ -161,8 +161,8 @@
     if args.check {
         return check_platform_settings(&path, serve::load_settings(&path).err());
     }
-    logs::start_on_stdout(&args.log);
-    logs::panics();
+    logs::init_stdout(&args.log);
+    logs::install_panic_hook();
     block_on(async {
         let stop = stop_on_signal();
         let settings = match serve::load_settings(&path) {
@@ -206,8 +206,8 @@
         Err(e) => return usage(&e),
     };
     tell_warnings(&args.settings, &settings.warnings());
-    logs::start(&settings.log_filter);
-    logs::panics();
+    logs::init(&settings.log_filter);
+    logs::install_panic_hook();
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => {
--- a/crates/azuregate/src/logs/lines.rs
+++ b/crates/azuregate/src/logs/lines.rs
@@ -14,14 +14,14 @@
     record::{Level, Record},
 };
 
-use super::limiter::{Kind, Limiter, Suppressed};
+use super::rate_limiter::{EventKind, RateLimiter, Suppressed};
 
 /// How many lines of one kind are written in a window.
 const LINES_PER_WINDOW: u64 = 50;
 /// Length of the window.
 const WINDOW_MS: u64 = 1_000;
 /// The longest line, in bytes; callers choose some of the values.
-const LINE_LIMIT_BYTES: usize = 8_192;
+const MAX_LINE_BYTES: usize = 8_192;
 /// Ends a line that was too long.
 const TRUNCATED: &str = " truncated=true";
 
@@ -34,7 +34,7 @@
 
 struct State<W> {
     out: W,
-    limiter: Limiter,
+    limiter: RateLimiter,
 }
 
 impl<W> fmt::Debug for Lines<W> {
@@ -46,7 +46,7 @@
 impl<W: Write> Lines<W> {
     /// Writes to `out`.
     pub fn new(out: W) -> Lines<W> {
-        let limiter = Limiter::new(LINES_PER_WINDOW, WINDOW_MS);
+        let limiter = RateLimiter::new(LINES_PER_WINDOW, WINDOW_MS);
         let state = Mutex::new(State { out, limiter });
         Lines { layout: LogfmtLayout::default(), origin: Instant::now(), state }
     }
@@ -57,7 +57,7 @@
 
     fn line(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<String, Error> {
         let bytes = self.layout.format(record, diags)?;
-        Ok(one_line(&String::from_utf8_lossy(&bytes)))
+        Ok(escape_line(&String::from_utf8_lossy(&bytes)))
     }
 
     fn suppressed_line(&self, suppressed: &Suppressed) -> Result<String, Error> {
@@ -100,9 +100,9 @@
     }
 }
 
-fn kind(record: &Record) -> Kind {
+fn kind(record: &Record) -> EventKind {
     let code = record.key_values().get("code");
-    Kind {
+    EventKind {
         message: record.payload().to_string(),
         code: code.map_or_else(String::new, |code| code.to_string()),
     }
@@ -114,7 +114,7 @@
 /// value that holds nothing but a line break among letters would end the line,
 /// and what follows would read as an event of its own; control characters would
 /// reach the terminal of whoever reads the log.
-pub fn one_line(text: &str) -> String {
+pub fn escape_line(text: &str) -> String {
     let mut line = String::with_capacity(text.len());
     for c in text.chars() {
         if c.is_control() || matches!(c, '\u{2028}' | '\u{2029}') {
@@ -122,7 +122,7 @@
         } else {
             line.push(c);
         }
-        if line.len() > LINE_LIMIT_BYTES {
+        if line.len() > MAX_LINE_BYTES {
             line.push_str(TRUNCATED);
             break;
         }
--- a/crates/azuregate/src/logs/never_blocking.rs
+++ b/crates/azuregate/src/logs/non_blocking.rs
@@ -8,34 +8,34 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 /// Bytes that a pipe takes whole once it takes any.
-const PIECE_BYTES: usize = 4_096;
+const CHUNK_BYTES: usize = 4_096;
 /// Asks without waiting.
-const AT_ONCE: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
 /// Writes to `W` what it takes at once, and drops the rest.
 ///
 /// The failure: whoever collects the log stops reading, the pipe fills up, and
 /// the next line blocks the only thread, with all requests behind it. A pipe that
 /// reports room takes 4,096 bytes without blocking, so asking
-/// before each piece is enough. What is dropped is counted, and the count is
+/// before each chunk is enough. What is dropped is counted, and the count is
 /// written with the next line that gets through.
 #[derive(Debug)]
-pub struct NeverBlocking<W> {
+pub struct NonBlockingWriter<W> {
     out: W,
     dropped: u64,
 }
 
-impl NeverBlocking<Stdout> {
+impl NonBlockingWriter<Stdout> {
     /// The standard output of this process.
-    pub fn stdout() -> NeverBlocking<Stdout> {
-        NeverBlocking::new(io::stdout())
+    pub fn stdout() -> NonBlockingWriter<Stdout> {
+        NonBlockingWriter::new(io::stdout())
     }
 }
 
-impl<W: AsFd + Write> NeverBlocking<W> {
+impl<W: AsFd + Write> NonBlockingWriter<W> {
     /// Writes to `out`, a pipe or a file.
-    pub fn new(out: W) -> NeverBlocking<W> {
-        NeverBlocking { out, dropped: 0 }
+    pub fn new(out: W) -> NonBlockingWriter<W> {
+        NonBlockingWriter { out, dropped: 0 }
     }
 
     /// Writes that were dropped since the last one that got through.
@@ -45,30 +45,30 @@
 
     fn has_room(&self) -> bool {
         let mut fds = [PollFd::new(&self.out, PollFlags::OUT)];
-        matches!(poll(&mut fds, Some(&AT_ONCE)), Ok(1..))
+        matches!(poll(&mut fds, Some(&NO_WAIT)), Ok(1..))
             && fds[0].revents().contains(PollFlags::OUT)
     }
 
-    fn write_piece(&mut self, piece: &[u8]) -> io::Result<()> {
+    fn write_chunk(&mut self, chunk: &[u8]) -> io::Result<()> {
         if !self.has_room() {
             self.dropped += 1;
             return Ok(());
         }
         if self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
-            // Shorter than a piece, but the pipe may be full after it.
+            // Shorter than a chunk, but the pipe may be full after it.
             self.out.write_all(format!("lines dropped count={dropped}\n").as_bytes())?;
-            return self.write_piece(piece);
+            return self.write_chunk(chunk);
         }
-        self.out.write_all(piece)?;
+        self.out.write_all(chunk)?;
         self.out.flush()
     }
 }
 
-impl<W: AsFd + Write> Write for NeverBlocking<W> {
+impl<W: AsFd + Write> Write for NonBlockingWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        for piece in bytes.chunks(PIECE_BYTES) {
-            self.write_piece(piece)?;
+        for chunk in bytes.chunks(CHUNK_BYTES) {
+            self.write_chunk(chunk)?;
         }
         Ok(bytes.len())
     }
--- a/crates/azuregate/src/logs/limiter.rs
+++ b/crates/azuregate/src/logs/rate_limiter.rs
@@ -3,11 +3,11 @@
 use std::collections::BTreeMap;
 
 /// How many kinds are counted apart; the others share one count.
-const KIND_LIMIT: usize = 256;
+const MAX_KINDS: usize = 256;
 
 /// Events that are limited together.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
-pub struct Kind {
+pub struct EventKind {
     /// The message.
     pub message: String,
     /// The event's `code`, empty if it has none.
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Suppressed {
     /// Their kind.
-    pub kind: Kind,
+    pub kind: EventKind,
     /// How many they were.
     pub count: u64,
 }
@@ -30,10 +30,10 @@
 /// everything else out of the log. The first lines of a kind tell all there is to
 /// tell; the rest are counted, and the count is written when the window is over.
 #[derive(Clone, Debug)]
-pub struct Limiter {
+pub struct RateLimiter {
     lines: u64,
     window_ms: u64,
-    kinds: BTreeMap<Kind, Window>,
+    kinds: BTreeMap<EventKind, Window>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -42,20 +42,21 @@
     seen: u64,
 }
 
-impl Limiter {
+impl RateLimiter {
     /// Lets `lines` of each kind through in `window_ms`.
-    pub fn new(lines: u64, window_ms: u64) -> Limiter {
-        Limiter { lines, window_ms, kinds: BTreeMap::new() }
+    pub fn new(lines: u64, window_ms: u64) -> RateLimiter {
+        RateLimiter { lines, window_ms, kinds: BTreeMap::new() }
     }
 
     /// Counts an event at `now_ms` of monotonic time; returns whether it is
     /// written.
     ///
-    /// Call [`Limiter::take_suppressed`] first, which ends the windows that are
+    /// Call [`RateLimiter::take_suppressed`] first, which ends the windows that are
     /// over.
-    pub fn admit(&mut self, kind: Kind, now_ms: u64) -> bool {
+    pub fn admit(&mut self, kind: EventKind, now_ms: u64) -> bool {
         let is_new = !self.kinds.contains_key(&kind);
-        let kind = if is_new && self.kinds.len() >= KIND_LIMIT { Kind::default() } else { kind };
+        let kind =
+            if is_new && self.kinds.len() >= MAX_KINDS { EventKind::default() } else { kind };
         let fresh = Window { start_ms: now_ms, seen: 0 };
         let window = self.kinds.entry(kind).or_insert(fresh);
         window.seen += 1;
--- a/crates/azuregate/tests/logs.rs
+++ b/crates/azuregate/tests/logs.rs
@@ -7,7 +7,7 @@
     sync::{Arc, Mutex},
 };
 
-use azuregate::logs::{Kind, Limiter, Lines, NeverBlocking, Suppressed, one_line};
+use azuregate::logs::{EventKind, Lines, NonBlockingWriter, RateLimiter, Suppressed, escape_line};
 use logforth::{
     Append,
     kv::{Key, Value},
@@ -90,7 +90,7 @@
     #[test]
     fn nothing_breaks_a_line(value in any::<Vec<char>>()) {
         let value = String::from_iter(value);
-        let line = one_line(&value);
+        let line = escape_line(&value);
         prop_assert!(line.chars().all(|c| !c.is_control()), "{line:?}");
         prop_assert_eq!(line.lines().count(), usize::from(!line.is_empty()));
     }
@@ -113,13 +113,13 @@
     assert_eq!(count("code=too-late"), 1);
 }
 
-fn kind(code: &str) -> Kind {
-    Kind { message: "request refused".to_owned(), code: code.to_owned() }
+fn kind(code: &str) -> EventKind {
+    EventKind { message: "request refused".to_owned(), code: code.to_owned() }
 }
 
 #[test]
 fn what_is_held_back_is_counted_for_each_kind() {
-    let mut limiter = Limiter::new(2, 1_000);
+    let mut limiter = RateLimiter::new(2, 1_000);
     let admitted: Vec<_> = (0..5).map(|_| limiter.admit(kind("queue-full"), 100)).collect();
     assert_eq!(admitted, [true, true, false, false, false]);
     assert!(limiter.admit(kind("too-late"), 200));
@@ -132,12 +132,12 @@
 
 #[test]
 fn kinds_are_bounded() {
-    let mut limiter = Limiter::new(1, 1_000);
+    let mut limiter = RateLimiter::new(1, 1_000);
     let admitted = (0..1_000).filter(|index| limiter.admit(kind(&index.to_string()), 0)).count();
     assert_eq!(admitted, 256 + 1);
     assert_eq!(
         limiter.take_suppressed(1_000),
-        [Suppressed { kind: Kind::default(), count: 1_000 - 257 }]
+        [Suppressed { kind: EventKind::default(), count: 1_000 - 257 }]
     );
 }
 
@@ -147,7 +147,7 @@
 #[test]
 fn a_log_that_nobody_reads_blocks_nothing() {
     let (mut reader, writer) = std::io::pipe().unwrap();
-    let mut log = NeverBlocking::new(writer);
+    let mut log = NonBlockingWriter::new(writer);
     let line = [b"x".repeat(999), b"\n".to_vec()].concat();
     for _ in 0..1_000 {
         log.write_all(&line).unwrap();
