--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -117,7 +117,7 @@
             tenant: attributes.tenant.clone(),
             class: attributes.class,
             code,
-            taken_ms,
+            latency_ms: taken_ms,
         });
         let mut response = result.unwrap_or_else(|e| {
             log::info!(
--- a/crates/azuregate/src/gateway/request.rs
+++ b/crates/azuregate/src/gateway/request.rs
@@ -10,7 +10,7 @@
 };
 use hyper::{HeaderMap, Method, Request, header};
 
-use crate::{body::Body, metrics::Class};
+use crate::{body::Body, metrics::RequestClass};
 
 /// Names the request, so that its repeats are recognised.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
@@ -51,7 +51,7 @@
     /// Hash of service, method and path; the body joins it later.
     pub fingerprint: u64,
     /// Which histogram it counts in.
-    pub class: Class,
+    pub class: RequestClass,
     /// Whether it may run twice: its method is idempotent, and it has no key. A
     /// key promises at most once, whatever the method.
     pub idempotent: bool,
@@ -177,11 +177,11 @@
     Ok(Some(text.trim()))
 }
 
-fn class(method: &Method, keyed: bool) -> Class {
+fn class(method: &Method, keyed: bool) -> RequestClass {
     if keyed {
-        return Class::Keyed;
+        return RequestClass::Keyed;
     }
-    if method.is_safe() { Class::Read } else { Class::Write }
+    if method.is_safe() { RequestClass::Read } else { RequestClass::Write }
 }
 
 fn bad(detail: impl Into<String>) -> Error {
--- a/crates/azuregate/src/metrics/mod.rs
+++ b/crates/azuregate/src/metrics/mod.rs
@@ -13,13 +13,13 @@
 use azuregate_core::names::{ServiceName, TenantName};
 use serde::{Deserialize, Serialize};
 
-pub use recorder::{Histograms, Recorder, Summary};
+pub use recorder::{HistogramSummary, Histograms, Recorder};
 pub use statsd::StatsdSink;
 
 /// The kinds of request that are measured apart.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Class {
+pub enum RequestClass {
     /// A safe method.
     Read,
     /// Any other method, without an idempotency key.
@@ -28,18 +28,18 @@
     Keyed,
 }
 
-impl Class {
+impl RequestClass {
     /// The class's name in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
-            Class::Read => "read",
-            Class::Write => "write",
-            Class::Keyed => "keyed",
+            RequestClass::Read => "read",
+            RequestClass::Write => "write",
+            RequestClass::Keyed => "keyed",
         }
     }
 }
 
-impl fmt::Display for Class {
+impl fmt::Display for RequestClass {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.as_str())
     }
@@ -53,11 +53,11 @@
     /// The tenant that the request named, if any.
     pub tenant: Option<TenantName>,
     /// The class of the request.
-    pub class: Class,
+    pub class: RequestClass,
     /// The code of the error that azuregate answered with, or [`ANSWERED`].
     pub code: &'static str,
     /// Time from the request's head to the answer's head.
-    pub taken_ms: u64,
+    pub latency_ms: u64,
 }
 
 /// The code of a request that a backend server answered.
--- a/crates/azuregate/src/metrics/recorder.rs
+++ b/crates/azuregate/src/metrics/recorder.rs
@@ -16,16 +16,16 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{mpsc, oneshot};
 
-use super::{ANSWERED, Class, MetricSink, Sample};
+use super::{ANSWERED, MetricSink, RequestClass, Sample};
 
 /// The longest latency that the histograms tell apart, in milliseconds.
-const LATENCY_LIMIT_MS: u64 = 3_600_000;
+const MAX_LATENCY_MS: u64 = 3_600_000;
 /// How many samples wait for the task at the most.
-const QUEUE_LIMIT: usize = 16_384;
+const MAX_QUEUED_SAMPLES: usize = 16_384;
 /// How many tenants are told apart.
-const TENANT_LIMIT: usize = 64;
+const MAX_TENANTS: usize = 64;
 /// How many services are told apart.
-const SERVICE_LIMIT: usize = 64;
+const MAX_SERVICES: usize = 64;
 /// Stands for all services and tenants that are not told apart.
 const OTHER: &str = "other";
 
@@ -33,11 +33,11 @@
 #[derive(Clone)]
 pub struct Recorder {
     samples: mpsc::Sender<Sample>,
-    reads: mpsc::Sender<Read>,
+    requests: mpsc::Sender<HistogramsRequest>,
     dropped: Arc<AtomicU64>,
 }
 
-struct Read {
+struct HistogramsRequest {
     reply: oneshot::Sender<Histograms>,
 }
 
@@ -46,7 +46,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Histograms {
     /// Ordered by service, tenant and class.
-    pub histograms: Vec<Summary>,
+    pub histograms: Vec<HistogramSummary>,
     /// Samples that were dropped since the start, because the task was behind.
     pub dropped: u64,
 }
@@ -54,13 +54,13 @@
 /// One histogram in short.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct Summary {
+pub struct HistogramSummary {
     /// The service.
     pub service: ServiceName,
     /// The tenant, `None` for requests that named none.
     pub tenant: Option<TenantName>,
     /// The class of its requests.
-    pub class: Class,
+    pub class: RequestClass,
     /// How many requests were recorded.
     pub count: u64,
     /// How many of them azuregate answered itself, with an error.
@@ -78,19 +78,19 @@
 impl Recorder {
     /// Starts the task; it ends when the last handle is dropped.
     pub fn start(sink: Arc<dyn MetricSink>) -> Recorder {
-        let (samples, receiver) = mpsc::channel(QUEUE_LIMIT);
-        let (reads, read_receiver) = mpsc::channel(1);
+        let (samples, receiver) = mpsc::channel(MAX_QUEUED_SAMPLES);
+        let (requests, request_receiver) = mpsc::channel(1);
         let dropped = Arc::new(AtomicU64::new(0));
         let task = Task {
             sink,
             dropped: Arc::clone(&dropped),
-            dropped_told: 0,
+            dropped_reported: 0,
             series: BTreeMap::new(),
             services: BTreeSet::new(),
             tenants: BTreeSet::new(),
         };
-        tokio::spawn(task.serve(receiver, read_receiver));
-        Recorder { samples, reads, dropped }
+        tokio::spawn(task.run(receiver, request_receiver));
+        Recorder { samples, requests, dropped }
     }
 
     /// Takes in one request.
@@ -108,12 +108,12 @@
     pub async fn histograms(&self) -> Histograms {
         let (reply, answer) = oneshot::channel();
         // The task ends only after the last handle, and this is a handle.
-        let _ = self.reads.send(Read { reply }).await;
+        let _ = self.requests.send(HistogramsRequest { reply }).await;
         answer.await.unwrap_or_default()
     }
 }
 
-type Key = (ServiceName, Option<TenantName>, Class);
+type Key = (ServiceName, Option<TenantName>, RequestClass);
 
 struct Series {
     latency_ms: Histogram<u64>,
@@ -123,68 +123,72 @@
 struct Task {
     sink: Arc<dyn MetricSink>,
     dropped: Arc<AtomicU64>,
-    dropped_told: u64,
+    dropped_reported: u64,
     series: BTreeMap<Key, Series>,
     services: BTreeSet<ServiceName>,
     tenants: BTreeSet<TenantName>,
 }
 
 impl Task {
-    async fn serve(mut self, mut samples: mpsc::Receiver<Sample>, mut reads: mpsc::Receiver<Read>) {
+    async fn run(
+        mut self,
+        mut samples: mpsc::Receiver<Sample>,
+        mut requests: mpsc::Receiver<HistogramsRequest>,
+    ) {
         loop {
             tokio::select! {
                 sample = samples.recv() => {
                     let Some(sample) = sample else { return };
                     self.record(sample);
                 }
-                Some(read) = reads.recv() => {
+                Some(request) = requests.recv() => {
                     // What was recorded before a read is in its answer.
                     for _ in 0..samples.len() {
                         let Ok(sample) = samples.try_recv() else { break };
                         self.record(sample);
                     }
-                    let _ = read.reply.send(self.read());
+                    let _ = request.reply.send(self.histograms());
                 }
             }
         }
     }
 
     fn record(&mut self, mut sample: Sample) {
-        self.tell_dropped();
-        self.fold(&mut sample);
+        self.report_dropped();
+        self.limit_cardinality(&mut sample);
         self.sink.request(&sample);
         let key = (sample.service, sample.tenant, sample.class);
         let series = self.series.entry(key).or_insert_with(Series::new);
-        series.latency_ms.saturating_record(sample.taken_ms);
+        series.latency_ms.saturating_record(sample.latency_ms);
         series.errors += u64::from(sample.code != ANSWERED);
     }
 
     /// Callers choose the names, so what they send must not decide how much
     /// memory and how many series there are: the first names that are seen are
     /// told apart, and all others go together.
-    fn fold(&mut self, sample: &mut Sample) {
+    fn limit_cardinality(&mut self, sample: &mut Sample) {
         let unknown = [ErrorKind::UnknownService.code(), ErrorKind::NotReady.code()];
         let known = !unknown.contains(&sample.code)
-            && admit(&mut self.services, &sample.service, SERVICE_LIMIT);
+            && admit(&mut self.services, &sample.service, MAX_SERVICES);
         if !known {
             sample.service = ServiceName::new(OTHER);
         }
         if let Some(tenant) = &sample.tenant
-            && !(known && admit(&mut self.tenants, tenant, TENANT_LIMIT))
+            && !(known && admit(&mut self.tenants, tenant, MAX_TENANTS))
         {
             sample.tenant = Some(TenantName::new(OTHER));
         }
     }
 
-    fn tell_dropped(&mut self) {
+    fn report_dropped(&mut self) {
         let dropped = self.dropped.load(Ordering::Relaxed);
-        if dropped > self.dropped_told {
-            self.sink.dropped(dropped - self.dropped_told);
-            self.dropped_told = dropped;
+        if dropped > self.dropped_reported {
+            self.sink.dropped(dropped - self.dropped_reported);
+            self.dropped_reported = dropped;
         }
     }
 
-    fn read(&self) -> Histograms {
+    fn histograms(&self) -> Histograms {
         Histograms {
             histograms: self.series.iter().map(summary).collect(),
             dropped: self.dropped.load(Ordering::Relaxed),
@@ -202,14 +206,14 @@
 impl Series {
     fn new() -> Series {
         let latency_ms =
-            Histogram::new_with_max(LATENCY_LIMIT_MS, 2).expect("the bounds are valid constants");
+            Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the bounds are valid constants");
         Series { latency_ms, errors: 0 }
     }
 }
 
-fn summary(((service, tenant, class), series): (&Key, &Series)) -> Summary {
+fn summary(((service, tenant, class), series): (&Key, &Series)) -> HistogramSummary {
     let latency_ms = &series.latency_ms;
-    Summary {
+    HistogramSummary {
         service: service.clone(),
         tenant: tenant.clone(),
         class: *class,
--- a/crates/azuregate/src/metrics/statsd.rs
+++ b/crates/azuregate/src/metrics/statsd.rs
@@ -8,7 +8,7 @@
 
 /// How many metrics wait for the sending thread at the most. More are lost,
 /// rather than held in memory while the network is slow.
-const QUEUE_LIMIT: usize = 8_192;
+const MAX_QUEUED_METRICS: usize = 8_192;
 
 /// Sends metrics by UDP in the statsd format.
 pub struct StatsdSink {
@@ -25,8 +25,10 @@
         let any = if addr.is_ipv6() { "[::]:0" } else { "0.0.0.0:0" };
         let socket = UdpSocket::bind(any)?;
         socket.set_nonblocking(true)?;
-        let sink =
-            QueuingMetricSink::with_capacity(UdpMetricSink::from(addr, socket)?, QUEUE_LIMIT);
+        let sink = QueuingMetricSink::with_capacity(
+            UdpMetricSink::from(addr, socket)?,
+            MAX_QUEUED_METRICS,
+        );
         Ok(StatsdSink { client: StatsdClient::from_sink("azuregate", sink) })
     }
 }
@@ -42,7 +44,7 @@
             .with_tag("code", sample.code)
             .send();
         self.client
-            .time_with_tags("request_ms", sample.taken_ms)
+            .time_with_tags("request_ms", sample.latency_ms)
             .with_tag("service", sample.service.as_str())
             .with_tag("tenant", tenant)
             .with_tag("class", sample.class.as_str())
--- a/crates/azuregate/src/operators/describe.rs
+++ b/crates/azuregate/src/operators/describe.rs
@@ -7,7 +7,7 @@
 use azuregate_schema::v1;
 
 use super::effect::reasons;
-use crate::metrics::{Histograms, Summary};
+use crate::metrics::{HistogramSummary, Histograms};
 
 /// Whether an instance is ready, and why.
 pub(super) fn readiness(snapshot: &Snapshot, stopping: bool) -> (bool, String) {
@@ -67,11 +67,12 @@
     histograms: Histograms,
     service: Option<&ServiceName>,
 ) -> Vec<v1::Histogram> {
-    let wanted = |summary: &Summary| service.is_none_or(|service| *service == summary.service);
+    let wanted =
+        |summary: &HistogramSummary| service.is_none_or(|service| *service == summary.service);
     histograms.histograms.into_iter().filter(wanted).map(histogram).collect()
 }
 
-fn histogram(summary: Summary) -> v1::Histogram {
+fn histogram(summary: HistogramSummary) -> v1::Histogram {
     v1::Histogram {
         service: summary.service.to_string(),
         tenant: summary.tenant.map_or_else(String::new, |tenant| tenant.to_string()),
--- a/crates/azuregate/tests/cli/calls.rs
+++ b/crates/azuregate/tests/cli/calls.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, process::Command};
 
-use azuregate::metrics::{ANSWERED, Class, Sample};
+use azuregate::metrics::{ANSWERED, RequestClass, Sample};
 use azuregate_core::names::{ServiceName, TenantName};
 use tokio::net::TcpListener;
 
@@ -28,13 +28,13 @@
 async fn what_commands_show() {
     let bench = Bench::new().await;
     let at = server::serve(&bench).await;
-    for (tenant, taken_ms) in [(Some("bakers"), 20), (Some("bakers"), 30), (None, 5)] {
+    for (tenant, latency_ms) in [(Some("bakers"), 20), (Some("bakers"), 30), (None, 5)] {
         bench.recorder.record(Sample {
             service: ServiceName::new(SERVICE),
             tenant: tenant.map(TenantName::new),
-            class: Class::Read,
+            class: RequestClass::Read,
             code: ANSWERED,
-            taken_ms,
+            latency_ms,
         });
     }
     let shares = "--to-share-ppm plovdiv-a=700000,varna-a=300000";
--- a/crates/azuregate/tests/metrics.rs
+++ b/crates/azuregate/tests/metrics.rs
@@ -4,7 +4,7 @@
 
 use std::{net::UdpSocket, sync::Arc, time::Duration};
 
-use azuregate::metrics::{ANSWERED, Class, MetricSink, Recorder, Sample, StatsdSink};
+use azuregate::metrics::{ANSWERED, MetricSink, Recorder, RequestClass, Sample, StatsdSink};
 use azuregate_core::names::{ServiceName, TenantName};
 
 #[tokio::test]
@@ -17,9 +17,9 @@
     recorder.record(Sample {
         service: ServiceName::new("starter-desk"),
         tenant: Some(TenantName::new("bakers")),
-        class: Class::Keyed,
+        class: RequestClass::Keyed,
         code: ANSWERED,
-        taken_ms: 7,
+        latency_ms: 7,
     });
     assert_eq!(recorder.histograms().await.histograms.len(), 1);
     sink.dropped(3);
@@ -44,13 +44,13 @@
 async fn a_receiver_that_is_gone_costs_nothing() {
     let addr = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let recorder = Recorder::start(Arc::new(StatsdSink::new(addr).unwrap()));
-    for taken_ms in 0..1_000 {
+    for latency_ms in 0..1_000 {
         recorder.record(Sample {
             service: ServiceName::new("starter-desk"),
             tenant: None,
-            class: Class::Read,
+            class: RequestClass::Read,
             code: ANSWERED,
-            taken_ms,
+            latency_ms,
         });
     }
     let histograms = recorder.histograms().await;
--- a/crates/azuregate/tests/operators/recorder.rs
+++ b/crates/azuregate/tests/operators/recorder.rs
@@ -1,27 +1,27 @@
 //! Histograms: what callers send must not decide what they cost.
 
-use azuregate::metrics::{ANSWERED, Class, Sample};
+use azuregate::metrics::{ANSWERED, RequestClass, Sample};
 use azuregate_core::names::{ServiceName, TenantName};
 use azuregate_schema::v1::{HistogramsRequest, operators_server::Operators};
 use tonic::Request;
 
 use crate::fake::{Bench, SERVICE};
 
-fn sample(service: &str, tenant: Option<&str>, code: &'static str, taken_ms: u64) -> Sample {
+fn sample(service: &str, tenant: Option<&str>, code: &'static str, latency_ms: u64) -> Sample {
     Sample {
         service: ServiceName::new(service),
         tenant: tenant.map(TenantName::new),
-        class: Class::Read,
+        class: RequestClass::Read,
         code,
-        taken_ms,
+        latency_ms,
     }
 }
 
 #[tokio::test]
 async fn latencies_for_each_tenant() {
     let bench = Bench::new().await;
-    for taken_ms in 1..=100 {
-        bench.recorder.record(sample(SERVICE, Some("bakers"), ANSWERED, taken_ms));
+    for latency_ms in 1..=100 {
+        bench.recorder.record(sample(SERVICE, Some("bakers"), ANSWERED, latency_ms));
     }
     bench.recorder.record(sample(SERVICE, None, "queue-full", 1));
     let request = HistogramsRequest { service: SERVICE.to_owned() };
