--- a/crates/azuregate/src/peer/socket.rs
+++ b/crates/azuregate/src/peer/socket.rs
@@ -21,22 +21,22 @@
 
 /// What a socket allows.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) struct Limits {
+pub(crate) struct SocketLimits {
     /// The largest frame that is taken.
-    pub(crate) frame_bytes: usize,
-    /// How long opening it may take.
-    pub(crate) open_ms: u64,
+    pub(crate) max_frame_bytes: usize,
+    /// How long the handshake may take.
+    pub(crate) handshake_timeout_ms: u64,
 }
 
-impl Limits {
+impl SocketLimits {
     fn config(self) -> WebSocketConfig {
         WebSocketConfig::default()
-            .max_message_size(Some(self.frame_bytes))
-            .max_frame_size(Some(self.frame_bytes))
+            .max_message_size(Some(self.max_frame_bytes))
+            .max_frame_size(Some(self.max_frame_bytes))
     }
 
-    fn open(self) -> Duration {
-        Duration::from_millis(self.open_ms)
+    fn handshake_timeout(self) -> Duration {
+        Duration::from_millis(self.handshake_timeout_ms)
     }
 }
 
@@ -52,40 +52,43 @@
         from: IpAddr,
         addr: SocketAddr,
         path: &str,
-        limits: Limits,
+        limits: SocketLimits,
     ) -> Result<CborSocket, LinkError> {
-        let dialling = time::timeout(limits.open(), open(from, addr, path, limits));
-        dialling.await.unwrap_or_else(|_| Err(LinkError::new(format!("no answer from {addr}"))))
+        let dial = time::timeout(limits.handshake_timeout(), connect(from, addr, path, limits));
+        dial.await.unwrap_or_else(|_| Err(LinkError::new(format!("no answer from {addr}"))))
     }
 
     /// Takes a socket that another instance opened.
-    pub(crate) async fn accept(stream: TcpStream, limits: Limits) -> Result<CborSocket, LinkError> {
+    pub(crate) async fn accept(
+        stream: TcpStream,
+        limits: SocketLimits,
+    ) -> Result<CborSocket, LinkError> {
         // A frame is one small write; held back, it would wait for the answer to
         // the one before, some 40 ms.
-        stream.set_nodelay(true).map_err(broken)?;
-        let accepting = tokio_tungstenite::accept_async_with_config(stream, Some(limits.config()));
-        let accepted = time::timeout(limits.open(), accepting).await;
-        let socket = accepted.map_err(broken)?.map_err(broken)?;
+        stream.set_nodelay(true).map_err(link_error)?;
+        let handshake = tokio_tungstenite::accept_async_with_config(stream, Some(limits.config()));
+        let accepted = time::timeout(limits.handshake_timeout(), handshake).await;
+        let socket = accepted.map_err(link_error)?.map_err(link_error)?;
         Ok(CborSocket { socket })
     }
 
     /// Sends a value.
     pub(crate) async fn send<T: Serialize>(&mut self, value: &T) -> Result<(), LinkError> {
         let mut bytes = Vec::new();
-        ciborium::into_writer(value, &mut bytes).map_err(broken)?;
+        ciborium::into_writer(value, &mut bytes).map_err(link_error)?;
         self.send_bytes(Bytes::from(bytes)).await
     }
 
     /// Sends bytes that are encoded already.
     pub(crate) async fn send_bytes(&mut self, bytes: Bytes) -> Result<(), LinkError> {
-        self.socket.send(Message::Binary(bytes)).await.map_err(broken)
+        self.socket.send(Message::Binary(bytes)).await.map_err(link_error)
     }
 
     /// Waits for the next value; `None` when the other side closed the socket.
     /// Dropping the future loses no value.
     pub(crate) async fn recv<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LinkError> {
         let Some(bytes) = self.recv_bytes().await? else { return Ok(None) };
-        ciborium::from_reader(bytes.as_ref()).map(Some).map_err(broken)
+        ciborium::from_reader(bytes.as_ref()).map(Some).map_err(link_error)
     }
 
     /// Waits for the bytes of the next value; `None` when the other side closed the
@@ -96,29 +99,29 @@
                 None | Some(Ok(Message::Close(_))) => return Ok(None),
                 Some(Ok(Message::Binary(bytes))) => return Ok(Some(bytes)),
                 Some(Ok(_)) => continue,
-                Some(Err(e)) => return Err(broken(e)),
+                Some(Err(e)) => return Err(link_error(e)),
             }
         }
     }
 }
 
-async fn open(
+async fn connect(
     from: IpAddr,
     addr: SocketAddr,
     path: &str,
-    limits: Limits,
+    limits: SocketLimits,
 ) -> Result<CborSocket, LinkError> {
     let tcp = if addr.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() };
-    let tcp = tcp.map_err(broken)?;
-    tcp.bind(SocketAddr::new(from, 0)).map_err(broken)?;
-    let stream = tcp.connect(addr).await.map_err(broken)?;
-    stream.set_nodelay(true).map_err(broken)?;
+    let tcp = tcp.map_err(link_error)?;
+    tcp.bind(SocketAddr::new(from, 0)).map_err(link_error)?;
+    let stream = tcp.connect(addr).await.map_err(link_error)?;
+    stream.set_nodelay(true).map_err(link_error)?;
     let url = format!("ws://{addr}{path}");
-    let opening = tokio_tungstenite::client_async_with_config(url, stream, Some(limits.config()));
-    let (socket, _) = opening.await.map_err(broken)?;
+    let handshake = tokio_tungstenite::client_async_with_config(url, stream, Some(limits.config()));
+    let (socket, _) = handshake.await.map_err(link_error)?;
     Ok(CborSocket { socket })
 }
 
-fn broken(e: impl std::fmt::Display) -> LinkError {
+fn link_error(e: impl std::fmt::Display) -> LinkError {
     LinkError::new(e.to_string())
 }
--- a/crates/azuregate/src/peer/ws.rs
+++ b/crates/azuregate/src/peer/ws.rs
@@ -7,13 +7,13 @@
 
 use super::{
     Frame, LinkError, PeerLink,
-    socket::{CborSocket, Limits},
+    socket::{CborSocket, SocketLimits},
 };
 
 /// Where links are taken.
 const PATH: &str = "/v1/peer";
 /// A frame holds one policy or list; opening takes a way there and back or two.
-const LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 2_000 };
+const LIMITS: SocketLimits = SocketLimits { max_frame_bytes: 1 << 20, handshake_timeout_ms: 2_000 };
 
 /// A web socket to a neighbour.
 #[derive(Debug)]
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -20,14 +20,15 @@
     accept,
     peer::{
         LinkError,
-        socket::{CborSocket, Limits},
+        socket::{CborSocket, SocketLimits},
     },
 };
 
 /// Where followers connect to.
 pub(super) const PATH: &str = "/v1/changes";
 /// Opening takes two ways there and back.
-pub(super) const LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 700 };
+pub(super) const LIMITS: SocketLimits =
+    SocketLimits { max_frame_bytes: 1 << 20, handshake_timeout_ms: 700 };
 /// Time between two updates if nothing changes: three fit into the time after which
 /// followers take a source for lost.
 const UPDATE_EVERY_MS: u64 = 400;
