--- a/crates/azuregate/src/peer/link.rs
+++ b/crates/azuregate/src/peer/link.rs
@@ -30,15 +30,15 @@
 
 /// How long a frame may take to be sent. A neighbour that is frozen takes
 /// nothing, and the link would wait for ever.
-const SEND_MS: u64 = 2_000;
+const SEND_TIMEOUT_MS: u64 = 2_000;
 /// A link on which nothing came for this long has gone silent.
-const SILENT_MS: u64 = 5_000;
+const IDLE_TIMEOUT_MS: u64 = 5_000;
 /// How many heartbeats may differ in their versions before versions are
 /// compared: a change may just be on its way.
-const DIFFERENCES: u32 = 2;
+const MISMATCHES_BEFORE_DIGEST: u32 = 2;
 
 /// What a link works with.
-pub(crate) struct LinkParts {
+pub(crate) struct LinkContext {
     pub(crate) instance: InstanceId,
     pub(crate) start: StartNumber,
     pub(crate) config: Config,
@@ -50,64 +50,64 @@
     /// When to send a heartbeat.
     pub(crate) heartbeats: mpsc::Receiver<Tick>,
     /// Who is expected at the other end.
-    pub(crate) expected: Expected,
+    pub(crate) expected: ExpectedPeer,
     /// Told of the neighbour's name.
     pub(crate) opened: mpsc::UnboundedSender<InstanceId>,
 }
 
 /// Who may be at the other end of a link.
-pub(crate) enum Expected {
+pub(crate) enum ExpectedPeer {
     /// The instance that was dialled.
     Instance(InstanceId),
     /// The instance listed with the IP number that the link came from.
-    At(IpAddr),
+    ListedAt(IpAddr),
 }
 
 /// What the neighbour is known to have.
 #[derive(Default)]
-struct Known {
+struct RemoteState {
     neighbour: Option<(InstanceId, StartNumber)>,
     lacks_list: bool,
     versions: BTreeMap<ServiceName, u64>,
     leaving: BTreeSet<(BackendId, StartNumber)>,
     stopping: BTreeSet<(InstanceId, StartNumber)>,
     probes: BTreeMap<InstanceId, ProbeReport>,
-    differences: u32,
+    digest_mismatches: u32,
 }
 
-struct Serving {
+struct Session {
     link: Box<dyn PeerLink>,
-    parts: LinkParts,
-    known: Known,
-    heard_at_ms: Millis,
+    context: LinkContext,
+    remote: RemoteState,
+    last_frame_at_ms: Millis,
 }
 
 /// Serves a link until it breaks or closes; returns who was at the other end.
-pub(crate) async fn serve(link: Box<dyn PeerLink>, parts: LinkParts) -> Option<InstanceId> {
-    let snapshots = parts.snapshots.watch();
-    let updates = parts.exchange.outgoing();
-    let heard_at_ms = parts.clock.now();
-    let mut serving = Serving { link, parts, known: Known::default(), heard_at_ms };
-    if let Err(e) = serving.serve(snapshots, updates).await {
+pub(crate) async fn serve(link: Box<dyn PeerLink>, context: LinkContext) -> Option<InstanceId> {
+    let snapshots = context.snapshots.watch();
+    let updates = context.exchange.outgoing();
+    let last_frame_at_ms = context.clock.now();
+    let mut session = Session { link, context, remote: RemoteState::default(), last_frame_at_ms };
+    if let Err(e) = session.serve(snapshots, updates).await {
         log::info!(error:% = e; "peer link ended");
     }
-    serving.known.neighbour.map(|(neighbour, _)| neighbour)
+    session.remote.neighbour.map(|(neighbour, _)| neighbour)
 }
 
-impl Serving {
+impl Session {
     async fn serve(
         &mut self,
         mut snapshots: watch::Receiver<std::sync::Arc<Snapshot>>,
         mut updates: LoadUpdates,
     ) -> Result<(), LinkError> {
         let first = snapshots.borrow_and_update().clone();
-        self.greet(&first).await?;
+        self.send_hello(&first).await?;
         loop {
             tokio::select! {
                 frame = self.link.recv() => {
                     let Some(frame) = frame? else { return Ok(()) };
-                    self.heard_at_ms = self.parts.clock.now();
-                    self.take(frame).await?;
+                    self.last_frame_at_ms = self.context.clock.now();
+                    self.handle_frame(frame).await?;
                 }
                 changed = snapshots.changed() => {
                     if changed.is_err() {
@@ -118,41 +118,42 @@
                 }
                 update = updates.recv() => {
                     let Some(update) = update else { return Ok(()) };
-                    self.pass_on(update).await?;
+                    self.forward_load(update).await?;
                 }
-                tick = self.parts.heartbeats.recv() => {
+                tick = self.context.heartbeats.recv() => {
                     if tick.is_none() {
                         return Ok(());
                     }
-                    self.beat().await?;
+                    self.send_heartbeat().await?;
                 }
             }
         }
     }
 
-    async fn greet(&mut self, snapshot: &Snapshot) -> Result<(), LinkError> {
+    async fn send_hello(&mut self, snapshot: &Snapshot) -> Result<(), LinkError> {
         let hello = Frame::Hello {
-            instance: self.parts.instance.clone(),
-            start: self.parts.start,
+            instance: self.context.instance.clone(),
+            start: self.context.start,
             has_list: !snapshot.listed.is_empty(),
         };
         self.send(&hello).await?;
-        self.send(&digest(snapshot)).await?;
-        self.beat().await
+        self.send(&digest_frame(snapshot)).await?;
+        self.send_heartbeat().await
     }
 
     async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
-        let sent = time::timeout(Duration::from_millis(SEND_MS), self.link.send(frame)).await;
+        let sent =
+            time::timeout(Duration::from_millis(SEND_TIMEOUT_MS), self.link.send(frame)).await;
         sent.unwrap_or_else(|_| Err(LinkError::new("the neighbour takes nothing")))
     }
 
-    async fn beat(&mut self) -> Result<(), LinkError> {
-        let now_ms = self.parts.clock.now();
-        if now_ms.since(self.heard_at_ms).0 > SILENT_MS {
+    async fn send_heartbeat(&mut self) -> Result<(), LinkError> {
+        let now_ms = self.context.clock.now();
+        if now_ms.since(self.last_frame_at_ms).0 > IDLE_TIMEOUT_MS {
             return Err(LinkError::new("the neighbour has gone silent"));
         }
-        let snapshot = self.parts.snapshots.current();
-        let confirmed_at_ms = self.parts.members.confirmed_at_ms();
+        let snapshot = self.context.snapshots.current();
+        let confirmed_at_ms = self.context.members.confirmed_at_ms();
         let heartbeat = Heartbeat {
             ready: snapshot.ready,
             confirmed_age_ms: confirmed_at_ms.map(|at_ms| now_ms.since(at_ms).0),
@@ -161,8 +162,8 @@
         self.send(&Frame::Heartbeat(heartbeat)).await
     }
 
-    async fn pass_on(&mut self, update: LoadUpdate) -> Result<(), LinkError> {
-        let Some((neighbour, _)) = &self.known.neighbour else {
+    async fn forward_load(&mut self, update: LoadUpdate) -> Result<(), LinkError> {
+        let Some((neighbour, _)) = &self.remote.neighbour else {
             return Ok(());
         };
         if *neighbour != update.peer {
@@ -172,44 +173,44 @@
         self.send(&Frame::Load { service, group, load }).await
     }
 
-    async fn take(&mut self, frame: Frame) -> Result<(), LinkError> {
+    async fn handle_frame(&mut self, frame: Frame) -> Result<(), LinkError> {
         if let Frame::Hello { instance, start, has_list } = frame {
-            return self.meet(instance, start, has_list).await;
+            return self.handle_hello(instance, start, has_list).await;
         }
-        let Some((neighbour, start)) = self.known.neighbour.clone() else {
+        let Some((neighbour, start)) = self.remote.neighbour.clone() else {
             return Err(LinkError::new("the first frame is no greeting"));
         };
         match frame {
             Frame::Hello { .. } => {}
             Frame::Heartbeat(heartbeat) => {
-                self.parts.members.heard(&neighbour, start, heartbeat);
-                return self.compare(heartbeat).await;
+                self.context.members.heard(&neighbour, start, heartbeat);
+                return self.compare_digest(heartbeat).await;
             }
             Frame::Digest { versions } => {
-                self.known.versions = versions;
-                let snapshot = self.parts.snapshots.current();
+                self.remote.versions = versions;
+                let snapshot = self.context.snapshots.current();
                 return self.send_missing(&snapshot).await;
             }
             Frame::Policy(policy) => {
-                let version = self.known.versions.entry(policy.service.clone()).or_default();
+                let version = self.remote.versions.entry(policy.service.clone()).or_default();
                 *version = policy.version.max(*version);
-                self.parts.config.change(Change::Policy(policy, Source::Peer));
+                self.context.config.change(Change::Policy(policy, Source::Peer));
             }
-            Frame::List(list) => self.parts.config.change(Change::ListOfPeer(list)),
+            Frame::List(list) => self.context.config.change(Change::ListOfPeer(list)),
             Frame::Leaving { backend, start } => {
-                self.known.leaving.insert((backend.clone(), start));
-                self.parts.config.change(Change::Leaving(backend, start, Source::Peer));
+                self.remote.leaving.insert((backend.clone(), start));
+                self.context.config.change(Change::Leaving(backend, start, Source::Peer));
             }
             Frame::Stopping { instance, start } => {
-                self.known.stopping.insert((instance.clone(), start));
-                self.parts.config.change(Change::Stopping(instance, start));
+                self.remote.stopping.insert((instance.clone(), start));
+                self.context.config.change(Change::Stopping(instance, start));
             }
             Frame::Probes { watcher, report } => {
-                self.known.probes.insert(watcher.clone(), report.clone());
-                self.parts.config.change(Change::Probes(watcher, report));
+                self.remote.probes.insert(watcher.clone(), report.clone());
+                self.context.config.change(Change::Probes(watcher, report));
             }
             Frame::Load { service, group, load } => {
-                self.parts.exchange.heard(LoadUpdate { peer: neighbour, service, group, load });
+                self.context.exchange.heard(LoadUpdate { peer: neighbour, service, group, load });
             }
         }
         Ok(())
@@ -221,17 +222,17 @@
     /// could bring policies that no operator made. An instance that has no list
     /// yet, since the platform is down, takes whoever comes, and serves only when
     /// several agree.
-    async fn meet(
+    async fn handle_hello(
         &mut self,
         instance: InstanceId,
         start: StartNumber,
         has_list: bool,
     ) -> Result<(), LinkError> {
-        let snapshot = self.parts.snapshots.current();
+        let snapshot = self.context.snapshots.current();
         let listed = snapshot.listed.iter().find(|listed| listed.id == instance);
-        let is_expected = match &self.parts.expected {
-            Expected::Instance(expected) => *expected == instance,
-            Expected::At(ip) => {
+        let is_expected = match &self.context.expected {
+            ExpectedPeer::Instance(expected) => *expected == instance,
+            ExpectedPeer::ListedAt(ip) => {
                 snapshot.listed.is_empty() || listed.is_some_and(|listed| listed.ip == *ip)
             }
         };
@@ -239,46 +240,46 @@
             return Err(LinkError::new(format!("{instance} is not expected there")));
         }
         log::info!(peer:% = instance, start:% = start; "peer link open");
-        let _ = self.parts.opened.send(instance.clone());
-        self.parts.config.change(Change::Started(instance.clone(), start));
-        self.known.neighbour = Some((instance, start));
-        self.known.lacks_list = !has_list;
+        let _ = self.context.opened.send(instance.clone());
+        self.context.config.change(Change::Started(instance.clone(), start));
+        self.remote.neighbour = Some((instance, start));
+        self.remote.lacks_list = !has_list;
         self.send_missing(&snapshot).await
     }
 
     /// Compares versions with a neighbour that goes on having different ones.
-    async fn compare(&mut self, heartbeat: Heartbeat) -> Result<(), LinkError> {
-        let snapshot = self.parts.snapshots.current();
+    async fn compare_digest(&mut self, heartbeat: Heartbeat) -> Result<(), LinkError> {
+        let snapshot = self.context.snapshots.current();
         if heartbeat.digest == snapshot.digest() {
-            self.known.differences = 0;
+            self.remote.digest_mismatches = 0;
             return Ok(());
         }
-        self.known.differences += 1;
-        if self.known.differences < DIFFERENCES {
+        self.remote.digest_mismatches += 1;
+        if self.remote.digest_mismatches < MISMATCHES_BEFORE_DIGEST {
             return Ok(());
         }
-        self.known.differences = 0;
-        self.send(&digest(&snapshot)).await
+        self.remote.digest_mismatches = 0;
+        self.send(&digest_frame(&snapshot)).await
     }
 
     async fn send_missing(&mut self, snapshot: &Snapshot) -> Result<(), LinkError> {
-        if self.known.neighbour.is_none() {
+        if self.remote.neighbour.is_none() {
             return Ok(());
         }
-        for frame in self.known.missing(snapshot) {
+        for frame in self.remote.missing_frames(snapshot) {
             self.send(&frame).await?;
         }
         Ok(())
     }
 }
 
-impl Known {
+impl RemoteState {
     /// The frames that the neighbour lacks; from now on it is known to have them.
-    fn missing(&mut self, snapshot: &Snapshot) -> Vec<Frame> {
+    fn missing_frames(&mut self, snapshot: &Snapshot) -> Vec<Frame> {
         let mut frames = Vec::new();
         if self.lacks_list && !snapshot.listed.is_empty() {
             self.lacks_list = false;
-            frames.push(Frame::List(list(snapshot)));
+            frames.push(Frame::List(instance_list(snapshot)));
         }
         for policy in snapshot.policies.values() {
             let version = self.versions.entry(policy.service.clone()).or_default();
@@ -307,12 +308,12 @@
     }
 }
 
-fn list(snapshot: &Snapshot) -> InstanceList {
+fn instance_list(snapshot: &Snapshot) -> InstanceList {
     let backends = snapshot.backends.values().flat_map(|servers| servers.iter().cloned());
     InstanceList { instances: snapshot.listed.to_vec(), backends: backends.collect() }
 }
 
-fn digest(snapshot: &Snapshot) -> Frame {
+fn digest_frame(snapshot: &Snapshot) -> Frame {
     let versions = snapshot.policies.values().map(|p| (p.service.clone(), p.version)).collect();
     Frame::Digest { versions }
 }
--- a/crates/azuregate/src/peer/mesh.rs
+++ b/crates/azuregate/src/peer/mesh.rs
@@ -27,17 +27,17 @@
     membership::Members,
     peer::{
         WsLink,
-        link::{self, Expected, LinkParts},
+        link::{self, ExpectedPeer, LinkContext},
     },
     timer::Timer,
 };
 
 /// How often missing links are dialled.
-const DIAL_MS: u64 = 500;
+const DIAL_INTERVAL_MS: u64 = 500;
 /// How long the instance that comes later in the order of names waits for the
 /// other to dial. It must dial in the end: the other may not know of it, or its
 /// way may be blocked in that direction.
-const DIAL_WAIT_MS: u64 = 1_500;
+const PASSIVE_DIAL_DELAY_MS: u64 = 1_500;
 
 /// Opens and takes links.
 pub struct Mesh {
@@ -64,7 +64,7 @@
 /// The links of an instance, open and being dialled.
 #[derive(Default)]
 struct Links {
-    tasks: JoinSet<Ended>,
+    tasks: JoinSet<ClosedLink>,
     open: BTreeMap<InstanceId, usize>,
     dialling: BTreeSet<InstanceId>,
     missing_since_ms: BTreeMap<InstanceId, Millis>,
@@ -72,8 +72,8 @@
     neighbours: BTreeSet<InstanceId>,
 }
 
-/// How a link ended.
-struct Ended {
+/// How a link closed.
+struct ClosedLink {
     /// Whom it was dialled to.
     dialled: Option<InstanceId>,
     /// Who was at the other end.
@@ -83,20 +83,20 @@
 impl Mesh {
     /// Serves until the task is aborted.
     pub async fn serve(self, listener: TcpListener) {
-        let mut dials = self.timer.subscribe(DIAL_MS);
+        let mut dial_ticks = self.timer.subscribe(DIAL_INTERVAL_MS);
         let mut links = Links::default();
-        let (opened, mut openings) = mpsc::unbounded_channel();
+        let (opened, mut opened_links) = mpsc::unbounded_channel();
         loop {
             tokio::select! {
                 (stream, from) = accept::next(&listener) => {
-                    let parts = self.link_parts(Expected::At(from.ip()), &opened);
-                    links.tasks.spawn(accept(stream, parts));
+                    let context = self.link_context(ExpectedPeer::ListedAt(from.ip()), &opened);
+                    links.tasks.spawn(accept(stream, context));
                 }
-                Some(neighbour) = openings.recv() => links.open(neighbour),
-                Some(ended) = links.tasks.join_next(), if !links.tasks.is_empty() => {
-                    links.end(ended.ok());
+                Some(neighbour) = opened_links.recv() => links.add_open(neighbour),
+                Some(closed) = links.tasks.join_next(), if !links.tasks.is_empty() => {
+                    links.remove_closed(closed.ok());
                 }
-                tick = dials.recv() => {
+                tick = dial_ticks.recv() => {
                     if tick.is_none() {
                         return;
                     }
@@ -111,23 +111,23 @@
         let now_ms = self.clock.now();
         links.set_listed(&self.instance, &snapshot.listed);
         for instance in snapshot.listed.iter() {
-            if !links.is_due(&self.instance, &instance.id, now_ms) {
+            if !links.should_dial(&self.instance, &instance.id, now_ms) {
                 continue;
             }
             links.dialling.insert(instance.id.clone());
-            let expected = Expected::Instance(instance.id.clone());
-            let parts = self.link_parts(expected, opened);
-            links.tasks.spawn(dial(self.ip, instance.peer_addr(), instance.id.clone(), parts));
+            let expected = ExpectedPeer::Instance(instance.id.clone());
+            let context = self.link_context(expected, opened);
+            links.tasks.spawn(dial(self.ip, instance.peer_addr(), instance.id.clone(), context));
         }
     }
 
-    fn link_parts(
+    fn link_context(
         &self,
-        expected: Expected,
+        expected: ExpectedPeer,
         opened: &mpsc::UnboundedSender<InstanceId>,
-    ) -> LinkParts {
+    ) -> LinkContext {
         let pace = Pace::of(self.snapshots.current().listed.len());
-        LinkParts {
+        LinkContext {
             instance: self.instance.clone(),
             start: self.start,
             config: self.config.clone(),
@@ -143,38 +143,38 @@
 }
 
 impl Links {
-    fn set_listed(&mut self, me: &InstanceId, listed: &Arc<[Instance]>) {
+    fn set_listed(&mut self, local: &InstanceId, listed: &Arc<[Instance]>) {
         if Arc::ptr_eq(&self.listed, listed) {
             return;
         }
         self.listed = Arc::clone(listed);
-        self.neighbours = neighbours::neighbours(me, listed);
+        self.neighbours = neighbours::neighbours(local, listed);
         let neighbours = &self.neighbours;
         self.missing_since_ms.retain(|id, _| neighbours.contains(id));
     }
 
-    /// Whether `me` should dial `other` now.
-    fn is_due(&mut self, me: &InstanceId, other: &InstanceId, now_ms: Millis) -> bool {
+    /// Whether `local` should dial `other` now.
+    fn should_dial(&mut self, local: &InstanceId, other: &InstanceId, now_ms: Millis) -> bool {
         if !self.neighbours.contains(other) || self.open.contains_key(other) {
             self.missing_since_ms.remove(other);
             return false;
         }
         let since_ms = *self.missing_since_ms.entry(other.clone()).or_insert(now_ms);
         // Two that dial each other at once would end with two links.
-        let is_first = me < other || now_ms.since(since_ms).0 >= DIAL_WAIT_MS;
-        is_first && !self.dialling.contains(other)
+        let should_initiate = local < other || now_ms.since(since_ms).0 >= PASSIVE_DIAL_DELAY_MS;
+        should_initiate && !self.dialling.contains(other)
     }
 
-    fn open(&mut self, neighbour: InstanceId) {
+    fn add_open(&mut self, neighbour: InstanceId) {
         *self.open.entry(neighbour).or_default() += 1;
     }
 
-    fn end(&mut self, ended: Option<Ended>) {
-        let Some(ended) = ended else { return };
-        if let Some(dialled) = &ended.dialled {
+    fn remove_closed(&mut self, closed: Option<ClosedLink>) {
+        let Some(closed) = closed else { return };
+        if let Some(dialled) = &closed.dialled {
             self.dialling.remove(dialled);
         }
-        let Some(neighbour) = ended.neighbour else { return };
+        let Some(neighbour) = closed.neighbour else { return };
         if let Some(count) = self.open.get_mut(&neighbour) {
             *count = count.saturating_sub(1);
         }
@@ -182,24 +182,24 @@
     }
 }
 
-async fn accept(stream: TcpStream, parts: LinkParts) -> Ended {
+async fn accept(stream: TcpStream, context: LinkContext) -> ClosedLink {
     let neighbour = match WsLink::accept(stream).await {
-        Ok(link) => link::serve(Box::new(link), parts).await,
+        Ok(link) => link::serve(Box::new(link), context).await,
         Err(e) => {
             log::debug!(error:% = e; "peer not taken");
             None
         }
     };
-    Ended { dialled: None, neighbour }
+    ClosedLink { dialled: None, neighbour }
 }
 
-async fn dial(from: IpAddr, addr: SocketAddr, id: InstanceId, parts: LinkParts) -> Ended {
+async fn dial(from: IpAddr, addr: SocketAddr, id: InstanceId, context: LinkContext) -> ClosedLink {
     let neighbour = match WsLink::dial(from, addr).await {
-        Ok(link) => link::serve(Box::new(link), parts).await,
+        Ok(link) => link::serve(Box::new(link), context).await,
         Err(e) => {
             log::debug!(addr:% = addr, error:% = e; "peer not reached");
             None
         }
     };
-    Ended { dialled: Some(id), neighbour }
+    ClosedLink { dialled: Some(id), neighbour }
 }
