--- a/crates/azuregate/tests/soak/clients.rs
+++ b/crates/azuregate/tests/soak/clients.rs
@@ -18,39 +18,39 @@
 };
 
 /// How long a client waits; the deadline that its requests name is longer.
-const PATIENCE: Duration = Duration::from_millis(2_500);
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// How long a client keeps the answer to a lookup.
-const KEEP: Duration = Duration::from_secs(2);
-const PAUSE_MS: std::ops::Range<u64> = 10..60;
+const LOOKUP_TTL: Duration = Duration::from_secs(2);
+const REQUEST_INTERVAL_MS: std::ops::Range<u64> = 10..60;
 
 /// A request and what its client saw.
 #[derive(Clone, Debug)]
-pub(crate) struct Exchange {
+pub(crate) struct RequestRecord {
     pub(crate) id: String,
     pub(crate) is_write: bool,
     pub(crate) sent_at: Instant,
     pub(crate) instance: SocketAddr,
-    pub(crate) end: End,
+    pub(crate) outcome: Outcome,
 }
 
 /// How a request ended.
 #[derive(Clone, Debug)]
-pub(crate) enum End {
+pub(crate) enum Outcome {
     /// A complete answer, and whether it is the one to this request.
-    Answered { status: u16, is_own: bool },
+    Response { status: u16, matches_request: bool },
     /// The connection ended.
-    Cut,
+    ConnectionClosed,
     /// Nothing came.
-    Silence,
+    TimedOut,
 }
 
 /// What clients share.
 pub(crate) struct Traffic {
     lookups: Vec<SocketAddr>,
     seed: u64,
-    next: AtomicU64,
-    is_over: AtomicBool,
-    exchanges: Mutex<Vec<Exchange>>,
+    next_id: AtomicU64,
+    is_stopped: AtomicBool,
+    records: Mutex<Vec<RequestRecord>>,
 }
 
 impl Traffic {
@@ -58,48 +58,48 @@
         Arc::new(Traffic {
             lookups,
             seed,
-            next: AtomicU64::new(0),
-            is_over: AtomicBool::new(false),
-            exchanges: Mutex::default(),
+            next_id: AtomicU64::new(0),
+            is_stopped: AtomicBool::new(false),
+            records: Mutex::default(),
         })
     }
 
-    pub(crate) fn end(&self) {
-        self.is_over.store(true, Ordering::Relaxed);
+    pub(crate) fn stop(&self) {
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 
-    pub(crate) fn exchanges(&self) -> Vec<Exchange> {
-        self.exchanges.lock().unwrap().clone()
+    pub(crate) fn records(&self) -> Vec<RequestRecord> {
+        self.records.lock().unwrap().clone()
     }
 
     /// One client, until the traffic is over.
     pub(crate) async fn run(self: Arc<Traffic>, number: u64) {
         let mut random = Rng::with_seed(self.seed ^ number << 32);
-        let mut named: Vec<SocketAddr> = Vec::new();
-        let mut named_at = Instant::now();
+        let mut instances: Vec<SocketAddr> = Vec::new();
+        let mut looked_up_at = Instant::now();
         let mut connection: Option<(SocketAddr, Client)> = None;
-        while !self.is_over.load(Ordering::Relaxed) {
-            if named.is_empty() || named_at.elapsed() > KEEP {
+        while !self.is_stopped.load(Ordering::Relaxed) {
+            if instances.is_empty() || looked_up_at.elapsed() > LOOKUP_TTL {
                 if let Some(addrs) = self.look_up(&mut random).await {
-                    named = addrs;
+                    instances = addrs;
                 }
-                named_at = Instant::now();
+                looked_up_at = Instant::now();
             }
             // Open connections are used until they end, whatever lookups say.
-            if connection.is_none() && !named.is_empty() {
-                let addr = named[random.usize(..named.len())];
+            if connection.is_none() && !instances.is_empty() {
+                let addr = instances[random.usize(..instances.len())];
                 connection = connect(addr).await.map(|client| (addr, client));
                 if connection.is_none() {
-                    named.retain(|other| *other != addr);
+                    instances.retain(|other| *other != addr);
                 }
             }
             if let Some((addr, mut client)) = connection.take()
-                && self.exchange(addr, &mut client, &mut random).await
+                && self.send_request(addr, &mut client, &mut random).await
                 && random.f64() < 0.95
             {
                 connection = Some((addr, client));
             }
-            time::sleep(Duration::from_millis(random.u64(PAUSE_MS))).await;
+            time::sleep(Duration::from_millis(random.u64(REQUEST_INTERVAL_MS))).await;
         }
     }
 
@@ -116,8 +116,13 @@
     }
 
     /// One request; returns whether the connection is still good.
-    async fn exchange(&self, instance: SocketAddr, client: &mut Client, random: &mut Rng) -> bool {
-        let id = format!("q{}", self.next.fetch_add(1, Ordering::Relaxed));
+    async fn send_request(
+        &self,
+        instance: SocketAddr,
+        client: &mut Client,
+        random: &mut Rng,
+    ) -> bool {
+        let id = format!("q{}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let is_write = random.f64() < 0.4;
         let text = match is_write {
             true => write_request("/write/x", &id, &body_of(&id)),
@@ -127,14 +132,14 @@
         let text = text.replace("X-Affinity-Key: 17", &object);
         let sent_at = Instant::now();
         client.send(&text).await;
-        let end = match time::timeout(PATIENCE, client.answer()).await {
-            Ok(Some(answer)) => ended(&id, &answer),
-            Ok(None) => End::Cut,
-            Err(_) => End::Silence,
+        let outcome = match time::timeout(CLIENT_TIMEOUT, client.answer()).await {
+            Ok(Some(answer)) => classify(&id, &answer),
+            Ok(None) => Outcome::ConnectionClosed,
+            Err(_) => Outcome::TimedOut,
         };
-        let is_good = matches!(end, End::Answered { .. });
-        let exchange = Exchange { id, is_write, sent_at, instance, end };
-        self.exchanges.lock().unwrap().push(exchange);
+        let is_good = matches!(outcome, Outcome::Response { .. });
+        let record = RequestRecord { id, is_write, sent_at, instance, outcome };
+        self.records.lock().unwrap().push(record);
         is_good
     }
 }
@@ -144,11 +149,11 @@
     format!("order {id}")
 }
 
-fn ended(id: &str, answer: &Answer) -> End {
+fn classify(id: &str, answer: &Answer) -> Outcome {
     let is_signed = answer.header("x-response-signature") == Some(&format!("s-{id}"));
     let is_whole = answer.body == format!("answer to {id}");
-    let is_own = answer.status != 200 || (is_signed && is_whole);
-    End::Answered { status: answer.status, is_own }
+    let matches_request = answer.status != 200 || (is_signed && is_whole);
+    Outcome::Response { status: answer.status, matches_request }
 }
 
 async fn connect(addr: SocketAddr) -> Option<Client> {
--- a/crates/azuregate/tests/soak/main.rs
+++ b/crates/azuregate/tests/soak/main.rs
@@ -34,30 +34,30 @@
 /// Instances of a large run, in which zones pass changes on.
 const MANY_INSTANCES: usize = 21;
 /// Usual runs at a time.
-const AT_ONCE: usize = 4;
+const CONCURRENT_RUNS: usize = 4;
 /// Seeds that failed once, each with its cause.
-const REGRESSIONS: [(u64, &str); 2] = [
+const REGRESSION_SEEDS: [(u64, &str); 2] = [
     (848_801_429, "both runs had the same IP numbers, which came from a hash of the seed"),
     (841_128_440, "the same; the two have to be played at the same time"),
 ];
 /// Played every time, so that the result does not hang on luck.
-const FIXED: [u64; 4] = [1, 2, 3, 4];
+const FIXED_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
 /// Played every time with many instances: planned work only, and everything.
-const FIXED_LARGE: [u64; 2] = [3, 8];
+const FIXED_LARGE_SEEDS: [u64; 2] = [3, 8];
 
-fn number(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().map(|text| text.parse().unwrap())
 }
 
 fn seeds() -> Vec<u64> {
-    if let Some(seed) = number("AZUREGATE_SOAK_SEED") {
+    if let Some(seed) = env_number("AZUREGATE_SOAK_SEED") {
         return vec![seed];
     }
-    if let Some(count) = number("AZUREGATE_SOAK_SEEDS") {
+    if let Some(count) = env_number("AZUREGATE_SOAK_SEEDS") {
         return (0..count).map(|_| fastrand::u64(..1_000_000_000)).collect();
     }
-    REGRESSIONS.iter().map(|(seed, _)| *seed).chain(FIXED).collect()
+    REGRESSION_SEEDS.iter().map(|(seed, _)| *seed).chain(FIXED_SEEDS).collect()
 }
 
 /// Clients send reads and writes while instances, store and servers fail in many
@@ -65,22 +65,22 @@
 /// the most and not at all if it is refused, and when all is well again so is the
 /// service.
 #[tokio::test(flavor = "multi_thread")]
-async fn promises_hold_whatever_fails() {
-    let instances = number("AZUREGATE_SOAK_INSTANCES").map(|count| count as usize);
+async fn guarantees_hold_under_random_faults() {
+    let instances = env_number("AZUREGATE_SOAK_INSTANCES").map(|count| count as usize);
     let mut findings = match instances {
-        None => play(&seeds(), INSTANCES, AT_ONCE).await,
-        Some(instances) => play(&seeds(), instances, 1).await,
+        None => run_seeds(&seeds(), INSTANCES, CONCURRENT_RUNS).await,
+        Some(instances) => run_seeds(&seeds(), instances, 1).await,
     };
-    if instances.is_none() && number("AZUREGATE_SOAK_SEED").is_none() {
-        findings.extend(play(&FIXED_LARGE, MANY_INSTANCES, 1).await);
+    if instances.is_none() && env_number("AZUREGATE_SOAK_SEED").is_none() {
+        findings.extend(run_seeds(&FIXED_LARGE_SEEDS, MANY_INSTANCES, 1).await);
     }
     assert!(findings.is_empty(), "{} findings:\n{}", findings.len(), findings.join("\n"));
 }
 
-async fn play(seeds: &[u64], instances: usize, at_once: usize) -> Vec<String> {
+async fn run_seeds(seeds: &[u64], instances: usize, concurrent_runs: usize) -> Vec<String> {
     let mut findings = Vec::new();
-    for seeds in seeds.chunks(at_once) {
-        let runs = seeds.iter().map(|&seed| tokio::spawn(run::play(seed, instances)));
+    for seeds in seeds.chunks(concurrent_runs) {
+        let runs = seeds.iter().map(|&seed| tokio::spawn(run::run(seed, instances)));
         for run in runs.collect::<Vec<_>>() {
             findings.extend(run.await.unwrap());
         }
--- a/crates/azuregate/tests/soak/plan.rs
+++ b/crates/azuregate/tests/soak/plan.rs
@@ -5,27 +5,27 @@
 use azuregate_platform::fakes::{Behaviour, StoreFault};
 use fastrand::Rng;
 
-use crate::proxy::Link;
+use crate::proxy::LinkMode;
 
 /// How long things go wrong.
-pub(crate) const TROUBLE: Duration = Duration::from_secs(9);
-const MOST_FAULTS: usize = 14;
+pub(crate) const FAULT_PHASE: Duration = Duration::from_secs(9);
+const MAX_FAULTS: usize = 14;
 
 /// One thing that goes wrong, or is planned.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
-    Kill { instance: usize, pause: Duration },
-    KillAll { pause: Duration },
-    Freeze { instance: usize, pause: Duration },
+    Kill { instance: usize, downtime: Duration },
+    KillAll { downtime: Duration },
+    Pause { instance: usize, duration: Duration },
     Stop { instance: usize },
-    Settings { instance: usize, hangs_up: bool },
-    StoreLink { instance: usize, link: Link, lasts: Duration },
-    Store { fault: StoreFault, lasts: Duration, rows_run_out: bool },
+    ChangeSettings { instance: usize, send_sighup: bool },
+    StoreLink { instance: usize, link: LinkMode, duration: Duration },
+    Store { fault: StoreFault, duration: Duration, expire_rows: bool },
     DiscardHistory,
-    ServerLink { server: usize, link: Link, lasts: Duration },
-    ServerBehaviour { server: usize, behaviour: Behaviour, lasts: Duration },
+    ServerLink { server: usize, link: LinkMode, duration: Duration },
+    ServerBehaviour { server: usize, behaviour: Behaviour, duration: Duration },
     Drain { server: usize },
-    Configure,
+    ChangeConfig,
 }
 
 /// A run: what happens when.
@@ -40,16 +40,16 @@
 impl Plan {
     /// The plan of `seed` for so many instances and servers; each third is one of
     /// planned work only.
-    pub(crate) fn draw(seed: u64, instances: usize, servers: usize) -> Plan {
+    pub(crate) fn generate(seed: u64, instances: usize, servers: usize) -> Plan {
         let mut random = Rng::with_seed(seed);
         let is_planned_only = seed.is_multiple_of(3);
         let mut faults = Vec::new();
         let mut drained = Vec::new();
-        for _ in 0..random.usize(4..=MOST_FAULTS) {
-            let at = TROUBLE.mul_f64(random.f64());
+        for _ in 0..random.usize(4..=MAX_FAULTS) {
+            let at = FAULT_PHASE.mul_f64(random.f64());
             let fault = match is_planned_only {
-                true => planned(&mut random, instances, servers),
-                false => any(&mut random, instances, servers),
+                true => planned_fault(&mut random, instances, servers),
+                false => any_fault(&mut random, instances, servers),
             };
             if let Fault::Drain { server } = fault {
                 if drained.contains(&server) || drained.len() >= servers / 3 {
@@ -64,23 +64,26 @@
     }
 }
 
-fn planned(random: &mut Rng, instances: usize, servers: usize) -> Fault {
+fn planned_fault(random: &mut Rng, instances: usize, servers: usize) -> Fault {
     match random.usize(..4) {
         0 => Fault::Stop { instance: random.usize(..instances) },
-        1 => Fault::Settings { instance: random.usize(..instances), hangs_up: random.bool() },
+        1 => Fault::ChangeSettings {
+            instance: random.usize(..instances),
+            send_sighup: random.bool(),
+        },
         2 => Fault::Drain { server: random.usize(..servers) },
-        _ => Fault::Configure,
+        _ => Fault::ChangeConfig,
     }
 }
 
-fn any(random: &mut Rng, instances: usize, servers: usize) -> Fault {
-    let lasts = Duration::from_millis(random.u64(200..4_000));
+fn any_fault(random: &mut Rng, instances: usize, servers: usize) -> Fault {
+    let duration = Duration::from_millis(random.u64(200..4_000));
     let (instance, server) = (random.usize(..instances), random.usize(..servers));
     match random.usize(..16) {
-        0 | 1 => Fault::Kill { instance, pause: lasts / 4 },
-        2 => Fault::KillAll { pause: lasts / 4 },
-        3 | 4 => Fault::Freeze { instance, pause: lasts },
-        5..=7 => Fault::StoreLink { instance, link: link(random), lasts },
+        0 | 1 => Fault::Kill { instance, downtime: duration / 4 },
+        2 => Fault::KillAll { downtime: duration / 4 },
+        3 | 4 => Fault::Pause { instance, duration },
+        5..=7 => Fault::StoreLink { instance, link: random_link_mode(random), duration },
         8 | 9 => {
             let fault = match random.usize(..4) {
                 0 => StoreFault::ErrorStatus(503),
@@ -88,25 +91,25 @@
                 2 => StoreFault::DropResponse,
                 _ => StoreFault::Hang,
             };
-            Fault::Store { fault, lasts, rows_run_out: random.bool() }
+            Fault::Store { fault, duration, expire_rows: random.bool() }
         }
         10 => Fault::DiscardHistory,
-        11 | 12 => Fault::ServerLink { server, link: link(random), lasts },
-        13 => Fault::ServerBehaviour { server, behaviour: behaviour(random), lasts },
-        _ => planned(random, instances, servers),
+        11 | 12 => Fault::ServerLink { server, link: random_link_mode(random), duration },
+        13 => Fault::ServerBehaviour { server, behaviour: random_behaviour(random), duration },
+        _ => planned_fault(random, instances, servers),
     }
 }
 
-fn link(random: &mut Rng) -> Link {
+fn random_link_mode(random: &mut Rng) -> LinkMode {
     match random.usize(..4) {
-        0 => Link::Silent,
-        1 => Link::OneWay,
-        2 => Link::Resets,
-        _ => Link::Delays(Duration::from_millis(random.u64(20..400))),
+        0 => LinkMode::Stall,
+        1 => LinkMode::StallResponses,
+        2 => LinkMode::Reset,
+        _ => LinkMode::Delay(Duration::from_millis(random.u64(20..400))),
     }
 }
 
-fn behaviour(random: &mut Rng) -> Behaviour {
+fn random_behaviour(random: &mut Rng) -> Behaviour {
     let all = [
         Behaviour::Delay(Duration::from_millis(random.u64(100..1_500))),
         Behaviour::Reject,
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -23,7 +23,7 @@
 };
 
 /// Time from SIGTERM in which a process must end, as its settings say.
-const GRACE: Duration = Duration::from_secs(6);
+const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
 /// One instance: a process now, or none while it is started anew.
 pub(crate) struct Process {
@@ -35,7 +35,7 @@
     log: PathBuf,
     child: Mutex<Option<Child>>,
     /// Length of the log when the process was started.
-    logged_bytes: AtomicU64,
+    log_start_bytes: AtomicU64,
 }
 
 impl Process {
@@ -56,7 +56,7 @@
             text,
             log: folder.join(format!("{name}.log")),
             child: Mutex::new(None),
-            logged_bytes: AtomicU64::new(0),
+            log_start_bytes: AtomicU64::new(0),
         };
         process.spawn();
         process
@@ -64,7 +64,7 @@
 
     fn spawn(&self) {
         let log = File::options().create(true).append(true).open(&self.log).unwrap();
-        self.logged_bytes.store(log.metadata().unwrap().len(), Ordering::Relaxed);
+        self.log_start_bytes.store(log.metadata().unwrap().len(), Ordering::Relaxed);
         let child = Command::new(env!("CARGO_BIN_EXE_azuregate"))
             .arg("serve")
             .env("AZUREGATE_SETTINGS", &self.settings)
@@ -83,13 +83,13 @@
         }
     }
 
-    /// Kills the process and starts it anew after `pause`.
-    pub(crate) async fn kill(&self, pause: Duration) {
+    /// Kills the process and starts it anew after `downtime`.
+    pub(crate) async fn kill(&self, downtime: Duration) {
         let child = self.child.lock().unwrap().take();
         let Some(mut child) = child else { return };
         let _ = child.kill();
         let _ = child.wait();
-        time::sleep(pause).await;
+        time::sleep(downtime).await;
         self.spawn();
     }
 
@@ -105,9 +105,9 @@
             match child.try_wait().unwrap() {
                 Some(status) if status.success() => break None,
                 // It has not opened its ports, and nothing can be lost.
-                Some(status) if is_sigterm(status) && !self.has_logged() => break None,
+                Some(status) if ended_by_sigterm(status) && !self.has_logged() => break None,
                 Some(status) => break Some(format!("ended with {status}")),
-                None if start.elapsed() > GRACE => {
+                None if start.elapsed() > GRACE_PERIOD => {
                     let _ = child.kill();
                     let _ = child.wait();
                     break Some("did not end in time".to_owned());
@@ -123,28 +123,28 @@
     /// Whether the process has said anything since it was started.
     fn has_logged(&self) -> bool {
         let length = fs::metadata(&self.log).unwrap().len();
-        length > self.logged_bytes.load(Ordering::Relaxed)
+        length > self.log_start_bytes.load(Ordering::Relaxed)
     }
 
     /// Pauses the process.
-    pub(crate) async fn freeze(&self, pause: Duration) {
+    pub(crate) async fn pause(&self, duration: Duration) {
         self.signal(Signal::STOP);
-        time::sleep(pause).await;
+        time::sleep(duration).await;
         self.signal(Signal::CONT);
     }
 
     /// Changes the settings and says so, or leaves it to the process to notice.
-    pub(crate) fn change_settings(&self, hangs_up: bool) {
+    pub(crate) fn change_settings(&self, send_sighup: bool) {
         let burst = fastrand::u32(10..90);
         let text = format!("{}terms.bounds.retryBurst={burst}\n", self.text);
         fs::write(&self.settings, text).unwrap();
-        if hangs_up {
+        if send_sighup {
             self.signal(Signal::HUP);
         }
     }
 
     /// How the process ended by itself, if it did.
-    pub(crate) fn own_end(&self) -> Option<String> {
+    pub(crate) fn unexpected_exit(&self) -> Option<String> {
         let mut child = self.child.lock().unwrap();
         let status = child.as_mut()?.try_wait().unwrap()?;
         Some(format!("{} ended by itself with {status}", self.log.display()))
@@ -152,7 +152,7 @@
 }
 
 /// Whether a process ended by SIGTERM, which it does until it handles that signal.
-fn is_sigterm(status: ExitStatus) -> bool {
+fn ended_by_sigterm(status: ExitStatus) -> bool {
     status.signal() == Some(Signal::TERM.as_raw())
 }
 
--- a/crates/azuregate/tests/soak/proxy.rs
+++ b/crates/azuregate/tests/soak/proxy.rs
@@ -15,46 +15,50 @@
 
 /// What becomes of bytes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Link {
+pub(crate) enum LinkMode {
     /// They pass.
-    Passes,
+    Forward,
     /// They pass late.
-    Delays(Duration),
+    Delay(Duration),
     /// Nothing passes, and nobody is told.
-    Silent,
+    Stall,
     /// Only what the callers send passes.
-    OneWay,
+    StallResponses,
     /// Open connections are reset, and so are new ones.
-    Resets,
+    Reset,
 }
 
 /// A proxy in front of one address.
 #[derive(Clone, Debug)]
 pub(crate) struct Proxy {
     pub(crate) addr: SocketAddr,
-    link: watch::Sender<Link>,
+    mode: watch::Sender<LinkMode>,
 }
 
 impl Proxy {
     pub(crate) async fn start(target: SocketAddr) -> Proxy {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let link = watch::Sender::new(Link::Passes);
-        let links = link.clone();
+        let mode = watch::Sender::new(LinkMode::Forward);
+        let modes = mode.clone();
         tokio::spawn(async move {
             while let Ok((caller, _)) = listener.accept().await {
-                tokio::spawn(carry(caller, target, links.subscribe()));
+                tokio::spawn(proxy_connection(caller, target, modes.subscribe()));
             }
         });
-        Proxy { addr, link }
+        Proxy { addr, mode }
     }
 
-    pub(crate) fn set(&self, link: Link) {
-        self.link.send_replace(link);
+    pub(crate) fn set(&self, mode: LinkMode) {
+        self.mode.send_replace(mode);
     }
 }
 
-async fn carry(caller: TcpStream, target: SocketAddr, mut link: watch::Receiver<Link>) {
+async fn proxy_connection(
+    caller: TcpStream,
+    target: SocketAddr,
+    mut mode: watch::Receiver<LinkMode>,
+) {
     let Ok(server) = TcpStream::connect(target).await else { return };
     // A connection that ends this way is reset on both sides.
     for stream in [&caller, &server] {
@@ -63,29 +67,29 @@
     }
     let (caller_in, caller_out) = caller.into_split();
     let (server_in, server_out) = server.into_split();
-    let there = pump(caller_in, server_out, link.clone(), true);
-    let back = pump(server_in, caller_out, link.clone(), false);
+    let requests = forward_bytes(caller_in, server_out, mode.clone(), true);
+    let responses = forward_bytes(server_in, caller_out, mode.clone(), false);
     tokio::select! {
-        () = async { tokio::join!(there, back); } => {}
-        _ = link.wait_for(|link| *link == Link::Resets) => {}
+        () = async { tokio::join!(requests, responses); } => {}
+        _ = mode.wait_for(|mode| *mode == LinkMode::Reset) => {}
     }
 }
 
-async fn pump(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut link: watch::Receiver<Link>,
+    mut mode: watch::Receiver<LinkMode>,
     is_request: bool,
 ) {
     let mut buffer = [0; 16 << 10];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        let now = link.wait_for(|link| match link {
-            Link::Passes | Link::Delays(_) | Link::Resets => true,
-            Link::Silent => false,
-            Link::OneWay => is_request,
+        let current = mode.wait_for(|mode| match mode {
+            LinkMode::Forward | LinkMode::Delay(_) | LinkMode::Reset => true,
+            LinkMode::Stall => false,
+            LinkMode::StallResponses => is_request,
         });
-        let Ok(now) = now.await.map(|link| *link) else { return };
-        if let Link::Delays(delay) = now {
+        let Ok(current) = current.await.map(|mode| *mode) else { return };
+        if let LinkMode::Delay(delay) = current {
             time::sleep(delay).await;
         }
         if to.write_all(&buffer[..count]).await.is_err() {
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -19,23 +19,23 @@
 use crate::{
     ZONES, checks,
     clients::Traffic,
-    plan::{Fault, Plan, TROUBLE},
+    plan::{FAULT_PHASE, Fault, Plan},
     processes::Process,
-    proxy::{Link, Proxy},
+    proxy::{LinkMode, Proxy},
     world::{Client, look_up, read_request, readiness},
 };
 
 const SERVICE: &str = "shop";
 /// From so many instances the configuration has many routes.
-const MANY_ROUTES_FROM: usize = 16;
+const MANY_ROUTES_MIN_INSTANCES: usize = 16;
 const MANY_ROUTES: usize = 1_400;
 const SERVERS: usize = 6;
 const CLIENTS: u64 = 14;
 /// Time after the last fault in which all must be well again: contact with the
 /// store, clients' lookups, and servers that were avoided.
-const SETTLE: Duration = Duration::from_secs(7);
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(7);
 /// How long it is watched that all is well.
-const CALM: Duration = Duration::from_secs(2);
+const STEADY_PHASE: Duration = Duration::from_secs(2);
 
 /// A backend server behind its proxy.
 pub(crate) struct Server {
@@ -46,7 +46,7 @@
 }
 
 /// Everything in a run.
-pub(crate) struct Stage {
+pub(crate) struct Deployment {
     pub(crate) instances: Vec<Process>,
     pub(crate) servers: Vec<Server>,
     pub(crate) problems: Mutex<Vec<String>>,
@@ -56,43 +56,43 @@
 }
 
 /// Plays `seed` with so many instances and returns what was wrong.
-pub(crate) async fn play(seed: u64, instances: usize) -> Vec<String> {
-    let plan = Plan::draw(seed, instances, SERVERS);
-    let stage = Arc::new(set_up(seed, instances).await);
-    let traffic = Traffic::new(stage.instances.iter().map(|i| i.lookups).collect(), seed);
+pub(crate) async fn run(seed: u64, instances: usize) -> Vec<String> {
+    let plan = Plan::generate(seed, instances, SERVERS);
+    let deployment = Arc::new(set_up(seed, instances).await);
+    let traffic = Traffic::new(deployment.instances.iter().map(|i| i.lookups).collect(), seed);
     let clients: Vec<_> = (0..CLIENTS).map(|n| tokio::spawn(Arc::clone(&traffic).run(n))).collect();
     let start = Instant::now();
     let faults = plan.faults.iter().cloned().map(|(at, fault)| {
-        let stage = Arc::clone(&stage);
+        let deployment = Arc::clone(&deployment);
         tokio::spawn(async move {
             time::sleep(at).await;
-            stage.harm(fault).await;
+            deployment.inject(fault).await;
         })
     });
     let faults: Vec<_> = faults.collect();
-    time::sleep(TROUBLE).await;
+    time::sleep(FAULT_PHASE).await;
     for fault in faults {
         fault.await.unwrap();
     }
-    time::sleep(SETTLE).await;
-    let calm_at = Instant::now();
-    time::sleep(CALM).await;
-    stage.check_all_well().await;
-    traffic.end();
+    time::sleep(RECOVERY_TIMEOUT).await;
+    let recovered_at = Instant::now();
+    time::sleep(STEADY_PHASE).await;
+    deployment.check_recovered().await;
+    traffic.stop();
     for client in clients {
         client.await.unwrap();
     }
-    let exchanges = traffic.exchanges();
-    eprintln!("seed {seed}: {} faults, {}", plan.faults.len(), checks::summary(&exchanges));
-    let mut problems = stage.problems.lock().unwrap().clone();
-    problems.extend(checks::all(&stage, &plan, &exchanges, calm_at));
-    let said =
+    let records = traffic.records();
+    eprintln!("seed {seed}: {} faults, {}", plan.faults.len(), checks::summary(&records));
+    let mut problems = deployment.problems.lock().unwrap().clone();
+    problems.extend(checks::check_all(&deployment, &plan, &records, recovered_at));
+    let findings =
         problems.iter().map(|problem| format!("seed {seed}, {instances} instances: {problem}"));
-    let said: Vec<String> = said.collect();
-    if !said.is_empty() {
+    let findings: Vec<String> = findings.collect();
+    if !findings.is_empty() {
         eprintln!("seed {seed} after {:?}: {plan:#?}", start.elapsed());
     }
-    said
+    findings
 }
 
 fn folder(seed: u64, instances: usize) -> PathBuf {
@@ -103,7 +103,7 @@
     folder
 }
 
-/// Tells the runs of this process apart, so that two that play at the same time never
+/// Tells the runs of this process apart, so that two that run at the same time never
 /// have the same IP numbers.
 fn next_run() -> u8 {
     static RUNS: AtomicU8 = AtomicU8::new(0);
@@ -116,7 +116,7 @@
     format!("127.{process}.{run}.{}", instance + 1).parse().unwrap()
 }
 
-async fn set_up(seed: u64, count: usize) -> Stage {
+async fn set_up(seed: u64, count: usize) -> Deployment {
     let store = FakeStore::start("127.0.0.1").await;
     let config = ConfigDocument::new(SERVICE);
     store.put("op", "config", config_row(&config));
@@ -124,7 +124,7 @@
     for number in 0..SERVERS {
         let id = format!("b{number}");
         let backend = FakeBackend::start(&id, "127.0.0.1").await;
-        backend.set(USUAL);
+        backend.set(NORMAL_BEHAVIOUR);
         let proxy = Proxy::start(backend.addr()).await;
         let (zone, _) = ZONES[number % ZONES.len()];
         store.put("servers", &id, backend_row(SERVICE, proxy.addr, zone, "ready"));
@@ -138,7 +138,7 @@
         instances.push(Process::start(&folder, number, ip(run, number), link.addr));
         store_links.push(link);
     }
-    let stage = Stage {
+    let deployment = Deployment {
         instances,
         servers,
         problems: Mutex::default(),
@@ -146,15 +146,15 @@
         store_links,
         config: Mutex::new(config),
     };
-    stage.wait_until_ready().await;
-    stage
+    deployment.wait_until_ready().await;
+    deployment
 }
 
 /// Servers work for a moment, so that requests are in progress when something
 /// happens.
-const USUAL: Behaviour = Behaviour::Delay(Duration::from_millis(40));
+const NORMAL_BEHAVIOUR: Behaviour = Behaviour::Delay(Duration::from_millis(40));
 
-impl Stage {
+impl Deployment {
     async fn wait_until_ready(&self) {
         for instance in &self.instances {
             let start = Instant::now();
@@ -171,54 +171,54 @@
         self.problems.lock().unwrap().push(problem);
     }
 
-    async fn harm(&self, fault: Fault) {
+    async fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Kill { instance, pause } => self.instances[instance].kill(pause).await,
-            Fault::KillAll { pause } => {
-                let kills = self.instances.iter().map(|instance| instance.kill(pause));
+            Fault::Kill { instance, downtime } => self.instances[instance].kill(downtime).await,
+            Fault::KillAll { downtime } => {
+                let kills = self.instances.iter().map(|instance| instance.kill(downtime));
                 futures_util::future::join_all(kills).await;
             }
-            Fault::Freeze { instance, pause } => self.instances[instance].freeze(pause).await,
+            Fault::Pause { instance, duration } => self.instances[instance].pause(duration).await,
             Fault::Stop { instance } => {
                 if let Some(problem) = self.instances[instance].stop().await {
                     self.problem(format!("planned stop of entry-{instance}: {problem}"));
                 }
             }
-            Fault::Settings { instance, hangs_up } => {
-                self.instances[instance].change_settings(hangs_up);
+            Fault::ChangeSettings { instance, send_sighup } => {
+                self.instances[instance].change_settings(send_sighup);
             }
-            Fault::StoreLink { instance, link, lasts } => {
-                harm_link(&self.store_links[instance], link, lasts).await;
+            Fault::StoreLink { instance, link, duration } => {
+                inject_link_fault(&self.store_links[instance], link, duration).await;
             }
-            Fault::Store { fault, lasts, rows_run_out } => {
-                self.harm_store(fault, lasts, rows_run_out).await;
+            Fault::Store { fault, duration, expire_rows } => {
+                self.inject_store_fault(fault, duration, expire_rows).await;
             }
             Fault::DiscardHistory => self.store.discard_history(),
-            Fault::ServerLink { server, link, lasts } => {
-                harm_link(&self.servers[server].proxy, link, lasts).await;
+            Fault::ServerLink { server, link, duration } => {
+                inject_link_fault(&self.servers[server].proxy, link, duration).await;
             }
-            Fault::ServerBehaviour { server, behaviour, lasts } => {
+            Fault::ServerBehaviour { server, behaviour, duration } => {
                 let backend = &self.servers[server].backend;
                 backend.set(behaviour);
-                time::sleep(lasts).await;
-                backend.set(USUAL);
+                time::sleep(duration).await;
+                backend.set(NORMAL_BEHAVIOUR);
             }
             Fault::Drain { server } => self.drain(server).await,
-            Fault::Configure => self.configure(),
+            Fault::ChangeConfig => self.publish_config(),
         }
     }
 
     /// The store fails; all rows run out meanwhile if it was away for long, and are
     /// back soon after.
-    async fn harm_store(&self, fault: StoreFault, lasts: Duration, rows_run_out: bool) {
+    async fn inject_store_fault(&self, fault: StoreFault, duration: Duration, expire_rows: bool) {
         self.store.set_fault(fault);
-        time::sleep(lasts).await;
-        let runs_out = rows_run_out && lasts > Duration::from_secs(2);
-        if runs_out {
+        time::sleep(duration).await;
+        let rows_expire = expire_rows && duration > Duration::from_secs(2);
+        if rows_expire {
             self.servers.iter().for_each(|s| self.store.remove("servers", s.backend.id()));
         }
         self.store.set_fault(StoreFault::None);
-        if runs_out {
+        if rows_expire {
             time::sleep(Duration::from_millis(700)).await;
             self.servers.iter().for_each(|server| self.register(server));
         }
@@ -240,12 +240,12 @@
         self.store.remove("servers", server.backend.id());
     }
 
-    fn configure(&self) {
+    fn publish_config(&self) {
         let mut config = self.config.lock().unwrap();
         config.version += 1;
         let prefix = format!("/new{}/", config.version);
         config.extra_prefixes = vec![prefix];
-        if self.instances.len() >= MANY_ROUTES_FROM {
+        if self.instances.len() >= MANY_ROUTES_MIN_INSTANCES {
             config.extra_prefixes.extend((0..MANY_ROUTES).map(|n| format!("/more{n}/")));
         }
         self.store.put("op", "config", config_row(&config));
@@ -253,7 +253,7 @@
 
     /// Each instance takes requests, serves the newest configuration and nothing
     /// older, and is named to clients.
-    async fn check_all_well(&self) {
+    async fn check_recovered(&self) {
         let config = self.config.lock().unwrap().clone();
         for (number, instance) in self.instances.iter().enumerate() {
             if readiness(instance.ready).await != 200 {
@@ -278,8 +278,8 @@
     }
 }
 
-async fn harm_link(proxy: &Proxy, link: Link, lasts: Duration) {
+async fn inject_link_fault(proxy: &Proxy, link: LinkMode, duration: Duration) {
     proxy.set(link);
-    time::sleep(lasts).await;
-    proxy.set(Link::Passes);
+    time::sleep(duration).await;
+    proxy.set(LinkMode::Forward);
 }
