--- a/crates/platform/tests/names.rs
+++ b/crates/platform/tests/platform_names.rs
@@ -39,7 +39,7 @@
 ];
 
 #[test]
-fn no_name_of_the_platform_stands_outside_this_crate() {
+fn platform_names_are_used_in_this_crate_only() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut found = Vec::new();
     for entry in fs::read_dir(crates).unwrap() {
@@ -51,8 +51,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-fn search(folder: &Path, found: &mut Vec<String>) {
-    for entry in fs::read_dir(folder).unwrap() {
+fn search(dir: &Path, found: &mut Vec<String>) {
+    for entry in fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
             search(&path, found);
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_configuration_is_read() {
+fn configuration_is_decoded() {
     let config = config::decode(&config_row(&ConfigDocument::new("shop"))).unwrap();
     assert_eq!(config.version(), 1);
     assert_eq!(config.limits().idle_timeout_ms, 15_000);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_split_is_read_with_its_weights() {
+fn traffic_split_is_decoded_with_weights() {
     let mut document = configuration();
     let more = json!({ "name": "new", "maxConns": 1 });
     document["clusters"].as_array_mut().unwrap().push(more);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn configurations_that_do_not_hold_together_are_refused() {
+fn invalid_configurations_are_rejected() {
     type Change = fn(&mut Value);
     let cases: [(&str, Change); 9] = [
         ("no version", |d| d["configVersion"] = Value::Null),
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn rows_of_the_operator_are_told_apart() {
+fn operator_keys_are_parsed() {
     assert_eq!(config::parse_operator_key("config"), OperatorKey::Config);
     let zone = ZoneName::new("sofia-a");
     assert_eq!(config::parse_operator_key("evacuate/sofia-a"), OperatorKey::Evacuate(zone));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_backend_servers_row_is_read() {
+fn backend_row_is_decoded() {
     let addr = "10.0.0.1:80".parse().unwrap();
     let backend =
         backend::decode("i-1", &backend_row("shop", addr, "sofia-a", "draining")).unwrap();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn rows_by_another_writer_name_no_server() {
+fn invalid_backend_rows_are_rejected() {
     let addr = "10.0.0.1:80".parse().unwrap();
     let whole: Value = serde_json::from_slice(&backend_row("shop", addr, "a", "ready")).unwrap();
     let changes = [
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_member_is_read_as_it_was_written() {
+fn member_row_round_trips() {
     let member = Member {
         instance: InstanceId::new("entry-1"),
         start: StartNumber(7),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn lookups_are_read_and_answered() {
+fn lookups_are_parsed_and_responses_encoded() {
     let lookup = Lookup::parse("name=shop.example&region=east%20mids&zone=em-1&more=1&odd");
     let expected = Lookup { region: "east mids".to_owned(), zone: "em-1".to_owned() };
     assert_eq!(lookup, expected);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn load_reports_are_three_numbers() {
+fn load_reports_consist_of_three_numbers() {
     let expected = LoadReport { running: 3, waiting: 0, slots: 8 };
     assert_eq!(LoadReport::parse("3, 0,8"), Some(expected));
     for text in ["", "3", "3,0", "3,0,8,1", "3,-1,8", "a,b,c"] {
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -16,7 +16,7 @@
 terms.bounds.warmupOverage=1.5\nterms.bounds.warmupSlack=5\n";
 
 #[test]
-fn a_whole_file_is_read_and_what_is_unknown_is_ignored() {
+fn complete_file_is_parsed_and_unknown_names_are_ignored() {
     let settings = Settings::parse(WHOLE).unwrap();
     assert_eq!(settings.instance.as_str(), "edge-1");
     assert_eq!(settings.zones.len(), 2);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn bounds_that_the_operator_does_not_set_have_defaults() {
+fn unset_bounds_have_defaults() {
     let text: String = WHOLE
         .lines()
         .filter(|line| !line.starts_with("terms."))
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn each_bad_field_is_named() {
+fn error_names_the_invalid_field() {
     let cases = [
         ("self.nodeName=edge-1", "", "self.nodeName is missing"),
         ("self.ip=10.1.0.10", "self.ip=ten", "self.ip: \"ten\" cannot be read"),
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn all_bad_fields_are_named_at_once() {
+fn error_lists_all_missing_fields() {
     let e = Settings::parse("").unwrap_err();
     assert_eq!(e.problems().len(), 9, "{e}");
 }
--- a/crates/platform/tests/store.rs
+++ b/crates/platform/tests/store.rs
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn rows_are_read_page_by_page() {
+async fn read_collects_all_pages() {
     let (fake, mut store) = start().await;
     fake.set_page_size(2);
     for key in ["a", "b", "b+", "c d", "e"] {
@@ -36,7 +36,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_brings_what_changed_and_what_was_removed() {
+async fn watch_returns_changed_and_removed_rows() {
     let (fake, mut store) = start().await;
     fake.put("servers", "a", "1");
     let version = store.read(Table::Backends).await.unwrap().version;
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn writes_are_seen_by_reads() {
+async fn reads_return_written_rows() {
     let (_fake, mut store) = start().await;
     store.put(Table::Members, "entry-1", b"here").await.unwrap();
     let rows = store.read(Table::Members).await.unwrap();
@@ -64,7 +64,7 @@
 /// A call that the store refused had no effect; one without an answer may have
 /// had. After each of them the next call is made as if nothing had been.
 #[tokio::test]
-async fn refusals_and_lost_answers_are_told_apart() {
+async fn refusals_and_lost_responses_are_distinguished() {
     let (fake, mut store) = start().await;
     for status in [429, 503] {
         fake.set_fault(StoreFault::ErrorStatus(status));
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test]
-async fn a_watch_is_told_when_the_history_is_gone() {
+async fn watch_reports_expired_history() {
     let (fake, mut store) = start().await;
     fake.put("servers", "a", "1");
     fake.discard_history();
@@ -92,7 +92,7 @@
 /// The store takes the call and says nothing. The caller is told after the time
 /// that the call may take, and a later call uses a new connection.
 #[tokio::test]
-async fn a_silent_store_is_given_up() {
+async fn call_to_a_hanging_store_times_out() {
     let (fake, mut store) = start().await;
     store.read(Table::Backends).await.unwrap();
     fake.set_fault(StoreFault::Hang);
@@ -104,7 +104,7 @@
 }
 
 #[tokio::test]
-async fn a_store_that_is_not_there_is_no_answer() {
+async fn unreachable_store_is_reported_as_no_response() {
     let addr = {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         listener.local_addr().unwrap()
