--- a/crates/platform/src/backend.rs
+++ b/crates/platform/src/backend.rs
@@ -1,4 +1,4 @@
-//! Rows in which backend servers register themselves.
+//! Decodes the rows in which backend servers register themselves.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,20 @@
 
 use crate::store::{DecodeError, decode_json};
 
-/// A backend server's row. Fields that are not used here are ignored.
+/// The row of a backend server; unknown fields are ignored.
 #[derive(Deserialize)]
 struct Row {
     /// The name of the service.
     backend: String,
     address: SocketAddr,
     zone: String,
-    /// How many requests it processes at the same time.
+    /// The number of requests that the server processes concurrently.
     capacity: u32,
     state: State,
-    /// How long it stays slow after its start.
+    /// Remaining time of the slow start, in seconds.
     #[serde(rename = "warmupLeftS", default)]
     warmup_left_s: f64,
-    /// When it started, in milliseconds since the Unix epoch.
+    /// Start time, in milliseconds since the Unix epoch.
     #[serde(default)]
     born: u64,
 }
@@ -39,12 +39,12 @@
 ///
 /// # Errors
 ///
-/// When another writer wrote the row: a field is missing or of another type, or
-/// the state is unknown.
+/// Returns an error if a field is missing, has the wrong type or is out of range,
+/// or if the state is unknown.
 pub fn decode(key: &str, value: &[u8]) -> Result<Backend, DecodeError> {
     let row: Row = decode_json(value)?;
     if !row.warmup_left_s.is_finite() || row.capacity == 0 {
-        return Err(DecodeError::new("the capacity or the time to warm up is out of range"));
+        return Err(DecodeError::new("capacity is 0 or warmupLeftS is not a finite number"));
     }
     Ok(Backend {
         id: BackendId::new(key),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration and its requests to evacuate zones.
+//! Decodes the operator's configuration and its requests to evacuate zones.
 
 use std::sync::Arc;
 
@@ -10,23 +10,23 @@
 
 use crate::store::{DecodeError, decode_json};
 
-/// The row that holds the newest configuration.
+/// Key of the row that holds the current configuration.
 const CONFIG_KEY: &str = "config";
-/// What the keys of rows begin with that ask to evacuate a zone.
+/// Prefix of the keys that request the evacuation of a zone.
 const EVACUATE_PREFIX: &str = "evacuate/";
 
-/// What a row of the operator's table is about.
+/// The meaning of a key in the operator's table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum OperatorKey {
     /// The configuration.
     Config,
-    /// A request that the zone gets nothing while the row is there.
+    /// A request to send no traffic to the zone while the row exists.
     Evacuate(ZoneName),
-    /// Something that is not known here.
+    /// Any other key.
     Unknown,
 }
 
-/// Tells from its key what a row of the operator's table is about.
+/// Parses the key of a row in the operator's table.
 pub fn parse_operator_key(key: &str) -> OperatorKey {
     if key == CONFIG_KEY {
         return OperatorKey::Config;
@@ -67,12 +67,12 @@
 #[serde(rename_all = "camelCase")]
 struct Rule {
     name: String,
-    /// What may be repeated.
+    /// Determines which requests may be retried.
     r#type: RuleKind,
     target_latency_s: f64,
     #[serde(default)]
     priority: u32,
-    /// Whether it pays to send requests for one object to the same server.
+    /// Whether backend servers serve repeated requests for one object faster.
     #[serde(default)]
     session_affinity: bool,
     r#match: Match,
@@ -95,7 +95,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 struct Action {
-    /// The only service, where there is no split.
+    /// The only service, used if there is no `traffic_split`.
     backend: Option<String>,
     traffic_split: Option<Vec<WeightedBackend>>,
     timeout_s: f64,
@@ -126,13 +126,13 @@
 ///
 /// # Errors
 ///
-/// When it cannot be read, or does not hold together: a prefix without its
-/// slashes, a service that is not defined, no attempts, two rules in the same
-/// place.
+/// Returns an error if the document is malformed or inconsistent: a prefix that
+/// does not begin and end with a slash, an undefined service, zero attempts, or
+/// two rules with the same host and prefix.
 pub fn decode(value: &[u8]) -> Result<Config, DecodeError> {
     let document: Document = decode_json(value)?;
     let version = u64::from_str_radix(&document.config_version, 16)
-        .map_err(|_| DecodeError::new("the version is not hexadecimal"))?;
+        .map_err(|_| DecodeError::new("configVersion is not a hexadecimal number"))?;
     let limits = CallerLimits {
         header_bytes: document.limits.max_header_bytes,
         body_bytes: document.limits.max_body_bytes,
@@ -165,7 +165,9 @@
             parts.iter().map(|part| destination(&part.backend, part.weight)).collect()
         }
         (None, Some(service)) => vec![destination(service, 1.0)],
-        (None, None) => return Err(DecodeError::new("a rule names no service")),
+        (None, None) => {
+            return Err(DecodeError::new("a rule has neither backend nor trafficSplit"));
+        }
     };
     Ok(Route {
         name: rule.name.clone(),
@@ -190,7 +192,7 @@
 
 fn seconds_to_millis(seconds: f64) -> Result<u64, DecodeError> {
     if !seconds.is_finite() || seconds < 0.0 {
-        return Err(DecodeError::new("a time is out of range"));
+        return Err(DecodeError::new("a duration is negative or not finite"));
     }
     Ok((seconds * 1_000.0).round() as u64)
 }
--- a/crates/platform/src/member.rs
+++ b/crates/platform/src/member.rs
@@ -1,4 +1,4 @@
-//! Rows in which entry instances register themselves.
+//! Encodes and decodes the rows in which entry instances register themselves.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -18,7 +18,7 @@
     start: u64,
 }
 
-/// Encodes the row of an instance; its key is the instance's name.
+/// Encodes the value of an instance's row, whose key is the instance's name.
 pub fn encode(member: &Member) -> Vec<u8> {
     let row = Row {
         traffic: member.traffic_addr,
@@ -26,14 +26,14 @@
         zone: member.zone.as_str().to_owned(),
         start: member.start.0,
     };
-    serde_json::to_vec(&row).expect("names, addresses and numbers are always JSON")
+    serde_json::to_vec(&row).expect("strings, addresses and numbers always serialize to JSON")
 }
 
 /// Decodes the row `key` of an instance.
 ///
 /// # Errors
 ///
-/// When the row was written by another version or cannot be read.
+/// Returns an error if the row is malformed or a field is missing.
 pub fn decode(key: &str, value: &[u8]) -> Result<Member, DecodeError> {
     let row: Row = decode_json(value)?;
     Ok(Member {
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store: configurations, backend servers, instances.
+//! Decoding of the rows of the store, and of lookups and load reports.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -53,12 +53,16 @@
         ("no version", |d| d["configVersion"] = Value::Null),
         ("a version that is not hexadecimal", |d| d["configVersion"] = json!("new")),
         ("an unknown service", |d| d["clusters"] = json!([])),
-        ("a bare prefix", |d| d["listeners"][0]["rules"][0]["match"]["prefix"] = json!("/read")),
+        ("a prefix without a trailing slash", |d| {
+            d["listeners"][0]["rules"][0]["match"]["prefix"] = json!("/read")
+        }),
         ("no attempts", |d| d["listeners"][0]["rules"][0]["action"]["attempts"] = json!(0)),
         ("an unknown kind", |d| d["listeners"][0]["rules"][0]["type"] = json!("maybe")),
         ("no service", |d| d["listeners"][0]["rules"][0]["action"]["backend"] = Value::Null),
-        ("a negative time", |d| d["listeners"][0]["rules"][0]["action"]["timeoutS"] = json!(-1)),
-        ("a limit of another type", |d| d["limits"]["maxBodyBytes"] = json!("big")),
+        ("a negative duration", |d| {
+            d["listeners"][0]["rules"][0]["action"]["timeoutS"] = json!(-1)
+        }),
+        ("a limit of the wrong type", |d| d["limits"]["maxBodyBytes"] = json!("big")),
     ];
     for (name, change) in cases {
         let mut document = configuration();
@@ -68,9 +72,9 @@
     let mut document = configuration();
     let again = document["listeners"][0]["rules"][0].clone();
     document["listeners"][0]["rules"].as_array_mut().unwrap().push(again);
-    assert!(config::decode(document.to_string().as_bytes()).is_err(), "the same place twice");
+    assert!(config::decode(document.to_string().as_bytes()).is_err(), "two rules with one prefix");
     let text = configuration().to_string();
-    assert!(config::decode(&text.as_bytes()[..text.len() / 2]).is_err(), "cut short");
+    assert!(config::decode(&text.as_bytes()[..text.len() / 2]).is_err(), "truncated");
 }
 
 #[test]
