--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,4 +1,4 @@
-//! Headers and paths of requests, answers and lookups.
+//! Headers and paths of requests, responses and instance lookups.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,41 @@
 use percent_encoding::percent_decode_str;
 use serde::Serialize;
 
-/// Names one attempt of a client; backend servers echo it.
+/// Identifies one attempt of a client; backend servers echo it.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How many milliseconds the sender will wait.
+/// Time until the sender gives up, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// Names the object that a request is about.
+/// Identifies the object that a request concerns.
 pub const AFFINITY_KEY: HeaderName = HeaderName::from_static("x-affinity-key");
-/// Proof that a backend server made the response.
+/// Signature by which clients verify that a backend server sent the response.
 pub const RESPONSE_SIGNATURE: HeaderName = HeaderName::from_static("x-response-signature");
-/// The backend server that a request is meant for; any other rejects it.
+/// The backend server that a request is addressed to; any other rejects it.
 pub const TARGET_BACKEND: HeaderName = HeaderName::from_static("x-target-instance");
-/// Running and waiting requests and slots of the backend server that answers.
+/// Load of the responding backend server, in the form that [`LoadReport`] parses.
 pub const BACKEND_LOAD: HeaderName = HeaderName::from_static("x-backend-load");
-/// Marks a response as a rejection: the backend server did not run the request.
+/// Marks a response whose request the backend server did not execute.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// The backend server that answers.
+/// The backend server that responds.
 pub const BACKEND_ID: HeaderName = HeaderName::from_static("x-instance-id");
-/// For how long the backend server that answers stays cold.
+/// Remaining warm-up time of the responding backend server, in milliseconds.
 pub const WARMUP_MS: HeaderName = HeaderName::from_static("x-warmup-ms");
 
-/// Where an instance says whether it takes requests.
+/// Path of the readiness probe.
 pub const READINESS_PATH: &str = "/-/readyz";
-/// Where clients ask which instances to use.
+/// Path at which clients look up instances.
 pub const LOOKUP_PATH: &str = "/-/resolve";
 
-/// A client's question which instances to use.
+/// A client's request for the instances that it should use.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Lookup {
-    /// The client's region, empty if it names none.
+    /// The client's region, empty if unspecified.
     pub region: String,
-    /// The client's availability zone, empty if it names none.
+    /// The client's availability zone, empty if unspecified.
     pub zone: String,
 }
 
 impl Lookup {
-    /// Reads the question from the query of a URI; unknown fields are ignored.
+    /// Parses the query of a URI; unknown parameters are ignored.
     pub fn parse(query: &str) -> Lookup {
         let mut lookup = Lookup::default();
         for pair in query.split('&') {
@@ -56,8 +56,8 @@
     }
 }
 
-/// Writes the response to a [`Lookup`] as JSON: the instances' addresses for
-/// clients, and how long the response may be kept.
+/// Encodes the response to a [`Lookup`] as JSON: the addresses of instances and
+/// the time for which clients may cache them.
 pub fn encode_lookup_response(addrs: &[SocketAddr], ttl_ms: u64) -> Vec<u8> {
     #[derive(Serialize)]
     struct LookupResponse<'a> {
@@ -66,22 +66,23 @@
         ttl_s: f64,
     }
     let response = LookupResponse { addresses: addrs, ttl_s: ttl_ms as f64 / 1_000.0 };
-    serde_json::to_vec(&response).expect("addresses and a number are always JSON")
+    serde_json::to_vec(&response).expect("addresses and numbers always serialize to JSON")
 }
 
 /// The load that a backend server reports with a response.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests at work.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait for a slot.
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests that can be at work at the same time.
+    /// Maximum number of requests in progress.
     pub slots: u32,
 }
 
 impl LoadReport {
-    /// Reads the value of [`BACKEND_LOAD`]; `None` if it is not three numbers.
+    /// Parses the value of [`BACKEND_LOAD`]: three numbers separated by commas.
+    /// Returns `None` for anything else.
     pub fn parse(text: &str) -> Option<LoadReport> {
         let mut numbers = text.split(',').map(|number| number.trim().parse().ok());
         let report = LoadReport {
