--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -10,9 +10,9 @@
 
 use azuregate_core::names::{InstanceId, RegionName, ZoneName};
 
-/// Holds the path of the settings file.
+/// Environment variable with the path of the settings file.
 const PATH_VARIABLE: &str = "AZUREGATE_SETTINGS";
-/// Where the file is when the variable is not set.
+/// Path of the settings file if the variable is not set.
 const DEFAULT_PATH: &str = "/etc/azuregate/node.conf";
 
 /// Settings of one entry instance.
@@ -20,66 +20,65 @@
 pub struct Settings {
     /// This instance's name.
     pub instance: InstanceId,
-    /// Its address.
+    /// Its IP address.
     pub ip: IpAddr,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its region.
     pub region: RegionName,
-    /// The regions of all availability zones.
+    /// The region of each availability zone.
     pub zones: BTreeMap<ZoneName, RegionName>,
-    /// Where clients send requests.
+    /// Address at which clients send requests.
     pub traffic_addr: SocketAddr,
-    /// Where the platform asks whether this instance takes requests.
+    /// Address of the readiness probe.
     pub readiness_addr: SocketAddr,
-    /// Where clients ask which instances to use.
+    /// Address at which clients look up instances.
     pub lookup_addr: SocketAddr,
-    /// The first of the ports that are free for traffic between instances; the
-    /// same on all instances.
+    /// The first port for traffic between instances; the same on all instances.
     pub peer_port: u16,
-    /// The last of these ports.
+    /// The last port for traffic between instances.
     pub last_peer_port: u16,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_addr: SocketAddr,
-    /// How often backend servers renew their rows.
+    /// Interval at which backend servers renew their rows.
     pub heartbeat_ms: u64,
-    /// What the operator expects of the whole deployment.
+    /// Bounds that apply to the whole deployment.
     pub bounds: Bounds,
 }
 
-/// Bounds that the whole deployment keeps together.
+/// Bounds that all instances of a deployment keep together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time after which an instance that is gone must not be named any more,
-    /// counted from when it was last in contact.
+    /// Time since an instance's last contact after which lookups must no longer
+    /// return it.
     pub instance_expiry_ms: u64,
-    /// Time after which a change that the store acknowledged must be in force: the
-    /// shortest of those for a leaving server, a configuration and an evacuation.
+    /// Time after which a change that the store acknowledged must be in effect: the
+    /// shortest of the bounds for draining servers, configurations and evacuations.
     pub propagation_ms: u64,
     /// Time from SIGTERM to SIGKILL.
     pub grace_period_ms: u64,
-    /// Retries of a service, as a share of its requests.
+    /// Retries of a service as a share of its requests.
     pub retry_budget_ratio: f64,
-    /// The window over which retries are counted.
+    /// Window over which retries are counted.
     pub retry_window_ms: u64,
-    /// Retries that are allowed in a window beyond the share.
+    /// Additional retries allowed per window.
     pub retry_burst: f64,
-    /// Factor on the rate that a cold backend server tolerates.
+    /// Factor applied to the request rate of a backend server that is warming up.
     pub cold_rate_factor: f64,
-    /// Requests a second that a cold backend server may get beyond that.
+    /// Additional requests per second for a backend server that is warming up.
     pub cold_rate_slack: f64,
-    /// The longest time for which clients keep the answer to a lookup.
+    /// Maximum time for which clients may cache the response to a lookup.
     pub lookup_ttl_ms: u64,
 }
 
-/// Settings that cannot be used.
+/// An error for settings that are missing or invalid.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
     problems: Vec<String>,
 }
 
 impl SettingsError {
-    /// What is wrong, a line for each field.
+    /// Returns one message per missing or invalid field.
     pub fn problems(&self) -> &[String] {
         &self.problems
     }
@@ -94,17 +93,17 @@
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// The path of this process's settings file.
+    /// Returns the path of the settings file.
     pub fn path() -> PathBuf {
         std::env::var_os(PATH_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from)
     }
 
-    /// Reads settings from the text of the file: lines of `name=value`. Names
-    /// that are not known are ignored.
+    /// Parses a settings file, which consists of lines `name=value`. Unknown names
+    /// are ignored.
     ///
     /// # Errors
     ///
-    /// When fields are missing or cannot be read; names all of them.
+    /// Returns an error that lists all missing and invalid fields.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let mut fields = Fields::new(text);
         let settings = fields.settings();
@@ -128,8 +127,7 @@
     }
 
     fn settings(&mut self) -> Option<Settings> {
-        // Every field is read before the first missing one ends this, so that
-        // one start tells all that is wrong.
+        // Parse every field before returning, so that the error lists all problems.
         let instance = self.required::<String>("self.nodeName");
         let ip = self.required("self.ip");
         let zone = self.required::<String>("self.zone");
@@ -159,8 +157,7 @@
         })
     }
 
-    /// Bounds are missing where the operator asks for none; the defaults are
-    /// those of the platform's own example.
+    /// The bounds are optional; the defaults are those of the platform's example.
     fn bounds(&mut self) -> Bounds {
         Bounds {
             instance_expiry_ms: self.millis("terms.bounds.contactS", 3_000),
@@ -191,7 +188,7 @@
             None | Some(&"") => self.problem(format!("{name} is missing")),
             Some(value) => match value.parse() {
                 Ok(value) => Some(value),
-                Err(_) => self.problem(format!("{name}: {value:?} cannot be read")),
+                Err(_) => self.problem(format!("{name}: {value:?} cannot be parsed")),
             },
         }
     }
@@ -201,7 +198,7 @@
         let mut ports = text.split(',').map(|port| port.trim().parse().ok());
         match (ports.next().flatten(), ports.next().flatten()) {
             (Some(first), Some(last)) if first <= last => Some((first, last)),
-            _ => self.problem(format!("{name}: {text:?} is not a first and a last port")),
+            _ => self.problem(format!("{name}: {text:?} is not a port range FIRST,LAST")),
         }
     }
 
@@ -210,13 +207,14 @@
         match text.parse::<f64>() {
             Ok(number) if number.is_finite() && number >= 0.0 => number,
             _ => {
-                let _ = self.problem::<f64>(format!("{name}: {text:?} is not a number from 0"));
+                let _ =
+                    self.problem::<f64>(format!("{name}: {text:?} is not a non-negative number"));
                 default
             }
         }
     }
 
-    /// Reads a time in seconds.
+    /// Parses a duration in seconds.
     fn millis(&mut self, name: &str, default_ms: u64) -> u64 {
         (self.number(name, default_ms as f64 / 1_000.0) * 1_000.0).round() as u64
     }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of the platform.
+//! Parsing of the platform's settings file.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -47,17 +47,17 @@
 fn error_names_the_invalid_field() {
     let cases = [
         ("self.nodeName=edge-1", "", "self.nodeName is missing"),
-        ("self.ip=10.1.0.10", "self.ip=ten", "self.ip: \"ten\" cannot be read"),
+        ("self.ip=10.1.0.10", "self.ip=ten", "self.ip: \"ten\" cannot be parsed"),
         ("frontend=10.1.0.10:8161", "frontend=10.1.0.10", "network.listen.frontend"),
-        ("internalPorts=7720,7735", "internalPorts=7735,7720", "not a first and a last port"),
-        ("internalPorts=7720,7735", "internalPorts=7720", "not a first and a last port"),
+        ("internalPorts=7720,7735", "internalPorts=7735,7720", "is not a port range FIRST,LAST"),
+        ("internalPorts=7720,7735", "internalPorts=7720", "is not a port range FIRST,LAST"),
         ("provider.provider.address=10.200.1.7:8169", "", "provider.provider.address is missing"),
         (
             "retryBudgetRatio=0.25",
             "retryBudgetRatio=-1",
-            "retryBudgetRatio: \"-1\" is not a number",
+            "retryBudgetRatio: \"-1\" is not a non-negative number",
         ),
-        ("graceS=6.5", "graceS=soon", "graceS: \"soon\" is not a number"),
+        ("graceS=6.5", "graceS=soon", "graceS: \"soon\" is not a non-negative number"),
     ];
     for (from, to, expected) in cases {
         assert!(WHOLE.contains(from), "{from}");
