--- a/crates/platform/src/store.rs
+++ b/crates/platform/src/store.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's store.
+//! Client of the platform's store.
 
 use std::{
     fmt,
@@ -19,24 +19,22 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, time};
 
-/// How long the store may be silent in a call, beyond the time that it is asked to
-/// wait: before the head of the answer, and before each part of its body. A limit
-/// for whole answers would break off a large one on a slow link each time anew.
+/// Timeout for the head of a response, in addition to the requested wait, and for
+/// each frame of its body. It does not apply to the whole response, since a large one
+/// on a slow link would then never complete.
 const RESPONSE_TIMEOUT_MS: u64 = 1_500;
-/// How long opening a connection may take.
 const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// Idle time after which the connection is probed, and the pause between
-/// probes: a peer that is gone is noticed in about three seconds.
+/// Idle time before the first TCP keepalive probe, and interval between probes.
 const KEEPALIVE_INTERVAL_S: u64 = 1;
-/// Probes without an answer after which the connection counts as dead.
+/// Unanswered keepalive probes after which the connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
-/// How long sent bytes may stay without acknowledgement.
+/// Time for which sent data may remain unacknowledged.
 const TCP_USER_TIMEOUT_MS: u64 = 2_000;
-/// The largest answer that is read; the store's own limit for an answer is 1 MB
-/// before encoding.
+/// Maximum size of a response body. The store limits a response to 1 MB before
+/// Base64 encoding.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// The table's name in the store.
+/// Returns the name of a table in the store.
 fn table_name(table: Table) -> &'static str {
     match table {
         Table::Operator => "op",
@@ -45,16 +43,17 @@
     }
 }
 
-/// Why a call to the store failed.
+/// An error of a call to the store.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StoreError {
-    /// The store refused the call; nothing was done.
+    /// The store refused the call with this HTTP status; the call had no effect.
     Refused(u16),
-    /// The history that a watch asked for is gone; the table is to be read anew.
+    /// The store no longer has the changes that a watch requested; the table must be
+    /// read again.
     HistoryExpired,
-    /// There was no answer; the call may have been done, or may be done later.
+    /// No response was received; the call may have taken effect, or may do so later.
     NoResponse(String),
-    /// The answer cannot be read.
+    /// The response could not be decoded.
     InvalidResponse(String),
 }
 
@@ -62,16 +61,18 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StoreError::Refused(status) => write!(f, "refused with status {status}"),
-            StoreError::HistoryExpired => f.write_str("the history is gone"),
-            StoreError::NoResponse(detail) => write!(f, "no answer: {detail}"),
-            StoreError::InvalidResponse(detail) => write!(f, "bad answer: {detail}"),
+            StoreError::HistoryExpired => {
+                f.write_str("the requested changes are no longer available")
+            }
+            StoreError::NoResponse(detail) => write!(f, "no response: {detail}"),
+            StoreError::InvalidResponse(detail) => write!(f, "invalid response: {detail}"),
         }
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// A row that cannot be decoded.
+/// An error for a row that cannot be decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DecodeError(String);
 
@@ -97,7 +98,7 @@
 struct RowsPage {
     rows: Vec<PageRow>,
     ver: u64,
-    /// More rows follow the last one.
+    /// Whether the table has more rows after the last one of this page.
     #[serde(default)]
     truncated: bool,
 }
@@ -136,7 +137,7 @@
     key: &'a str,
 }
 
-/// A client with one connection, which makes one call at a time.
+/// A client of the store, with one connection and one call at a time.
 #[derive(Debug)]
 pub struct StoreClient {
     addr: SocketAddr,
@@ -145,13 +146,13 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `addr`; connects when it is first used.
+    /// Creates a client of the store at `addr`, which connects on first use.
     pub fn new(addr: SocketAddr) -> StoreClient {
         StoreClient { addr, connection: None, response_at: None }
     }
 
-    /// Time since the last answer began to arrive: the age of what it says, which
-    /// the rest of a large answer adds to.
+    /// Returns the time since the head of the last response arrived, in milliseconds.
+    /// This is the age of its data, including the time that its body took to arrive.
     pub fn response_age_ms(&self) -> u64 {
         let age = self.response_at.map(|at| at.elapsed()).unwrap_or_default();
         u64::try_from(age.as_millis()).unwrap_or(u64::MAX)
@@ -161,7 +162,7 @@
     ///
     /// # Errors
     ///
-    /// When the store does not answer with rows.
+    /// Returns an error if the store does not respond with rows.
     pub async fn read(&mut self, table: Table) -> Result<Changes, StoreError> {
         let mut all = Changes { is_whole: true, rows: Vec::new(), version: 0 };
         let mut from = String::new();
@@ -170,8 +171,8 @@
             let path = format!("/-/rows-get?table={}&part=&from={from}", table_name(table));
             let body = self.call(Method::GET, &path, Bytes::new(), 0).await?;
             let page = parse_page(&body)?;
-            // Pages may belong to different moments: a watch that goes on from
-            // the first of them misses nothing.
+            // Pages may reflect different versions. Starting a watch from the version
+            // of the first page misses no change.
             if all.rows.is_empty() {
                 all.version = page.ver;
                 first_response_at = self.response_at;
@@ -181,17 +182,18 @@
                 self.response_at = first_response_at;
                 return Ok(all);
             };
-            // The first key after `last`; the range begins with `from` itself.
+            // `from` is inclusive, so continue with the smallest key after `last`.
             from = utf8_percent_encode(&format!("{}\0", last.key), NON_ALPHANUMERIC).to_string();
         }
     }
 
-    /// Waits at most `wait_ms` for rows of `table` that changed after `version`.
+    /// Waits at most `wait_ms` for rows of `table` that changed after `version`. Returns
+    /// no rows if none changed.
     ///
     /// # Errors
     ///
-    /// [`StoreError::HistoryExpired`] when the table has to be read anew, others
-    /// when the store does not answer with rows.
+    /// Returns [`StoreError::HistoryExpired`] if the table must be read again, and
+    /// another error if the store does not respond with rows.
     pub async fn watch(
         &mut self,
         table: Table,
@@ -210,25 +212,26 @@
     ///
     /// # Errors
     ///
-    /// When the store does not confirm the write. It may have been done all the
-    /// same; the same write may be repeated.
+    /// Returns an error if the store does not confirm the write, which may have taken
+    /// effect nevertheless. Writes are idempotent and may be repeated.
     pub async fn put(&mut self, table: Table, key: &str, value: &[u8]) -> Result<(), StoreError> {
         let put = Put { table: table_name(table), part: "", key, value: STANDARD.encode(value) };
         self.transact(&Transaction { precondition: [], puts: &[put], remove: &[] }).await
     }
 
-    /// Removes one row, if it is there.
+    /// Removes one row, if it exists.
     ///
     /// # Errors
     ///
-    /// When the store does not confirm the removal, which may have been done.
+    /// Returns an error if the store does not confirm the removal, which may have taken
+    /// effect nevertheless.
     pub async fn remove(&mut self, table: Table, key: &str) -> Result<(), StoreError> {
         let key = Key { table: table_name(table), part: "", key };
         self.transact(&Transaction { precondition: [], puts: &[], remove: &[key] }).await
     }
 
     async fn transact(&mut self, transaction: &Transaction<'_>) -> Result<(), StoreError> {
-        let body = serde_json::to_vec(transaction).expect("texts are always JSON");
+        let body = serde_json::to_vec(transaction).expect("strings always serialize to JSON");
         self.call(Method::POST, "/-/rows-tx", Bytes::from(body), 0).await.map(drop)
     }
 
@@ -241,7 +244,7 @@
     ) -> Result<Bytes, StoreError> {
         let result = self.call_once(method, path, body, wait_ms).await;
         if matches!(result, Err(StoreError::NoResponse(_) | StoreError::InvalidResponse(_))) {
-            // The connection may still deliver the late answer, or be silent.
+            // Do not reuse the connection: it may be dead or deliver the response late.
             self.connection = None;
         }
         result
@@ -319,16 +322,16 @@
     enable_keepalive(&stream).map_err(no_response)?;
     let (sender, connection) =
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(no_response)?;
-    // The task ends with the connection, which ends when the sender is dropped.
+    // The connection, and with it this task, ends when the sender is dropped.
     tokio::spawn(async move {
         let _ = connection.await;
     });
     Ok(sender)
 }
 
-/// A connection can go silent for good without a reset: the peer lost power, or
-/// something on the way lost track of it. A watch on it would wait until its
-/// time is over and miss all changes; probes by the kernel end it within seconds.
+/// Enables TCP keepalive, so that a connection whose peer is gone without a reset is
+/// closed within seconds. A watch on it would otherwise miss all changes until its
+/// wait time has passed.
 fn enable_keepalive(stream: &TcpStream) -> std::io::Result<()> {
     let interval = Duration::from_secs(KEEPALIVE_INTERVAL_S);
     let keepalive = TcpKeepalive::new()
--- a/crates/platform/tests/store.rs
+++ b/crates/platform/tests/store.rs
@@ -1,4 +1,4 @@
-//! The client of the store, against a stand-in.
+//! The store client against a fake store.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -47,7 +47,7 @@
     assert_eq!((rows.rows[0].is_removed, rows.rows[1].is_removed), (false, true));
     assert!(rows.rows[0].version < rows.rows[1].version);
     let rows = store.watch(Table::Backends, rows.version, 50).await.unwrap();
-    assert!(rows.rows.is_empty(), "nothing more within the wait");
+    assert!(rows.rows.is_empty(), "no further change within the wait time");
 }
 
 #[tokio::test]
@@ -61,8 +61,8 @@
     assert!(store.read(Table::Members).await.unwrap().rows.is_empty());
 }
 
-/// A call that the store refused had no effect; one without an answer may have
-/// had. After each of them the next call is made as if nothing had been.
+/// A refused call has no effect, while one without a response may have had one. The
+/// client can be used after either.
 #[tokio::test]
 async fn refusals_and_lost_responses_are_distinguished() {
     let (fake, mut store) = start().await;
@@ -89,15 +89,15 @@
     assert_eq!(e, StoreError::HistoryExpired);
 }
 
-/// The store takes the call and says nothing. The caller is told after the time
-/// that the call may take, and a later call uses a new connection.
+/// Guards against calls that never return if the store accepts them and does not
+/// respond, and against reuse of their connection.
 #[tokio::test]
 async fn call_to_a_hanging_store_times_out() {
     let (fake, mut store) = start().await;
     store.read(Table::Backends).await.unwrap();
     fake.set_fault(StoreFault::Hang);
     let call = time::timeout(Duration::from_secs(8), store.watch(Table::Backends, 0, 100));
-    let e = call.await.expect("the call ends by itself").unwrap_err();
+    let e = call.await.expect("the client has a timeout of its own").unwrap_err();
     assert_eq!(e, StoreError::NoResponse("timeout".to_owned()));
     fake.set_fault(StoreFault::None);
     store.read(Table::Backends).await.unwrap();
