--- a/crates/platform/src/fakes/backend.rs
+++ b/crates/platform/src/fakes/backend.rs
@@ -1,4 +1,4 @@
-//! A stand-in for a backend server.
+//! A fake backend server.
 
 use std::{
     net::SocketAddr,
@@ -12,58 +12,59 @@
     time,
 };
 
-/// How the stand-in treats the requests that it gets.
+/// How the fake handles requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub enum Behaviour {
-    /// Runs them and answers.
+    /// Executes requests and responds.
     #[default]
     Respond,
-    /// Runs them, and answers after this time.
+    /// Executes requests and responds after this delay.
     Delay(Duration),
-    /// Says that it has not run them.
+    /// Responds with 503 and `X-Not-Executed`.
     Reject,
-    /// Says that another server has its address.
+    /// Responds with 421 and the id of another server.
     Misdirect,
-    /// Runs them and fails.
+    /// Executes requests and responds with 500.
     ServerError,
-    /// Runs them and closes the connection.
+    /// Executes requests and closes the connection without a response.
     DropResponse,
-    /// Answers with less than it announces.
+    /// Closes the connection before the whole body is sent.
     Truncate,
-    /// Answers a request that came before.
+    /// Sends the response to the previous request on the connection.
     StaleResponse,
-    /// Answers, and then answers once more.
+    /// Sends the response twice.
     DuplicateResponse,
-    /// Answers without a length, and closes the connection.
+    /// Sends a body without `Content-Length` and closes the connection.
     CloseDelimited,
-    /// Answers without a length, and resets the connection in the middle.
+    /// Sends a body without `Content-Length` and resets the connection.
     CloseDelimitedReset,
-    /// Answers with success but without its signature.
+    /// Responds with success but without `X-Response-Signature`.
     Unsigned,
 }
 
-/// A request that the stand-in got.
+/// A request that the fake received.
 #[derive(Clone, Debug)]
 pub struct ReceivedRequest {
-    /// The method and the path.
+    /// The method and path, separated by a space.
     pub method_and_path: String,
-    /// The request's id.
+    /// The value of `X-Request-Id`.
     pub id: String,
-    /// How long its sender waits.
+    /// The value of `X-Deadline-Ms`, 0 if missing.
     pub deadline_ms: u64,
-    /// The server that it was meant for.
+    /// The value of `X-Target-Instance`.
     pub target_backend: String,
-    /// Whether it was run; a request that is rejected is not.
+    /// Whether the request was executed; rejected and misdirected ones are not.
     pub is_executed: bool,
-    /// Its body.
+    /// The body.
     pub body: Vec<u8>,
-    /// When it had arrived.
+    /// When the request was complete.
     pub received_at: Instant,
-    /// When its connection was closed before the answer.
+    /// When the client closed the connection before the response was sent.
     pub cancelled_at: Option<Instant>,
 }
 
-/// Answers requests on a port of its own, and keeps what it got.
+/// A fake backend server on a port of its own, which records the requests that it
+/// receives.
 #[derive(Clone)]
 pub struct FakeBackend {
     addr: SocketAddr,
@@ -81,11 +82,11 @@
 }
 
 impl FakeBackend {
-    /// Starts a server named `id` on a loopback address.
+    /// Starts a server with the id `id` at the loopback address `ip`.
     ///
     /// # Panics
     ///
-    /// When no port can be opened.
+    /// Panics if no port can be opened.
     pub async fn start(id: &str, ip: &str) -> FakeBackend {
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
@@ -96,22 +97,22 @@
         FakeBackend { addr, shared }
     }
 
-    /// Its name.
+    /// Returns the server's id.
     pub fn id(&self) -> &str {
         &self.shared.id
     }
 
-    /// Its address.
+    /// Returns the server's address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Treats requests like this from now on.
+    /// Sets how further requests are handled.
     pub fn set(&self, behaviour: Behaviour) {
         *lock(&self.shared.behaviour) = behaviour;
     }
 
-    /// All requests so far.
+    /// Returns all requests received so far.
     pub fn received(&self) -> Vec<ReceivedRequest> {
         lock(&self.shared.received).clone()
     }
@@ -156,7 +157,7 @@
     }
 }
 
-/// Answers a request; returns whether the connection stays open.
+/// Responds to a request; returns whether the connection stays open.
 async fn respond(stream: &mut TcpStream, behaviour: &Behaviour, id: &str, last_id: &str) -> bool {
     let body = format!("answer to {id}");
     let whole = |id: &str| success(id, Some(body.len()), &body);
@@ -184,7 +185,7 @@
     };
     let is_sent = stream.write_all(text.as_bytes()).await.is_ok();
     if *behaviour == Behaviour::CloseDelimitedReset {
-        // The bytes arrive before the reset, which would discard them otherwise.
+        // Without the delay, the reset would discard bytes that were not yet read.
         time::sleep(Duration::from_millis(50)).await;
         let _ = socket2::SockRef::from(&*stream).set_linger(Some(Duration::ZERO));
     }
