--- a/crates/platform/src/fakes/rows.rs
+++ b/crates/platform/src/fakes/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the stand-in for the store, and their history.
+//! The rows of the fake store and their history.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 struct Change {
     table: String,
     key: String,
-    /// `None` when the row was removed.
+    /// `None` if the row was removed.
     value: Option<Vec<u8>>,
     version: u64,
 }
@@ -25,7 +25,7 @@
     rows: BTreeMap<(String, String), Row>,
     changes: Vec<Change>,
     version: u64,
-    /// Changes up to this version are discarded.
+    /// Version up to which changes have been discarded.
     discarded_up_to: u64,
 }
 
@@ -63,7 +63,7 @@
         self.rows.get(&(table.to_owned(), key.to_owned())).map(|row| row.value.clone())
     }
 
-    /// At most `limit` rows from the key `from`.
+    /// Returns at most `limit` rows, starting at the key `from`.
     pub(super) fn read(&self, table: &str, from: &str, limit: usize) -> Value {
         let matching: Vec<_> =
             self.rows.iter().filter(|((of, key), _)| of == table && key.as_str() >= from).collect();
@@ -75,7 +75,7 @@
         json!({ "rows": rows, "truncated": matching.len() > limit, "ver": self.version, "nowS": 1.0 })
     }
 
-    /// The changes after a version, or `None` if they are discarded.
+    /// Returns the changes after a version, or `None` if they have been discarded.
     pub(super) fn changes(&self, table: &str, after: u64) -> Option<Value> {
         if after < self.discarded_up_to {
             return None;
--- a/crates/platform/src/fakes/store.rs
+++ b/crates/platform/src/fakes/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store.
+//! A fake of the platform's store.
 
 use std::{
     net::SocketAddr,
@@ -19,21 +19,21 @@
 
 use super::rows::Rows;
 
-/// How the stand-in fails.
+/// A fault that the fake injects into calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Every call gets this status and does nothing.
+    /// Calls have no effect and get this status.
     ErrorStatus(u16),
-    /// Calls are never answered.
+    /// Calls have no effect and never get a response.
     Hang,
-    /// Calls are executed and the connection is closed without a response.
+    /// Calls take effect and the connection is closed without a response.
     DropResponse,
 }
 
-/// Keeps rows in memory and answers like the platform's store.
+/// A fake store that keeps rows in memory.
 #[derive(Clone)]
 pub struct FakeStore {
     addr: SocketAddr,
@@ -53,11 +53,11 @@
 }
 
 impl FakeStore {
-    /// Starts a store without rows on a loopback address of its own.
+    /// Starts an empty store at the loopback address `ip`.
     ///
     /// # Panics
     ///
-    /// When no port can be opened.
+    /// Panics if no port can be opened.
     pub async fn start(ip: &str) -> FakeStore {
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
@@ -72,51 +72,51 @@
         FakeStore { addr, shared }
     }
 
-    /// Its address.
+    /// Returns the store's address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes a row as someone else would.
+    /// Writes a row.
     pub fn put(&self, table: &str, key: &str, value: impl Into<Vec<u8>>) {
         lock(&self.shared.rows).put(table, key, value.into());
         self.shared.changed.send_replace(());
     }
 
-    /// Removes a row as someone else would.
+    /// Removes a row.
     pub fn remove(&self, table: &str, key: &str) {
         lock(&self.shared.rows).remove(table, key);
         self.shared.changed.send_replace(());
     }
 
-    /// Drops the history, so that watches have to start anew.
+    /// Discards the history, so that clients must read their tables again.
     pub fn discard_history(&self) {
         lock(&self.shared.rows).discard_history();
         self.shared.changed.send_replace(());
     }
 
-    /// The keys of a table.
+    /// Returns the keys of a table.
     pub fn keys(&self, table: &str) -> Vec<String> {
         lock(&self.shared.rows).keys(table)
     }
 
-    /// The value of a row.
+    /// Returns the value of a row.
     pub fn value(&self, table: &str, key: &str) -> Option<Vec<u8>> {
         lock(&self.shared.rows).value(table, key)
     }
 
-    /// Fails from now on; calls that wait already fail in the same way.
+    /// Injects a fault into further calls and into those that are waiting.
     pub fn set_fault(&self, fault: StoreFault) {
         *lock(&self.shared.fault) = fault;
         self.shared.changed.send_replace(());
     }
 
-    /// Answers with at most so many rows at a time.
+    /// Sets the maximum number of rows per response.
     pub fn set_page_size(&self, rows: usize) {
         *lock(&self.shared.page_size) = rows;
     }
 
-    /// The paths and queries of all calls so far.
+    /// Returns the paths and queries of all calls so far.
     pub fn calls(&self) -> Vec<String> {
         lock(&self.shared.calls).clone()
     }
@@ -132,13 +132,13 @@
     }
 }
 
-/// An error closes the connection without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug)]
 struct ResponseDropped;
 
 impl std::fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer is lost")
+        f.write_str("response dropped")
     }
 }
 
