--- a/crates/platform/src/fakes/fixtures.rs
+++ b/crates/platform/src/fakes/fixtures.rs
@@ -1,24 +1,24 @@
-//! Rows and settings as the platform writes them.
+//! Rows and settings in the formats of the platform.
 
 use std::net::SocketAddr;
 
 use serde_json::{Value, json};
 
-/// A configuration in the platform's form, to be changed by tests.
+/// A configuration that tests can change.
 #[derive(Clone, Debug)]
 pub struct ConfigDocument {
     /// The version.
     pub version: u64,
     /// The service of `/read/`, `/write/` and `/upload/`.
     pub service: String,
-    /// The timeout of these routes.
+    /// The timeout of all routes.
     pub timeout_ms: u64,
-    /// Paths of further routes to the same service.
+    /// Path prefixes of further routes to the same service.
     pub extra_prefixes: Vec<String>,
 }
 
 impl ConfigDocument {
-    /// The first version, with routes for each kind of request to `service`.
+    /// Returns version 1, with a route to `service` for each kind of request.
     pub fn new(service: &str) -> ConfigDocument {
         ConfigDocument {
             version: 1,
@@ -40,7 +40,7 @@
         })
     }
 
-    /// The document.
+    /// Returns the JSON document.
     pub fn json(&self) -> Value {
         let mut rules = vec![
             self.rule("/read/", "idempotent"),
@@ -63,12 +63,12 @@
     }
 }
 
-/// The value of the operator's row that holds a configuration.
+/// Returns the value of the operator's row that holds a configuration.
 pub fn config_row(config: &ConfigDocument) -> Vec<u8> {
     config.json().to_string().into_bytes()
 }
 
-/// The value of a backend server's row.
+/// Returns the value of a backend server's row.
 pub fn backend_row(service: &str, addr: SocketAddr, zone: &str, state: &str) -> Vec<u8> {
     let row = json!({
         "backend": service, "address": addr, "zone": zone, "configVersion": "v1",
@@ -77,8 +77,9 @@
     row.to_string().into_bytes()
 }
 
-/// The settings file of an instance at `ip` in zone `zone-a` of `region-1`; its
-/// ports are the four from `first_port`, and `peer_port` is for heartbeats.
+/// Returns the settings file of an instance at `ip` in zone `zone-a` of `region-1`.
+/// Its listeners use three ports starting at `first_port`, and peers use `peer_port`
+/// and the next one.
 pub fn settings_text(
     name: &str,
     ip: &str,
--- a/crates/platform/src/fakes/mod.rs
+++ b/crates/platform/src/fakes/mod.rs
@@ -1,9 +1,9 @@
 /*!
-Small stand-ins for what the platform runs, for tests.
+Fakes of the platform's store and of backend servers, for tests.
 
-[`FakeStore`] keeps rows in memory and [`FakeBackend`] answers requests;
-both are told to fail in the ways that the real ones do. They listen on loopback
-and are never part of the shipped program.
+[`FakeStore`] keeps rows in memory and [`FakeBackend`] responds to requests. Tests
+inject the faults of the real systems into both. They listen on loopback addresses
+and are not compiled into the released binary.
 */
 
 mod backend;
