--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
 /*!
-What the users' platform says, translated into the project's own types.
+Adapter for the platform on which azuregate is deployed.
 
 An entry instance reads its settings from a file that the platform writes, and
-learns everything else from the platform's store:
+everything else from the platform's store:
 
 ```
 use azuregate_platform::settings::Settings;
@@ -19,16 +19,15 @@
 
 # Design
 
-This crate is the only place that knows the platform's names, formats and
-calls. It decides nothing: each module turns bytes into the types of
-`azuregate_core` or back.
+Only this crate uses the platform's names, formats and API calls. It makes no
+decisions: each module converts bytes to the types of `azuregate_core` or back.
 
-* [`settings`] reads the settings file.
-* [`store`] is the one client of the platform's store.
-* [`config`], [`backend`] and [`member`] decode the rows that the store keeps.
+* [`settings`] parses the settings file.
+* [`store`] is the client of the platform's store.
+* [`config`], [`backend`] and [`member`] decode the rows of the store.
 * `fakes`, behind the feature `stand-in`, holds fakes of the store and of backend
   servers for tests.
-* [`request`] names the headers and paths of requests, answers and probes.
+* [`request`] defines the headers and paths of requests, responses and probes.
 */
 
 pub mod backend;
