--- a/crates/platform/tests/platform_names.rs
+++ b/crates/platform/tests/platform_names.rs
@@ -1,10 +1,11 @@
-//! The platform's names stand in this crate and nowhere else.
+//! Checks that the platform's names are used in this crate only, so that a change of
+//! the platform affects no other crate.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 use std::{fs, path::Path};
 
-/// Names of headers, paths, calls and fields that are the platform's alone.
+/// Headers, paths, calls and fields of the platform.
 const NAMES: [&str; 30] = [
     "x-affinity-key",
     "x-deadline-ms",
