--- a/crates/azuregate/tests/logs.rs
+++ b/crates/azuregate/tests/logs.rs
@@ -16,9 +16,9 @@
 use proptest::prelude::*;
 
 #[derive(Clone, Default)]
-struct Written(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Written {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -29,14 +29,14 @@
     }
 }
 
-impl Written {
+impl SharedBuffer {
     fn lines(&self) -> Vec<String> {
         let text = String::from_utf8(self.0.lock().unwrap().clone()).unwrap();
         text.lines().map(str::to_owned).collect()
     }
 }
 
-fn refusal(lines: &Lines<Written>, request: &str, code: &str) {
+fn log_refusal(lines: &Lines<SharedBuffer>, request: &str, code: &str) {
     let pairs = [(Key::new("request"), Value::str(request)), (Key::new("code"), Value::str(code))];
     let record = Record::builder()
         .level(Level::Info)
@@ -65,11 +65,11 @@
 // A caller sends a request id that holds a line break and a forged event. The
 // event would look like one of ours to whoever reads the log.
 #[test]
-fn one_event_is_one_line() {
+fn event_is_written_as_one_line() {
     for (value, expected) in VALUES {
-        let written = Written::default();
-        refusal(&Lines::new(written.clone()), value, "x");
-        let lines = written.lines();
+        let buffer = SharedBuffer::default();
+        log_refusal(&Lines::new(buffer.clone()), value, "x");
+        let lines = buffer.lines();
         let [line] = &lines[..] else { panic!("{value:?}: {lines:?}") };
         assert!(line.ends_with(expected), "{value:?}: {line}");
         assert!(line.contains(" level=INFO module=azuregate::gateway "), "{line}");
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn a_long_value_is_cut() {
-    let written = Written::default();
-    refusal(&Lines::new(written.clone()), &"x".repeat(100_000), "x");
-    let lines = written.lines();
+fn long_line_is_truncated() {
+    let buffer = SharedBuffer::default();
+    log_refusal(&Lines::new(buffer.clone()), &"x".repeat(100_000), "x");
+    let lines = buffer.lines();
     assert!(lines[0].len() < 8_300, "{} bytes", lines[0].len());
     assert!(lines[0].ends_with(" truncated=true"));
 }
 
 proptest! {
     #[test]
-    fn nothing_breaks_a_line(value in any::<Vec<char>>()) {
+    fn escaped_line_has_no_control_characters(value in any::<Vec<char>>()) {
         let value = String::from_iter(value);
         let line = escape_line(&value);
         prop_assert!(line.chars().all(|c| !c.is_control()), "{line:?}");
@@ -99,14 +99,14 @@
 // Overload refuses a thousand requests at once. The log holds the first, room
 // for other events, and the number of those that it does not hold.
 #[test]
-fn overload_does_not_flood_the_log() {
-    let written = Written::default();
-    let lines = Lines::new(written.clone());
+fn rate_limit_is_per_kind() {
+    let buffer = SharedBuffer::default();
+    let lines = Lines::new(buffer.clone());
     for index in 0..1_000 {
-        refusal(&lines, &format!("r{index}"), "queue-full");
+        log_refusal(&lines, &format!("r{index}"), "queue-full");
     }
-    refusal(&lines, "other", "too-late");
-    let seen = written.lines();
+    log_refusal(&lines, "other", "too-late");
+    let seen = buffer.lines();
     let count = |code: &str| seen.iter().filter(|line| line.ends_with(code)).count();
     // More only if the test takes longer than a window.
     assert!((50..=500).contains(&count("code=queue-full")), "{}", seen.len());
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_is_held_back_is_counted_for_each_kind() {
+fn suppressed_lines_are_counted_per_kind() {
     let mut limiter = RateLimiter::new(2, 1_000);
     let admitted: Vec<_> = (0..5).map(|_| limiter.admit(kind("queue-full"), 100)).collect();
     assert_eq!(admitted, [true, true, false, false, false]);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn kinds_are_bounded() {
+fn number_of_kinds_is_limited() {
     let mut limiter = RateLimiter::new(1, 1_000);
     let admitted = (0..1_000).filter(|index| limiter.admit(kind(&index.to_string()), 0)).count();
     assert_eq!(admitted, 256 + 1);
@@ -145,7 +145,7 @@
 /// does not fit is dropped and counted, and the count comes with the next line
 /// that gets through.
 #[test]
-fn a_log_that_nobody_reads_blocks_nothing() {
+fn full_pipe_does_not_block_writes() {
     let (mut reader, writer) = std::io::pipe().unwrap();
     let mut log = NonBlockingWriter::new(writer);
     let line = [b"x".repeat(999), b"\n".to_vec()].concat();
--- a/crates/azuregate/tests/metrics.rs
+++ b/crates/azuregate/tests/metrics.rs
@@ -8,7 +8,7 @@
 use azuregate_core::names::{ServiceName, TenantName};
 
 #[tokio::test]
-async fn names_and_tags() {
+async fn metrics_have_names_and_tags() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let sink: Arc<dyn MetricSink> =
@@ -41,7 +41,7 @@
 
 // Nobody listens: metrics are lost, and requests go on.
 #[tokio::test]
-async fn a_receiver_that_is_gone_costs_nothing() {
+async fn missing_receiver_is_ignored() {
     let addr = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let recorder = Recorder::start(Arc::new(StatsdSink::new(addr).unwrap()));
     for latency_ms in 0..1_000 {
