--- a/crates/azuregate/src/logs/lines.rs
+++ b/crates/azuregate/src/logs/lines.rs
@@ -1,4 +1,4 @@
-//! Writes events as lines.
+//! Appender that writes each event as one line.
 
 use std::{
     fmt,
@@ -16,16 +16,15 @@
 
 use super::rate_limiter::{EventKind, RateLimiter, Suppressed};
 
-/// How many lines of one kind are written in a window.
+/// Lines of one kind that are written per window.
 const LINES_PER_WINDOW: u64 = 50;
-/// Length of the window.
 const WINDOW_MS: u64 = 1_000;
-/// The longest line, in bytes; callers choose some of the values.
+/// Maximum length of a line, since callers choose some of the values.
 const MAX_LINE_BYTES: usize = 8_192;
-/// Ends a line that was too long.
+/// Suffix of a truncated line.
 const TRUNCATED: &str = " truncated=true";
 
-/// Writes each event as one line, and bounds the lines of each kind.
+/// Appender that writes each event as one line and limits the rate of each kind.
 pub struct Lines<W> {
     layout: LogfmtLayout,
     origin: Instant,
@@ -44,7 +43,7 @@
 }
 
 impl<W: Write> Lines<W> {
-    /// Writes to `out`.
+    /// Creates an appender that writes to `out`.
     pub fn new(out: W) -> Lines<W> {
         let limiter = RateLimiter::new(LINES_PER_WINDOW, WINDOW_MS);
         let state = Mutex::new(State { out, limiter });
@@ -80,7 +79,7 @@
 impl<W: Send + Write + 'static> Append for Lines<W> {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now_ms = self.now_ms();
-        // A thread that panicked while it wrote has left nothing half done here.
+        // The state is consistent even if a thread panicked while it held the lock.
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
         for suppressed in state.limiter.take_suppressed(now_ms) {
@@ -108,12 +107,12 @@
     }
 }
 
-/// Makes one line of what was formatted.
+/// Escapes control characters and line separators in a formatted event, and truncates
+/// it to the maximum length of a line.
 ///
-/// logfmt quotes a value only if it holds a blank, an equals sign or a quote. A
-/// value that holds nothing but a line break among letters would end the line,
-/// and what follows would read as an event of its own; control characters would
-/// reach the terminal of whoever reads the log.
+/// logforth quotes a value only if it contains a space, an equals sign or a quote.
+/// Without escaping, a line break in a value chosen by a caller could forge an event,
+/// and control characters would reach the terminal of the reader.
 pub fn escape_line(text: &str) -> String {
     let mut line = String::with_capacity(text.len());
     for c in text.chars() {
--- a/crates/azuregate/src/logs/mod.rs
+++ b/crates/azuregate/src/logs/mod.rs
@@ -1,8 +1,10 @@
 /*!
-Logs: one line of key=value pairs for each event, on standard error.
+Logging: one logfmt line per event, on standard error or standard output.
 
-logforth formats and filters. What is added here keeps callers from writing lines
-of their own ([`escape_line`]) and overload from flooding the log ([`RateLimiter`]).
+The crate logforth formats and filters events. This module additionally escapes
+control characters, so that callers cannot forge lines ([`escape_line`]), limits the
+rate of lines ([`RateLimiter`]) and never blocks on standard output
+([`NonBlockingWriter`]).
 */
 
 mod lines;
@@ -18,17 +20,17 @@
 pub use non_blocking::NonBlockingWriter;
 pub use rate_limiter::{EventKind, RateLimiter, Suppressed};
 
-/// Starts logging; `filter` is a level such as `info`, or a list of
-/// `module=level`.
+/// Initializes logging to standard error. `filter` is a level such as `info`, or a
+/// comma-separated list of `module=level`.
 ///
-/// A filter that is not understood logs everything of `info` and above. A
-/// second start in one process changes nothing.
+/// An invalid filter is replaced by `info`. Further calls in the same process have no
+/// effect.
 pub fn init(filter: &str) {
     init_with(filter, std::io::stderr());
 }
 
-/// Like [`init`], but on standard output, where the users' platform collects
-/// logs.
+/// Initializes logging like [`init`], but to standard output, from which the platform
+/// collects logs.
 pub fn init_stdout(filter: &str) {
     init_with(filter, NonBlockingWriter::stdout());
 }
@@ -40,13 +42,13 @@
     let lines = Lines::new(out);
     let builder = starter_log::builder().dispatch(|d| d.filter(parsed).append(lines));
     if builder.try_apply().is_ok() {
-        // Otherwise every trace event of every library is put together only for
-        // the filter to drop it.
+        // Without it, trace events of all libraries are formatted before the filter
+        // discards them.
         log::set_max_level(max_level(filter));
     }
 }
 
-/// Makes a panic an event of the log, on one line like all others.
+/// Installs a panic hook that logs panics as events, each on one line.
 pub fn install_panic_hook() {
     std::panic::set_hook(Box::new(|panic| {
         let place = panic.location().map_or_else(String::new, ToString::to_string);
@@ -55,7 +57,7 @@
     }));
 }
 
-/// The level beyond which the filter lets nothing through.
+/// Returns the most verbose level that the filter admits.
 fn max_level(filter: &str) -> LevelFilter {
     let levels = filter.split([',', '=', '/']).filter_map(|part| part.trim().parse().ok());
     levels.max().unwrap_or(LevelFilter::Trace)
--- a/crates/azuregate/src/logs/non_blocking.rs
+++ b/crates/azuregate/src/logs/non_blocking.rs
@@ -1,4 +1,4 @@
-//! Standard output that is never waited for.
+//! Writer that drops output instead of blocking.
 
 use std::{
     io::{self, Stdout, Write},
@@ -7,18 +7,16 @@
 
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
-/// Bytes that a pipe takes whole once it takes any.
+/// `PIPE_BUF` on Linux: a writable pipe accepts this many bytes without blocking.
 const CHUNK_BYTES: usize = 4_096;
-/// Asks without waiting.
 const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
 
-/// Writes to `W` what it takes at once, and drops the rest.
+/// Writer that drops what `W` does not accept without blocking.
 ///
-/// The failure: whoever collects the log stops reading, the pipe fills up, and
-/// the next line blocks the only thread, with all requests behind it. A pipe that
-/// reports room takes 4,096 bytes without blocking, so asking
-/// before each chunk is enough. What is dropped is counted, and the count is
-/// written with the next line that gets through.
+/// If the log collector stops reading, the pipe fills up, and a blocking write would
+/// stop the only thread and all requests on it. The writer therefore polls before each
+/// chunk. It counts dropped chunks and writes the count before the next chunk that the
+/// pipe accepts.
 #[derive(Debug)]
 pub struct NonBlockingWriter<W> {
     out: W,
@@ -26,19 +24,19 @@
 }
 
 impl NonBlockingWriter<Stdout> {
-    /// The standard output of this process.
+    /// Creates a writer to the standard output of this process.
     pub fn stdout() -> NonBlockingWriter<Stdout> {
         NonBlockingWriter::new(io::stdout())
     }
 }
 
 impl<W: AsFd + Write> NonBlockingWriter<W> {
-    /// Writes to `out`, a pipe or a file.
+    /// Creates a writer to `out`, a pipe or a file.
     pub fn new(out: W) -> NonBlockingWriter<W> {
         NonBlockingWriter { out, dropped: 0 }
     }
 
-    /// Writes that were dropped since the last one that got through.
+    /// Returns the number of chunks dropped since the last successful write.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
@@ -56,7 +54,7 @@
         }
         if self.dropped > 0 {
             let dropped = std::mem::take(&mut self.dropped);
-            // Shorter than a chunk, but the pipe may be full after it.
+            // The pipe may be full after this line, so poll again.
             self.out.write_all(format!("lines dropped count={dropped}\n").as_bytes())?;
             return self.write_chunk(chunk);
         }
--- a/crates/azuregate/src/logs/rate_limiter.rs
+++ b/crates/azuregate/src/logs/rate_limiter.rs
@@ -1,34 +1,33 @@
-//! Bounds the lines of each kind, so that overload does not flood the log.
+//! Limits the rate of log lines of each kind, so that overload does not flood the log.
 
 use std::collections::BTreeMap;
 
-/// How many kinds are counted apart; the others share one count.
+/// Number of kinds with a count of their own; all further ones share one.
 const MAX_KINDS: usize = 256;
 
-/// Events that are limited together.
+/// The kind of an event; events of one kind share a limit.
 #[derive(Clone, Debug, Default, Eq, Ord, PartialEq, PartialOrd)]
 pub struct EventKind {
     /// The message.
     pub message: String,
-    /// The event's `code`, empty if it has none.
+    /// The value of the key `code`, empty if there is none.
     pub code: String,
 }
 
-/// Lines of one kind that were not written.
+/// The number of lines of one kind that were suppressed.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Suppressed {
-    /// Their kind.
+    /// The kind.
     pub kind: EventKind,
-    /// How many they were.
+    /// The number of suppressed lines.
     pub count: u64,
 }
 
-/// Lets so many lines of each kind through in each window of time.
+/// Rate limiter with a fixed window per kind of event.
 ///
-/// Under overload an instance refuses thousands of requests a second. Writing a
-/// line for each would take the processor time that the requests lack, and push
-/// everything else out of the log. The first lines of a kind tell all there is to
-/// tell; the rest are counted, and the count is written when the window is over.
+/// Under overload an instance refuses thousands of requests per second. Logging each
+/// of them would cost CPU time and bury all other events. The lines beyond the limit
+/// are counted, and the count is reported when the window ends.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     lines: u64,
@@ -43,16 +42,14 @@
 }
 
 impl RateLimiter {
-    /// Lets `lines` of each kind through in `window_ms`.
+    /// Creates a limiter that admits `lines` of each kind per window of `window_ms`.
     pub fn new(lines: u64, window_ms: u64) -> RateLimiter {
         RateLimiter { lines, window_ms, kinds: BTreeMap::new() }
     }
 
-    /// Counts an event at `now_ms` of monotonic time; returns whether it is
-    /// written.
+    /// Counts an event at the monotonic time `now_ms` and returns whether to write it.
     ///
-    /// Call [`RateLimiter::take_suppressed`] first, which ends the windows that are
-    /// over.
+    /// Call [`RateLimiter::take_suppressed`] first, which removes expired windows.
     pub fn admit(&mut self, kind: EventKind, now_ms: u64) -> bool {
         let is_new = !self.kinds.contains_key(&kind);
         let kind =
@@ -63,8 +60,8 @@
         window.seen <= self.lines
     }
 
-    /// Ends the windows that are over at `now_ms`, and returns what each held
-    /// back.
+    /// Removes the windows that have expired at `now_ms` and returns the number of lines
+    /// that each suppressed.
     pub fn take_suppressed(&mut self, now_ms: u64) -> Vec<Suppressed> {
         let (lines, window_ms) = (self.lines, self.window_ms);
         let mut suppressed = Vec::new();
--- a/crates/azuregate/tests/logs.rs
+++ b/crates/azuregate/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Logs: one line for each event, whatever callers send, and a bounded number.
+//! Logging: one line per event for any input, at a limited rate.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -47,7 +47,7 @@
     lines.append(&record, &[]).unwrap();
 }
 
-/// A caller's value, and how it stands in the line.
+/// A value from a caller, and the end of the line that it is logged in.
 const VALUES: &[(&str, &str)] = &[
     ("r1", "request=r1 code=x"),
     ("a b", r#"request="a b" code=x"#),
@@ -62,8 +62,8 @@
     ("", "request= code=x"),
 ];
 
-// A caller sends a request id that holds a line break and a forged event. The
-// event would look like one of ours to whoever reads the log.
+// Guards against forged events: a request id that contains a line break must not start
+// a new line.
 #[test]
 fn event_is_written_as_one_line() {
     for (value, expected) in VALUES {
@@ -96,8 +96,7 @@
     }
 }
 
-// Overload refuses a thousand requests at once. The log holds the first, room
-// for other events, and the number of those that it does not hold.
+// Guards against a flood of equal events that suppresses events of other kinds.
 #[test]
 fn rate_limit_is_per_kind() {
     let buffer = SharedBuffer::default();
@@ -108,7 +107,7 @@
     log_refusal(&lines, "other", "too-late");
     let seen = buffer.lines();
     let count = |code: &str| seen.iter().filter(|line| line.ends_with(code)).count();
-    // More only if the test takes longer than a window.
+    // Above 50 if the test runs longer than one window.
     assert!((50..=500).contains(&count("code=queue-full")), "{}", seen.len());
     assert_eq!(count("code=too-late"), 1);
 }
@@ -141,9 +140,8 @@
     );
 }
 
-/// Whoever collects the log has stopped reading. Writing goes on at once, what
-/// does not fit is dropped and counted, and the count comes with the next line
-/// that gets through.
+/// Guards against writes that block if the log collector stops reading. Dropped lines
+/// are counted, and the count is written once the pipe accepts data again.
 #[test]
 fn full_pipe_does_not_block_writes() {
     let (mut reader, writer) = std::io::pipe().unwrap();
