--- a/crates/azuregate/src/metrics/mod.rs
+++ b/crates/azuregate/src/metrics/mod.rs
@@ -1,8 +1,8 @@
 /*!
-Counters by statsd, and latency histograms for each service, tenant and class.
+Metrics: statsd counters, and latency histograms by service, tenant and class.
 
-The request path sends one [`Sample`] to the [`Recorder`]'s task and goes on;
-whatever costs more is done there.
+Requests only enqueue a [`Sample`]; the task of the [`Recorder`] aggregates samples
+and sends them to a [`MetricSink`].
 */
 
 mod recorder;
@@ -16,20 +16,20 @@
 pub use recorder::{HistogramSummary, Histograms, Recorder};
 pub use statsd::StatsdSink;
 
-/// The kinds of request that are measured apart.
+/// The classes of requests that metrics distinguish.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestClass {
-    /// A safe method.
+    /// A request with a safe method.
     Read,
-    /// Any other method, without an idempotency key.
+    /// A request with any other method and without an idempotency key.
     Write,
     /// A request with an idempotency key.
     Keyed,
 }
 
 impl RequestClass {
-    /// The class's name in metrics.
+    /// Returns the name of the class in metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             RequestClass::Read => "read",
@@ -45,34 +45,34 @@
     }
 }
 
-/// One request that has been answered.
+/// The measurement of one completed request.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Sample {
     /// The service.
     pub service: ServiceName,
-    /// The tenant that the request named, if any.
+    /// The tenant of the request, if specified.
     pub tenant: Option<TenantName>,
     /// The class of the request.
     pub class: RequestClass,
-    /// The code of the error that azuregate answered with, or [`ANSWERED`].
+    /// The error code of azuregate's response, or [`ANSWERED`].
     pub code: &'static str,
-    /// Time from the request's head to the answer's head.
+    /// Time from the head of the request to the head of the response.
     pub latency_ms: u64,
 }
 
-/// The code of a request that a backend server answered.
+/// The code of a request that a backend server responded to.
 pub const ANSWERED: &str = "answered";
 
-/// Takes in counters and times.
+/// A destination of metrics.
 pub trait MetricSink: Send + Sync {
-    /// Counts one request.
+    /// Records one request.
     fn request(&self, sample: &Sample);
 
-    /// Counts samples that the recorder had no room for.
+    /// Counts samples that were dropped because the queue of the recorder was full.
     fn dropped(&self, count: u64);
 }
 
-/// Drops all metrics.
+/// A sink that discards all metrics.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NullSink;
 
--- a/crates/azuregate/src/metrics/recorder.rs
+++ b/crates/azuregate/src/metrics/recorder.rs
@@ -1,4 +1,4 @@
-//! The task that owns the histograms.
+//! Task that aggregates samples into histograms.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,18 +18,17 @@
 
 use super::{ANSWERED, MetricSink, RequestClass, Sample};
 
-/// The longest latency that the histograms tell apart, in milliseconds.
+/// Upper bound of the histograms; longer latencies are recorded as this value.
 const MAX_LATENCY_MS: u64 = 3_600_000;
-/// How many samples wait for the task at the most.
 const MAX_QUEUED_SAMPLES: usize = 16_384;
-/// How many tenants are told apart.
+/// Number of tenants with histograms of their own.
 const MAX_TENANTS: usize = 64;
-/// How many services are told apart.
+/// Number of services with histograms of their own.
 const MAX_SERVICES: usize = 64;
-/// Stands for all services and tenants that are not told apart.
+/// Label of all further services and tenants.
 const OTHER: &str = "other";
 
-/// A handle to the task that owns the histograms; cheap to clone.
+/// A handle to the task that aggregates samples; cheap to clone.
 #[derive(Clone)]
 pub struct Recorder {
     samples: mpsc::Sender<Sample>,
@@ -41,37 +40,37 @@
     reply: oneshot::Sender<Histograms>,
 }
 
-/// All histograms in short.
+/// Summaries of all histograms.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Histograms {
-    /// Ordered by service, tenant and class.
+    /// The summaries, ordered by service, tenant and class.
     pub histograms: Vec<HistogramSummary>,
-    /// Samples that were dropped since the start, because the task was behind.
+    /// Samples dropped since the start because the queue was full.
     pub dropped: u64,
 }
 
-/// One histogram in short.
+/// Summary of one histogram.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct HistogramSummary {
     /// The service.
     pub service: ServiceName,
-    /// The tenant, `None` for requests that named none.
+    /// The tenant, `None` for requests without one.
     pub tenant: Option<TenantName>,
-    /// The class of its requests.
+    /// The class of the requests.
     pub class: RequestClass,
-    /// How many requests were recorded.
+    /// Number of requests.
     pub count: u64,
-    /// How many of them azuregate answered itself, with an error.
+    /// Number of requests for which azuregate itself returned an error.
     pub errors: u64,
-    /// Median of latency.
+    /// Median latency.
     pub p50_ms: u64,
-    /// 99th percentile of latency.
+    /// 99th percentile of the latency.
     pub p99_ms: u64,
-    /// 99.9th percentile of latency.
+    /// 99.9th percentile of the latency.
     pub p999_ms: u64,
-    /// Largest latency.
+    /// Maximum latency.
     pub max_ms: u64,
 }
 
@@ -93,21 +92,20 @@
         Recorder { samples, requests, dropped }
     }
 
-    /// Takes in one request.
+    /// Enqueues a sample without blocking.
     ///
-    /// Never waits: when the task is behind, the sample is dropped and counted.
-    /// A queue without a bound would hold ever more memory just when load is
-    /// highest.
+    /// If the queue is full, the sample is dropped and counted. An unbounded queue would
+    /// grow without limit under overload.
     pub fn record(&self, sample: Sample) {
         if self.samples.try_send(sample).is_err() {
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Reads all histograms.
+    /// Returns summaries of all histograms.
     pub async fn histograms(&self) -> Histograms {
         let (reply, answer) = oneshot::channel();
-        // The task ends only after the last handle, and this is a handle.
+        // Cannot fail: the task runs as long as a handle exists.
         let _ = self.requests.send(HistogramsRequest { reply }).await;
         answer.await.unwrap_or_default()
     }
@@ -142,7 +140,7 @@
                     self.record(sample);
                 }
                 Some(request) = requests.recv() => {
-                    // What was recorded before a read is in its answer.
+                    // Samples enqueued before the request must be in its response.
                     for _ in 0..samples.len() {
                         let Ok(sample) = samples.try_recv() else { break };
                         self.record(sample);
@@ -163,9 +161,8 @@
         series.errors += u64::from(sample.code != ANSWERED);
     }
 
-    /// Callers choose the names, so what they send must not decide how much
-    /// memory and how many series there are: the first names that are seen are
-    /// told apart, and all others go together.
+    /// Limits the number of series, since callers choose the names of services and
+    /// tenants: after the first names, all further ones are recorded as [`OTHER`].
     fn limit_cardinality(&mut self, sample: &mut Sample) {
         let unknown = [ErrorKind::UnknownService.code(), ErrorKind::NotReady.code()];
         let known = !unknown.contains(&sample.code)
@@ -206,7 +203,7 @@
 impl Series {
     fn new() -> Series {
         let latency_ms =
-            Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the bounds are valid constants");
+            Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the constant bounds are valid");
         Series { latency_ms, errors: 0 }
     }
 }
--- a/crates/azuregate/src/metrics/statsd.rs
+++ b/crates/azuregate/src/metrics/statsd.rs
@@ -1,4 +1,5 @@
-//! Metrics by UDP in the statsd format; docs/OPERATING.md lists the names.
+//! Sink that sends metrics in the statsd format by UDP; docs/OPERATING.md lists the
+//! names.
 
 use std::net::{SocketAddr, UdpSocket};
 
@@ -6,21 +7,20 @@
 
 use super::{MetricSink, Sample};
 
-/// How many metrics wait for the sending thread at the most. More are lost,
-/// rather than held in memory while the network is slow.
+/// Maximum number of metrics that wait for the sending thread; further ones are dropped.
 const MAX_QUEUED_METRICS: usize = 8_192;
 
-/// Sends metrics by UDP in the statsd format.
+/// A sink that sends metrics in the statsd format by UDP.
 pub struct StatsdSink {
     client: StatsdClient,
 }
 
 impl StatsdSink {
-    /// A sink that sends to `addr`.
+    /// Creates a sink that sends to `addr`.
     ///
     /// # Errors
     ///
-    /// When no local UDP port can be opened.
+    /// Returns an error if no local UDP port can be opened.
     pub fn new(addr: SocketAddr) -> Result<StatsdSink, Box<dyn std::error::Error + Send + Sync>> {
         let any = if addr.is_ipv6() { "[::]:0" } else { "0.0.0.0:0" };
         let socket = UdpSocket::bind(any)?;
--- a/crates/azuregate/tests/metrics.rs
+++ b/crates/azuregate/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics as they go over the network.
+//! Metrics sent over UDP.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -39,7 +39,7 @@
     );
 }
 
-// Nobody listens: metrics are lost, and requests go on.
+// Guards against errors or lost samples if no receiver listens.
 #[tokio::test]
 async fn missing_receiver_is_ignored() {
     let addr = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
