--- a/crates/azuregate/src/peer/mod.rs
+++ b/crates/azuregate/src/peer/mod.rs
@@ -1,5 +1,6 @@
 /*!
-Links between instances: each accepted change goes to every neighbour once.
+Links between instances, over which each accepted change is sent once to every
+neighbour.
 */
 
 mod link;
@@ -23,52 +24,52 @@
 pub use mesh::Mesh;
 pub use ws::WsLink;
 
-/// What instances tell each other.
+/// A message between instances.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Frame {
-    /// The first frame each way.
+    /// Identifies the sender; the first frame in each direction.
     Hello {
-        /// Who speaks.
+        /// The sender.
         instance: InstanceId,
         /// Its start number.
         start: StartNumber,
-        /// Whether it has the platform's list.
+        /// Whether the sender has the platform's list of instances.
         has_list: bool,
     },
-    /// Sent at rest.
+    /// Sent periodically.
     Heartbeat(Heartbeat),
-    /// The versions that the sender has in force.
+    /// The policy versions that are in effect at the sender.
     Digest {
-        /// Version for each service.
+        /// The version by service.
         versions: BTreeMap<ServiceName, u64>,
     },
     /// An accepted policy.
     Policy(Box<Policy>),
-    /// The platform's list, for a neighbour that has none.
+    /// The platform's list of instances, for a neighbour that has none.
     List(InstanceList),
-    /// An instance that has started a planned stop.
+    /// An instance that is shutting down.
     Stopping {
         /// The instance.
         instance: InstanceId,
         /// Its start number.
         start: StartNumber,
     },
-    /// What a watcher of backend servers says.
+    /// The results of an instance that probes backend servers.
     Probes {
-        /// The watcher.
+        /// The instance that probes.
         watcher: InstanceId,
-        /// What it says.
+        /// Its results.
         report: ProbeReport,
     },
-    /// A backend server that is leaving.
+    /// A backend server that is leaving service.
     Leaving {
         /// The server.
         backend: BackendId,
         /// Its start number.
         start: StartNumber,
     },
-    /// The load of a group that the sender dispatches for, while the neighbour
-    /// hands requests of it over.
+    /// The load of a group that the sender dispatches, for a neighbour that forwards
+    /// requests of the group to it.
     Load {
         /// The service.
         service: ServiceName,
@@ -79,33 +80,34 @@
     },
 }
 
-/// A link to one neighbour.
+/// A connection to one neighbour.
 #[async_trait]
 pub trait PeerLink: Send {
     /// Sends a frame.
     ///
     /// # Errors
     ///
-    /// When the link is broken; what was sent may not have arrived.
+    /// Returns an error if the link is broken; frames sent before may be lost.
     async fn send(&mut self, frame: &Frame) -> Result<(), LinkError>;
 
-    /// Waits for the next frame; `None` when the neighbour closed the link.
-    /// Dropping the future loses no frame.
+    /// Waits for the next frame; returns `None` if the neighbour closed the link.
+    ///
+    /// This method is cancel safe: dropping the future loses no frame.
     ///
     /// # Errors
     ///
-    /// When the link is broken, or a frame is not understood.
+    /// Returns an error if the link is broken or a frame cannot be decoded.
     async fn recv(&mut self) -> Result<Option<Frame>, LinkError>;
 }
 
-/// A broken link.
+/// An error that broke a link.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LinkError {
     detail: String,
 }
 
 impl LinkError {
-    /// Makes an error; `detail` says what happened.
+    /// Creates an error; `detail` describes the cause.
     pub fn new(detail: impl Into<String>) -> LinkError {
         LinkError { detail: detail.into() }
     }
--- a/crates/azuregate/src/peer/ws.rs
+++ b/crates/azuregate/src/peer/ws.rs
@@ -1,4 +1,4 @@
-//! Links by web socket, with frames in CBOR.
+//! Links over WebSocket, with frames in CBOR.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,33 +10,32 @@
     socket::{CborSocket, SocketLimits},
 };
 
-/// Where links are taken.
+/// Path of the WebSocket endpoint.
 const PATH: &str = "/v1/peer";
-/// A frame holds one policy or list; opening takes a way there and back or two.
 const LIMITS: SocketLimits = SocketLimits { max_frame_bytes: 1 << 20, handshake_timeout_ms: 2_000 };
 
-/// A web socket to a neighbour.
+/// A WebSocket connection to a neighbour.
 #[derive(Debug)]
 pub struct WsLink {
     socket: CborSocket,
 }
 
 impl WsLink {
-    /// Opens a link from `from` to the neighbour at `addr`, which takes links
-    /// only from the IP numbers of listed instances.
+    /// Opens a link from the IP address `from` to the neighbour at `addr`, which accepts
+    /// links only from the IP addresses of listed instances.
     ///
     /// # Errors
     ///
-    /// When the neighbour does not answer as one.
+    /// Returns an error if the connection or the WebSocket handshake fails.
     pub async fn dial(from: IpAddr, addr: SocketAddr) -> Result<WsLink, LinkError> {
         Ok(WsLink { socket: CborSocket::dial(from, addr, PATH, LIMITS).await? })
     }
 
-    /// Takes a link that a neighbour opened.
+    /// Accepts a link that a neighbour opened.
     ///
     /// # Errors
     ///
-    /// When the other side does not speak the protocol.
+    /// Returns an error if the WebSocket handshake fails.
     pub async fn accept(stream: TcpStream) -> Result<WsLink, LinkError> {
         Ok(WsLink { socket: CborSocket::accept(stream, LIMITS).await? })
     }
