--- a/crates/azuregate/src/peer/socket.rs
+++ b/crates/azuregate/src/peer/socket.rs
@@ -1,4 +1,4 @@
-//! A web socket that carries values in CBOR.
+//! WebSocket that carries values in CBOR.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -19,12 +19,11 @@
 
 use super::LinkError;
 
-/// What a socket allows.
+/// Limits of a WebSocket connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct SocketLimits {
-    /// The largest frame that is taken.
     pub(crate) max_frame_bytes: usize,
-    /// How long the handshake may take.
+    /// For dialling, this includes the TCP connection.
     pub(crate) handshake_timeout_ms: u64,
 }
 
@@ -40,14 +39,14 @@
     }
 }
 
-/// A web socket to another instance.
+/// A WebSocket connection to another instance.
 #[derive(Debug)]
 pub(crate) struct CborSocket {
     socket: WebSocketStream<TcpStream>,
 }
 
 impl CborSocket {
-    /// Opens a socket from `from` to the instance at `addr`.
+    /// Opens a connection from the IP address `from` to the instance at `addr`.
     pub(crate) async fn dial(
         from: IpAddr,
         addr: SocketAddr,
@@ -55,16 +54,16 @@
         limits: SocketLimits,
     ) -> Result<CborSocket, LinkError> {
         let dial = time::timeout(limits.handshake_timeout(), connect(from, addr, path, limits));
-        dial.await.unwrap_or_else(|_| Err(LinkError::new(format!("no answer from {addr}"))))
+        dial.await
+            .unwrap_or_else(|_| Err(LinkError::new(format!("handshake with {addr} timed out"))))
     }
 
-    /// Takes a socket that another instance opened.
+    /// Accepts a connection that another instance opened.
     pub(crate) async fn accept(
         stream: TcpStream,
         limits: SocketLimits,
     ) -> Result<CborSocket, LinkError> {
-        // A frame is one small write; held back, it would wait for the answer to
-        // the one before, some 40 ms.
+        // Nagle's algorithm would delay small frames by up to 40 ms.
         stream.set_nodelay(true).map_err(link_error)?;
         let handshake = tokio_tungstenite::accept_async_with_config(stream, Some(limits.config()));
         let accepted = time::timeout(limits.handshake_timeout(), handshake).await;
@@ -79,20 +78,20 @@
         self.send_bytes(Bytes::from(bytes)).await
     }
 
-    /// Sends bytes that are encoded already.
+    /// Sends a value that is already encoded.
     pub(crate) async fn send_bytes(&mut self, bytes: Bytes) -> Result<(), LinkError> {
         self.socket.send(Message::Binary(bytes)).await.map_err(link_error)
     }
 
-    /// Waits for the next value; `None` when the other side closed the socket.
-    /// Dropping the future loses no value.
+    /// Waits for the next value; returns `None` if the peer closed the connection.
+    /// Cancel safe.
     pub(crate) async fn recv<T: DeserializeOwned>(&mut self) -> Result<Option<T>, LinkError> {
         let Some(bytes) = self.recv_bytes().await? else { return Ok(None) };
         ciborium::from_reader(bytes.as_ref()).map(Some).map_err(link_error)
     }
 
-    /// Waits for the bytes of the next value; `None` when the other side closed the
-    /// socket. Dropping the future loses none.
+    /// Waits for the next value without decoding it; returns `None` if the peer closed
+    /// the connection. Cancel safe.
     pub(crate) async fn recv_bytes(&mut self) -> Result<Option<Bytes>, LinkError> {
         loop {
             match self.socket.next().await {
