--- a/crates/azuregate/src/peer/link.rs
+++ b/crates/azuregate/src/peer/link.rs
@@ -1,4 +1,5 @@
-//! One link: sends what the neighbour does not have, takes in what it sends.
+//! Protocol of one link: sends the changes that the neighbour lacks and applies those
+//! that it sends.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,16 +29,15 @@
     timer::Tick,
 };
 
-/// How long a frame may take to be sent. A neighbour that is frozen takes
-/// nothing, and the link would wait for ever.
+/// Without this timeout, sending to a frozen neighbour would never return.
 const SEND_TIMEOUT_MS: u64 = 2_000;
-/// A link on which nothing came for this long has gone silent.
+/// Time without a received frame after which a link is closed.
 const IDLE_TIMEOUT_MS: u64 = 5_000;
-/// How many heartbeats may differ in their versions before versions are
-/// compared: a change may just be on its way.
+/// Consecutive heartbeats with a different digest after which versions are compared. A
+/// single difference may be a change in transit.
 const MISMATCHES_BEFORE_DIGEST: u32 = 2;
 
-/// What a link works with.
+/// The state and channels that a link uses.
 pub(crate) struct LinkContext {
     pub(crate) instance: InstanceId,
     pub(crate) start: StartNumber,
@@ -45,25 +45,25 @@
     pub(crate) snapshots: Snapshots,
     pub(crate) members: Members,
     pub(crate) clock: SharedClock,
-    /// Loads of groups, to and from the neighbour.
+    /// Passes loads of groups to and from the neighbour.
     pub(crate) exchange: Exchange,
-    /// When to send a heartbeat.
+    /// Ticks at which to send a heartbeat.
     pub(crate) heartbeats: mpsc::Receiver<Tick>,
-    /// Who is expected at the other end.
+    /// Which neighbour to accept.
     pub(crate) expected: ExpectedPeer,
-    /// Told of the neighbour's name.
+    /// Receives the neighbour's name once it is known.
     pub(crate) opened: mpsc::UnboundedSender<InstanceId>,
 }
 
-/// Who may be at the other end of a link.
+/// Which neighbour a link accepts.
 pub(crate) enum ExpectedPeer {
-    /// The instance that was dialled.
+    /// The dialled instance.
     Instance(InstanceId),
-    /// The instance listed with the IP number that the link came from.
+    /// The instance listed with this IP address, from which the link was opened.
     ListedAt(IpAddr),
 }
 
-/// What the neighbour is known to have.
+/// The changes that the neighbour is known to have.
 #[derive(Default)]
 struct RemoteState {
     neighbour: Option<(InstanceId, StartNumber)>,
@@ -82,7 +82,7 @@
     last_frame_at_ms: Millis,
 }
 
-/// Serves a link until it breaks or closes; returns who was at the other end.
+/// Serves a link until it is closed; returns the neighbour, if it identified itself.
 pub(crate) async fn serve(link: Box<dyn PeerLink>, context: LinkContext) -> Option<InstanceId> {
     let snapshots = context.snapshots.watch();
     let updates = context.exchange.outgoing();
@@ -144,13 +144,13 @@
     async fn send(&mut self, frame: &Frame) -> Result<(), LinkError> {
         let sent =
             time::timeout(Duration::from_millis(SEND_TIMEOUT_MS), self.link.send(frame)).await;
-        sent.unwrap_or_else(|_| Err(LinkError::new("the neighbour takes nothing")))
+        sent.unwrap_or_else(|_| Err(LinkError::new("sending a frame timed out")))
     }
 
     async fn send_heartbeat(&mut self) -> Result<(), LinkError> {
         let now_ms = self.context.clock.now();
         if now_ms.since(self.last_frame_at_ms).0 > IDLE_TIMEOUT_MS {
-            return Err(LinkError::new("the neighbour has gone silent"));
+            return Err(LinkError::new("no frame received before the idle timeout"));
         }
         let snapshot = self.context.snapshots.current();
         let confirmed_at_ms = self.context.members.confirmed_at_ms();
@@ -178,7 +178,7 @@
             return self.handle_hello(instance, start, has_list).await;
         }
         let Some((neighbour, start)) = self.remote.neighbour.clone() else {
-            return Err(LinkError::new("the first frame is no greeting"));
+            return Err(LinkError::new("the first frame is not Hello"));
         };
         match frame {
             Frame::Hello { .. } => {}
@@ -216,12 +216,12 @@
         Ok(())
     }
 
-    /// Takes in who the neighbour is.
+    /// Checks the identity of the neighbour and sends the changes that it lacks.
     ///
-    /// Only listed instances are neighbours: anything else that reaches the port
-    /// could bring policies that no operator made. An instance that has no list
-    /// yet, since the platform is down, takes whoever comes, and serves only when
-    /// several agree.
+    /// Only listed instances are accepted, so that other processes that reach the port
+    /// cannot inject policies. An instance without a list accepts any neighbour, since
+    /// the platform may be down when it starts; it becomes ready only once several
+    /// neighbours agree.
     async fn handle_hello(
         &mut self,
         instance: InstanceId,
@@ -237,7 +237,7 @@
             }
         };
         if !is_expected {
-            return Err(LinkError::new(format!("{instance} is not expected there")));
+            return Err(LinkError::new(format!("unexpected neighbour {instance}")));
         }
         log::info!(peer:% = instance, start:% = start; "peer link open");
         let _ = self.context.opened.send(instance.clone());
@@ -247,7 +247,7 @@
         self.send_missing(&snapshot).await
     }
 
-    /// Compares versions with a neighbour that goes on having different ones.
+    /// Sends a digest if the versions of the neighbour differ repeatedly.
     async fn compare_digest(&mut self, heartbeat: Heartbeat) -> Result<(), LinkError> {
         let snapshot = self.context.snapshots.current();
         if heartbeat.digest == snapshot.digest() {
@@ -274,7 +274,7 @@
 }
 
 impl RemoteState {
-    /// The frames that the neighbour lacks; from now on it is known to have them.
+    /// Returns the frames that the neighbour lacks, and marks them as sent.
     fn missing_frames(&mut self, snapshot: &Snapshot) -> Vec<Frame> {
         let mut frames = Vec::new();
         if self.lacks_list && !snapshot.listed.is_empty() {
