--- a/crates/azuregate/src/peer/mesh.rs
+++ b/crates/azuregate/src/peer/mesh.rs
@@ -1,4 +1,4 @@
-//! Keeps a link to each neighbour.
+//! Maintains a link to each neighbour.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -32,36 +32,35 @@
     timer::Timer,
 };
 
-/// How often missing links are dialled.
+/// Interval at which missing links are dialled.
 const DIAL_INTERVAL_MS: u64 = 500;
-/// How long the instance that comes later in the order of names waits for the
-/// other to dial. It must dial in the end: the other may not know of it, or its
-/// way may be blocked in that direction.
+/// Time after which the instance with the greater name dials as well. The other one may
+/// not know of it, or may be unable to connect in that direction.
 const PASSIVE_DIAL_DELAY_MS: u64 = 1_500;
 
-/// Opens and takes links.
+/// Opens and accepts the links of an instance.
 pub struct Mesh {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its start number.
     pub start: StartNumber,
-    /// The IP number that links come from.
+    /// The IP address from which links are opened.
     pub ip: IpAddr,
-    /// Takes in what neighbours send.
+    /// Applies the changes that neighbours send.
     pub config: Config,
-    /// What is sent to neighbours.
+    /// The changes to send to neighbours.
     pub snapshots: Snapshots,
-    /// Takes in heartbeats.
+    /// Receives heartbeats.
     pub members: Members,
     /// The clock.
     pub clock: SharedClock,
-    /// Loads of groups, to and from neighbours.
+    /// Passes loads of groups to and from neighbours.
     pub exchange: Exchange,
-    /// When to dial and to send heartbeats.
+    /// Schedules dialling and heartbeats.
     pub timer: Timer,
 }
 
-/// The links of an instance, open and being dialled.
+/// The open links of an instance and those being dialled.
 #[derive(Default)]
 struct Links {
     tasks: JoinSet<ClosedLink>,
@@ -72,16 +71,16 @@
     neighbours: BTreeSet<InstanceId>,
 }
 
-/// How a link closed.
+/// A link whose task has ended.
 struct ClosedLink {
-    /// Whom it was dialled to.
+    /// The instance that was dialled, `None` for an accepted link.
     dialled: Option<InstanceId>,
-    /// Who was at the other end.
+    /// The neighbour, if it identified itself.
     neighbour: Option<InstanceId>,
 }
 
 impl Mesh {
-    /// Serves until the task is aborted.
+    /// Accepts and opens links until the task is aborted.
     pub async fn serve(self, listener: TcpListener) {
         let mut dial_ticks = self.timer.subscribe(DIAL_INTERVAL_MS);
         let mut links = Links::default();
@@ -160,7 +159,7 @@
             return false;
         }
         let since_ms = *self.missing_since_ms.entry(other.clone()).or_insert(now_ms);
-        // Two that dial each other at once would end with two links.
+        // Two instances that dial each other at the same time would open two links.
         let should_initiate = local < other || now_ms.since(since_ms).0 >= PASSIVE_DIAL_DELAY_MS;
         should_initiate && !self.dialling.contains(other)
     }
@@ -186,7 +185,7 @@
     let neighbour = match WsLink::accept(stream).await {
         Ok(link) => link::serve(Box::new(link), context).await,
         Err(e) => {
-            log::debug!(error:% = e; "peer not taken");
+            log::debug!(error:% = e; "accepting a peer link failed");
             None
         }
     };
@@ -197,7 +196,7 @@
     let neighbour = match WsLink::dial(from, addr).await {
         Ok(link) => link::serve(Box::new(link), context).await,
         Err(e) => {
-            log::debug!(addr:% = addr, error:% = e; "peer not reached");
+            log::debug!(addr:% = addr, error:% = e; "opening a peer link failed");
             None
         }
     };
