--- a/crates/azuregate/tests/soak/main.rs
+++ b/crates/azuregate/tests/soak/main.rs
@@ -1,17 +1,15 @@
 /*!
-A randomized soak: entry instances as processes, harmed from outside.
+Randomized soak test: entry instances run as processes under injected faults.
 
-The store, the backend servers and the clients live in the test; connections to
-the store and to backend servers go through proxies that delay, silence and reset
-them; processes are killed, stopped, paused and told to reload by signals. What
-goes wrong when is drawn from a seed.
+The store, the backend servers and the clients run in the test process. Proxies delay,
+stall and reset connections to the store and to backend servers, and signals kill, stop,
+pause and reload instances. The seed of a run determines its faults.
 
-* `cargo test -p azuregate --test soak` plays the seeds that once failed and a few
-  fixed ones.
-* `AZUREGATE_SOAK_SEEDS=50 cargo test -p azuregate --test soak` plays 50 fresh ones.
-* `AZUREGATE_SOAK_SEED=7 ...` plays one; its logs stay in the target folder.
-* `AZUREGATE_SOAK_INSTANCES=100 ...` plays them with so many instances, one run at a
-  time and with a configuration of many routes.
+* `cargo test -p azuregate --test soak` runs regression seeds and a few fixed ones.
+* `AZUREGATE_SOAK_SEEDS=50 cargo test -p azuregate --test soak` runs 50 random seeds.
+* `AZUREGATE_SOAK_SEED=7 ...` runs one seed and keeps its logs in the target directory.
+* `AZUREGATE_SOAK_INSTANCES=100 ...` sets the number of instances and runs one seed at a
+  time. With 16 or more, the configuration has many routes.
 */
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
@@ -26,24 +24,22 @@
 #[path = "../serve/world.rs"]
 mod world;
 
-/// Availability zones and their regions, as the settings of the stand-in have them.
+/// Availability zones and their regions, as in the settings fixture.
 const ZONES: [(&str, &str); 3] =
     [("zone-a", "region-1"), ("zone-b", "region-1"), ("zone-c", "region-2")];
-/// Instances of a usual run.
+/// Instances per run.
 const INSTANCES: usize = 5;
-/// Instances of a large run, in which zones pass changes on.
+/// Instances of a large run, in which instances relay changes to others of their zone.
 const MANY_INSTANCES: usize = 21;
-/// Usual runs at a time.
 const CONCURRENT_RUNS: usize = 4;
-/// Seeds that failed once, each with its cause.
+/// Seeds that failed before, each with the cause.
 const REGRESSION_SEEDS: [(u64, &str); 2] = [
-    (848_801_429, "both runs had the same IP numbers, which came from a hash of the seed"),
-    (841_128_440, "the same; the two have to be played at the same time"),
+    (848_801_429, "concurrent runs used the same IP addresses, derived from a hash of the seed"),
+    (841_128_440, "the same; only fails while the seed above runs"),
 ];
-/// Played every time, so that the result does not hang on luck.
 const FIXED_SEEDS: [u64; 4] = [1, 2, 3, 4];
 
-/// Played every time with many instances: planned work only, and everything.
+/// Seeds for large runs: one of planned operations only, one of all faults.
 const FIXED_LARGE_SEEDS: [u64; 2] = [3, 8];
 
 fn env_number(name: &str) -> Option<u64> {
@@ -60,10 +56,8 @@
     REGRESSION_SEEDS.iter().map(|(seed, _)| *seed).chain(FIXED_SEEDS).collect()
 }
 
-/// Clients send reads and writes while instances, store and servers fail in many
-/// ways at once. Whatever they see must be their own answer, a write runs once at
-/// the most and not at all if it is refused, and when all is well again so is the
-/// service.
+/// Guards against mismatched responses, repeated writes, writes that run although they
+/// were refused, and incomplete recovery while instances, store and servers fail.
 #[tokio::test(flavor = "multi_thread")]
 async fn guarantees_hold_under_random_faults() {
     let instances = env_number("AZUREGATE_SOAK_INSTANCES").map(|count| count as usize);
