--- a/crates/azuregate/tests/soak/checks.rs
+++ b/crates/azuregate/tests/soak/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, from what clients and backend servers saw.
+//! Checks of the guarantees, based on what clients sent and servers received.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,26 +13,26 @@
     run::{Deployment, Server},
 };
 
-/// Time after which a server that leaves gets nothing new.
+/// Time after which a draining server must receive no further requests.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The share of reads that must be served when all is well.
+/// Minimum share of reads that must succeed after recovery.
 const MIN_SERVED_SHARE: f64 = 0.97;
 
-/// How requests ended, in one line.
+/// Summarizes the outcomes of all requests in one line.
 pub(crate) fn summary(records: &[RequestRecord]) -> String {
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for record in records {
         let outcome = match record.outcome {
             Outcome::Response { status, .. } => status.to_string(),
-            Outcome::ConnectionClosed => "cut".to_owned(),
-            Outcome::TimedOut => "silence".to_owned(),
+            Outcome::ConnectionClosed => "connection closed".to_owned(),
+            Outcome::TimedOut => "timed out".to_owned(),
         };
         *outcomes.entry(outcome).or_default() += 1;
     }
     format!("{} requests: {outcomes:?}", records.len())
 }
 
-/// Everything that was wrong.
+/// Runs all checks and returns the problems found.
 pub(crate) fn check_all(
     deployment: &Deployment,
     plan: &Plan,
@@ -56,15 +56,15 @@
     problems
 }
 
-/// Each success is the whole answer to its own request.
+/// Checks that each successful response is complete and matches its request.
 fn check_responses(records: &[RequestRecord]) -> impl Iterator<Item = String> {
     let mismatched = records
         .iter()
         .filter(|e| matches!(e.outcome, Outcome::Response { matches_request: false, .. }));
-    mismatched.map(|record| format!("not the answer to {}: {record:?}", record.id))
+    mismatched.map(|record| format!("response does not match request {}: {record:?}", record.id))
 }
 
-/// A write runs once at the most, and not at all if it is refused as not run.
+/// Checks that writes run at most once, and never if the response says that they did not.
 fn check_executions(records: &[RequestRecord], received: &[ReceivedRequest]) -> Vec<String> {
     let mut executions: BTreeMap<&str, usize> = BTreeMap::new();
     for received in received.iter().filter(|received| received.is_executed) {
@@ -76,16 +76,16 @@
         let claims_not_executed =
             matches!(record.outcome, Outcome::Response { status: 503 | 429 | 408 | 421, .. });
         if executions > 1 {
-            problems.push(format!("ran {executions} times: {record:?}"));
+            problems.push(format!("executed {executions} times: {record:?}"));
         }
         if claims_not_executed && executions > 0 {
-            problems.push(format!("refused as not run, and ran: {record:?}"));
+            problems.push(format!("refused as not executed, but executed: {record:?}"));
         }
     }
     problems
 }
 
-/// Servers get what clients sent, unchanged.
+/// Checks that servers received only requests that clients sent, unchanged.
 fn check_received(records: &[RequestRecord], received: &[ReceivedRequest]) -> Vec<String> {
     let sent: BTreeMap<&str, bool> =
         records.iter().map(|record| (record.id.as_str(), record.is_write)).collect();
@@ -95,17 +95,17 @@
                 && received.body == body_of(&received.id).as_bytes()
         }
         Some(false) => received.method_and_path == "GET /read/x" && received.body.is_empty(),
-        // The requests by which it is checked that all is well.
+        // Requests of the check after recovery.
         None => received.method_and_path.starts_with("GET /new") && received.id.starts_with('c'),
     };
     let unexpected = received.iter().filter(|received| !is_as_sent(received));
     unexpected
-        .map(|received| format!("nobody sent {} {}", received.method_and_path, received.id))
+        .map(|received| format!("no client sent {} {}", received.method_and_path, received.id))
         .collect()
 }
 
-/// A server that leaves gets nothing new after a while. With faults around, that
-/// holds from when all is well.
+/// Checks that a draining server receives no requests after the drain timeout, or after
+/// recovery if the run has unplanned faults.
 fn check_drained(server: &Server, plan: &Plan, recovered_at: Instant) -> Option<String> {
     let drained_at = (*server.drained_at.lock().unwrap())?;
     let drain_deadline = match plan.is_planned_only {
@@ -118,10 +118,10 @@
         .into_iter()
         .find(|received| received.received_at > drain_deadline)?;
     let after = late.received_at - drained_at;
-    Some(format!("{} got {} {after:?} after it began to leave", server.backend.id(), late.id))
+    Some(format!("{} received {} {after:?} after it began to drain", server.backend.id(), late.id))
 }
 
-/// When all is well, reads are served.
+/// Checks that reads succeed after recovery.
 fn check_availability(records: &[RequestRecord], recovered_at: Instant) -> Option<String> {
     let reads: Vec<&RequestRecord> =
         records.iter().filter(|e| !e.is_write && e.sent_at >= recovered_at).collect();
@@ -132,14 +132,17 @@
         return None;
     }
     let failed = reads.iter().find(|e| !matches!(e.outcome, Outcome::Response { status: 200, .. }));
-    Some(format!("{served} of {} reads are served when all is well: {failed:?}", reads.len()))
+    Some(format!("only {served} of {} reads succeeded after recovery: {failed:?}", reads.len()))
 }
 
-/// Around planned work, a request that reached a server is answered.
+/// Checks that during planned operations every request that reached a server gets a
+/// response.
 fn check_lost(records: &[RequestRecord], received: &[ReceivedRequest]) -> Vec<String> {
     let arrived: BTreeSet<&str> = received.iter().map(|received| received.id.as_str()).collect();
     let unanswered = records.iter().filter(|e| !matches!(e.outcome, Outcome::Response { .. }));
     let lost = unanswered.filter(|record| arrived.contains(record.id.as_str()));
-    lost.map(|record| format!("{} cut off around planned work: {record:?}", record.instance))
-        .collect()
+    lost.map(|record| {
+        format!("{} lost a response during planned operations: {record:?}", record.instance)
+    })
+    .collect()
 }
