--- a/crates/azuregate/tests/soak/clients.rs
+++ b/crates/azuregate/tests/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests all the time and keep what they saw.
+//! Clients that send requests continuously and record the outcomes.
 
 use std::{
     net::SocketAddr,
@@ -17,13 +17,12 @@
     world::{Answer, Client, look_up, read_request, write_request},
 };
 
-/// How long a client waits; the deadline that its requests name is longer.
+/// Shorter than the deadline in the requests.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a client keeps the answer to a lookup.
 const LOOKUP_TTL: Duration = Duration::from_secs(2);
 const REQUEST_INTERVAL_MS: std::ops::Range<u64> = 10..60;
 
-/// A request and what its client saw.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRecord {
     pub(crate) id: String,
@@ -33,18 +32,18 @@
     pub(crate) outcome: Outcome,
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Outcome {
-    /// A complete answer, and whether it is the one to this request.
+    /// A complete response; `matches_request` tells whether it belongs to the request.
     Response { status: u16, matches_request: bool },
-    /// The connection ended.
+    /// The connection was closed before a complete response.
     ConnectionClosed,
-    /// Nothing came.
+    /// No response arrived in time.
     TimedOut,
 }
 
-/// What clients share.
+/// State that all clients share.
 pub(crate) struct Traffic {
     lookups: Vec<SocketAddr>,
     seed: u64,
@@ -72,7 +71,7 @@
         self.records.lock().unwrap().clone()
     }
 
-    /// One client, until the traffic is over.
+    /// Runs one client until the traffic is stopped.
     pub(crate) async fn run(self: Arc<Traffic>, number: u64) {
         let mut random = Rng::with_seed(self.seed ^ number << 32);
         let mut instances: Vec<SocketAddr> = Vec::new();
@@ -85,7 +84,7 @@
                 }
                 looked_up_at = Instant::now();
             }
-            // Open connections are used until they end, whatever lookups say.
+            // Lookups affect new connections only.
             if connection.is_none() && !instances.is_empty() {
                 let addr = instances[random.usize(..instances.len())];
                 connection = connect(addr).await.map(|client| (addr, client));
@@ -115,7 +114,7 @@
         None
     }
 
-    /// One request; returns whether the connection is still good.
+    /// Sends one request; returns whether the connection can be reused.
     async fn send_request(
         &self,
         instance: SocketAddr,
@@ -144,7 +143,7 @@
     }
 }
 
-/// The body of the write `id`.
+/// Returns the body of the write `id`.
 pub(crate) fn body_of(id: &str) -> String {
     format!("order {id}")
 }
