--- a/crates/azuregate/tests/soak/plan.rs
+++ b/crates/azuregate/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run, drawn from its seed.
+//! The faults of a run, generated from its seed.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 
 use crate::proxy::LinkMode;
 
-/// How long things go wrong.
+/// Period in which faults begin.
 pub(crate) const FAULT_PHASE: Duration = Duration::from_secs(9);
 const MAX_FAULTS: usize = 14;
 
-/// One thing that goes wrong, or is planned.
+/// A fault or a planned operation.
 #[derive(Clone, Debug)]
 pub(crate) enum Fault {
     Kill { instance: usize, downtime: Duration },
@@ -28,18 +28,16 @@
     ChangeConfig,
 }
 
-/// A run: what happens when.
+/// The faults of a run and their times.
 #[derive(Debug)]
 pub(crate) struct Plan {
-    /// Whether there is nothing but planned work, around which no request may be
-    /// lost.
+    /// Whether the run has planned operations only, during which no request may be lost.
     pub(crate) is_planned_only: bool,
     pub(crate) faults: Vec<(Duration, Fault)>,
 }
 
 impl Plan {
-    /// The plan of `seed` for so many instances and servers; each third is one of
-    /// planned work only.
+    /// Generates the plan of `seed`. Every third seed has planned operations only.
     pub(crate) fn generate(seed: u64, instances: usize, servers: usize) -> Plan {
         let mut random = Rng::with_seed(seed);
         let is_planned_only = seed.is_multiple_of(3);
