--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! Entry instances as processes of their own.
+//! Entry instances that run as processes.
 
 use std::{
     fs::{self, File},
@@ -22,10 +22,10 @@
     world::{FIRST_PORT, PEER_PORT},
 };
 
-/// Time from SIGTERM in which a process must end, as its settings say.
+/// Time between SIGTERM and the exit of a process, as in the settings fixture.
 const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// One instance: a process now, or none while it is started anew.
+/// One instance, which has no process while it restarts.
 pub(crate) struct Process {
     pub(crate) traffic: SocketAddr,
     pub(crate) ready: SocketAddr,
@@ -34,12 +34,12 @@
     text: String,
     log: PathBuf,
     child: Mutex<Option<Child>>,
-    /// Length of the log when the process was started.
+    /// Length of the log when the process started.
     log_start_bytes: AtomicU64,
 }
 
 impl Process {
-    /// Starts instance `number` at `ip`, which finds the store at `store`.
+    /// Starts instance `number` at `ip`, with the store at `store`.
     pub(crate) fn start(folder: &Path, number: usize, ip: IpAddr, store: SocketAddr) -> Process {
         let name = format!("entry-{number}");
         let (zone, region) = ZONES[number % ZONES.len()];
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Kills the process and starts it anew after `downtime`.
+    /// Kills the process and restarts it after `downtime`.
     pub(crate) async fn kill(&self, downtime: Duration) {
         let child = self.child.lock().unwrap().take();
         let Some(mut child) = child else { return };
@@ -93,8 +93,8 @@
         self.spawn();
     }
 
-    /// Stops the process as planned and starts it anew. Returns what was wrong
-    /// with its end.
+    /// Shuts the process down and restarts it. Returns a problem if the shutdown failed or
+    /// took too long.
     pub(crate) async fn stop(&self) -> Option<String> {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
@@ -104,13 +104,13 @@
         let problem = loop {
             match child.try_wait().unwrap() {
                 Some(status) if status.success() => break None,
-                // It has not opened its ports, and nothing can be lost.
+                // It was stopped before it opened its ports, so no request is lost.
                 Some(status) if ended_by_sigterm(status) && !self.has_logged() => break None,
-                Some(status) => break Some(format!("ended with {status}")),
+                Some(status) => break Some(format!("exited with {status}")),
                 None if start.elapsed() > GRACE_PERIOD => {
                     let _ = child.kill();
                     let _ = child.wait();
-                    break Some("did not end in time".to_owned());
+                    break Some("did not exit within the grace period".to_owned());
                 }
                 None => time::sleep(Duration::from_millis(20)).await,
             }
@@ -120,20 +120,20 @@
         problem
     }
 
-    /// Whether the process has said anything since it was started.
+    /// Returns whether the process has logged anything since it started.
     fn has_logged(&self) -> bool {
         let length = fs::metadata(&self.log).unwrap().len();
         length > self.log_start_bytes.load(Ordering::Relaxed)
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub(crate) async fn pause(&self, duration: Duration) {
         self.signal(Signal::STOP);
         time::sleep(duration).await;
         self.signal(Signal::CONT);
     }
 
-    /// Changes the settings and says so, or leaves it to the process to notice.
+    /// Changes the settings file. Without SIGHUP the process must notice by itself.
     pub(crate) fn change_settings(&self, send_sighup: bool) {
         let burst = fastrand::u32(10..90);
         let text = format!("{}terms.bounds.retryBurst={burst}\n", self.text);
@@ -143,15 +143,16 @@
         }
     }
 
-    /// How the process ended by itself, if it did.
+    /// Returns a problem if the process exited without being told to.
     pub(crate) fn unexpected_exit(&self) -> Option<String> {
         let mut child = self.child.lock().unwrap();
         let status = child.as_mut()?.try_wait().unwrap()?;
-        Some(format!("{} ended by itself with {status}", self.log.display()))
+        Some(format!("{} exited unexpectedly with {status}", self.log.display()))
     }
 }
 
-/// Whether a process ended by SIGTERM, which it does until it handles that signal.
+/// Returns whether SIGTERM terminated a process, as it does before the process installs
+/// its handler.
 fn ended_by_sigterm(status: ExitStatus) -> bool {
     status.signal() == Some(Signal::TERM.as_raw())
 }
