--- a/crates/azuregate/tests/soak/proxy.rs
+++ b/crates/azuregate/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy that harms the connections through it.
+//! A loopback proxy that injects faults into the connections through it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,18 +13,18 @@
     time,
 };
 
-/// What becomes of bytes.
+/// How a proxy treats the bytes that it receives.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum LinkMode {
-    /// They pass.
+    /// Forwards them.
     Forward,
-    /// They pass late.
+    /// Forwards them after a delay.
     Delay(Duration),
-    /// Nothing passes, and nobody is told.
+    /// Holds them until the mode changes.
     Stall,
-    /// Only what the callers send passes.
+    /// Forwards requests and holds responses.
     StallResponses,
-    /// Open connections are reset, and so are new ones.
+    /// Resets open and new connections.
     Reset,
 }
 
@@ -60,7 +60,7 @@
     mut mode: watch::Receiver<LinkMode>,
 ) {
     let Ok(server) = TcpStream::connect(target).await else { return };
-    // A connection that ends this way is reset on both sides.
+    // With a linger time of zero, dropping a stream resets its connection.
     for stream in [&caller, &server] {
         let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
         let _ = stream.set_nodelay(true);
