--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run of a plan.
+//! Runs the plan of one seed.
 
 use std::{
     fs,
@@ -26,15 +26,15 @@
 };
 
 const SERVICE: &str = "shop";
-/// From so many instances the configuration has many routes.
+/// Number of instances from which the configuration has many routes.
 const MANY_ROUTES_MIN_INSTANCES: usize = 16;
 const MANY_ROUTES: usize = 1_400;
 const SERVERS: usize = 6;
 const CLIENTS: u64 = 14;
-/// Time after the last fault in which all must be well again: contact with the
-/// store, clients' lookups, and servers that were avoided.
+/// Time after the last fault within which the deployment must recover: contact with the
+/// store, lookups of clients, and use of servers that had failed.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(7);
-/// How long it is watched that all is well.
+/// Time after recovery in which requests must succeed.
 const STEADY_PHASE: Duration = Duration::from_secs(2);
 
 /// A backend server behind its proxy.
@@ -45,7 +45,7 @@
     zone: &'static str,
 }
 
-/// Everything in a run.
+/// All processes, fakes and proxies of a run.
 pub(crate) struct Deployment {
     pub(crate) instances: Vec<Process>,
     pub(crate) servers: Vec<Server>,
@@ -55,7 +55,7 @@
     config: Mutex<ConfigDocument>,
 }
 
-/// Plays `seed` with so many instances and returns what was wrong.
+/// Runs `seed` with `instances` instances and returns the problems found.
 pub(crate) async fn run(seed: u64, instances: usize) -> Vec<String> {
     let plan = Plan::generate(seed, instances, SERVERS);
     let deployment = Arc::new(set_up(seed, instances).await);
@@ -103,14 +103,15 @@
     folder
 }
 
-/// Tells the runs of this process apart, so that two that run at the same time never
-/// have the same IP numbers.
+/// Returns a number for a run that is unique in this process, so that concurrent runs have
+/// different IP addresses.
 fn next_run() -> u8 {
     static RUNS: AtomicU8 = AtomicU8::new(0);
     RUNS.fetch_add(1, Ordering::Relaxed)
 }
 
-/// IP numbers of a run; other test processes run at the same time.
+/// Returns the IP address of an instance. It depends on the process id, since other test
+/// processes may run concurrently.
 fn ip(run: u8, instance: usize) -> IpAddr {
     let process = std::process::id() % 200 + 20;
     format!("127.{process}.{run}.{}", instance + 1).parse().unwrap()
@@ -150,8 +151,7 @@
     deployment
 }
 
-/// Servers work for a moment, so that requests are in progress when something
-/// happens.
+/// The delay ensures that requests are in progress when a fault is injected.
 const NORMAL_BEHAVIOUR: Behaviour = Behaviour::Delay(Duration::from_millis(40));
 
 impl Deployment {
@@ -159,11 +159,14 @@
         for instance in &self.instances {
             let start = Instant::now();
             while readiness(instance.ready).await != 200 {
-                assert!(start.elapsed() < Duration::from_secs(20), "an instance is never ready");
+                assert!(
+                    start.elapsed() < Duration::from_secs(20),
+                    "an instance did not become ready"
+                );
                 time::sleep(Duration::from_millis(50)).await;
             }
         }
-        // Instances hear of each other.
+        // Wait until instances know each other.
         time::sleep(Duration::from_secs(1)).await;
     }
 
@@ -208,8 +211,8 @@
         }
     }
 
-    /// The store fails; all rows run out meanwhile if it was away for long, and are
-    /// back soon after.
+    /// Injects a fault into the store. After a long fault, `expire_rows` removes the rows
+    /// of all servers for a short time.
     async fn inject_store_fault(&self, fault: StoreFault, duration: Duration, expire_rows: bool) {
         self.store.set_fault(fault);
         time::sleep(duration).await;
@@ -231,7 +234,7 @@
         self.store.put("servers", server.backend.id(), row);
     }
 
-    /// A server leaves: it says so, and its row goes after a while.
+    /// Marks a server as draining and removes its row later.
     async fn drain(&self, server: usize) {
         let server = &self.servers[server];
         *server.drained_at.lock().unwrap() = Some(Instant::now());
@@ -251,28 +254,28 @@
         self.store.put("op", "config", config_row(&config));
     }
 
-    /// Each instance takes requests, serves the newest configuration and nothing
-    /// older, and is named to clients.
+    /// Checks that each instance is ready, serves the newest configuration and is returned
+    /// by lookups.
     async fn check_recovered(&self) {
         let config = self.config.lock().unwrap().clone();
         for (number, instance) in self.instances.iter().enumerate() {
             if readiness(instance.ready).await != 200 {
-                self.problem(format!("entry-{number} is not ready when all is well"));
+                self.problem(format!("entry-{number} is not ready after recovery"));
                 continue;
             }
-            // The first one is new in this version.
+            // Only the first prefix is new in this version.
             for prefix in config.extra_prefixes.iter().take(1) {
                 let mut client = Client::connect(instance.traffic).await;
                 client.send(&read_request(&format!("{prefix}x"), &format!("c{number}"))).await;
                 let status = client.answer().await.map(|answer| answer.status);
                 if status == Some(404) {
-                    self.problem(format!("entry-{number} does not know {prefix}"));
+                    self.problem(format!("entry-{number} has no route for {prefix}"));
                 }
             }
             let (zone, _) = ZONES[number % ZONES.len()];
             let named = look_up(self.instances[0].lookups, zone, "").await;
             if !named.contains(&instance.traffic) {
-                self.problem(format!("entry-{number} is not named when all is well"));
+                self.problem(format!("entry-{number} is missing from lookups after recovery"));
             }
         }
     }
