--- a/crates/azuregate/tests/soak/clients.rs
+++ b/crates/azuregate/tests/soak/clients.rs
@@ -45,7 +45,7 @@
 
 /// State that all clients share.
 pub(crate) struct Traffic {
-    lookups: Vec<SocketAddr>,
+    lookup_addrs: Vec<SocketAddr>,
     seed: u64,
     next_id: AtomicU64,
     is_stopped: AtomicBool,
@@ -53,9 +53,9 @@
 }
 
 impl Traffic {
-    pub(crate) fn new(lookups: Vec<SocketAddr>, seed: u64) -> Arc<Traffic> {
+    pub(crate) fn new(lookup_addrs: Vec<SocketAddr>, seed: u64) -> Arc<Traffic> {
         Arc::new(Traffic {
-            lookups,
+            lookup_addrs,
             seed,
             next_id: AtomicU64::new(0),
             is_stopped: AtomicBool::new(false),
@@ -105,7 +105,7 @@
     async fn look_up(&self, random: &mut Rng) -> Option<Vec<SocketAddr>> {
         let (zone, _) = ZONES[random.usize(..ZONES.len())];
         for _ in 0..3 {
-            let addr = self.lookups[random.usize(..self.lookups.len())];
+            let addr = self.lookup_addrs[random.usize(..self.lookup_addrs.len())];
             let asked = time::timeout(Duration::from_secs(1), look_up(addr, zone, "")).await;
             if let Some(addrs) = asked.ok().filter(|addrs| !addrs.is_empty()) {
                 return Some(addrs);
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -27,9 +27,9 @@
 
 /// One instance, which has no process while it restarts.
 pub(crate) struct Process {
-    pub(crate) traffic: SocketAddr,
-    pub(crate) ready: SocketAddr,
-    pub(crate) lookups: SocketAddr,
+    pub(crate) traffic_addr: SocketAddr,
+    pub(crate) readiness_addr: SocketAddr,
+    pub(crate) lookup_addr: SocketAddr,
     settings: PathBuf,
     text: String,
     log: PathBuf,
@@ -40,21 +40,21 @@
 
 impl Process {
     /// Starts instance `number` at `ip`, with the store at `store`.
-    pub(crate) fn start(folder: &Path, number: usize, ip: IpAddr, store: SocketAddr) -> Process {
+    pub(crate) fn start(dir: &Path, number: usize, ip: IpAddr, store: SocketAddr) -> Process {
         let name = format!("entry-{number}");
         let (zone, region) = ZONES[number % ZONES.len()];
         let text = settings_text(&name, &ip.to_string(), FIRST_PORT, PEER_PORT, store)
             .replace("self.zone=zone-a", &format!("self.zone={zone}"))
             .replace("self.region=region-1", &format!("self.region={region}"));
-        let settings = folder.join(format!("{name}.conf"));
+        let settings = dir.join(format!("{name}.conf"));
         fs::write(&settings, &text).unwrap();
         let process = Process {
-            traffic: SocketAddr::new(ip, FIRST_PORT),
-            ready: SocketAddr::new(ip, FIRST_PORT + 1),
-            lookups: SocketAddr::new(ip, FIRST_PORT + 2),
+            traffic_addr: SocketAddr::new(ip, FIRST_PORT),
+            readiness_addr: SocketAddr::new(ip, FIRST_PORT + 1),
+            lookup_addr: SocketAddr::new(ip, FIRST_PORT + 2),
             settings,
             text,
-            log: folder.join(format!("{name}.log")),
+            log: dir.join(format!("{name}.log")),
             child: Mutex::new(None),
             log_start_bytes: AtomicU64::new(0),
         };
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -51,7 +51,7 @@
     pub(crate) servers: Vec<Server>,
     pub(crate) problems: Mutex<Vec<String>>,
     store: FakeStore,
-    store_links: Vec<Proxy>,
+    store_proxies: Vec<Proxy>,
     config: Mutex<ConfigDocument>,
 }
 
@@ -59,7 +59,7 @@
 pub(crate) async fn run(seed: u64, instances: usize) -> Vec<String> {
     let plan = Plan::generate(seed, instances, SERVERS);
     let deployment = Arc::new(set_up(seed, instances).await);
-    let traffic = Traffic::new(deployment.instances.iter().map(|i| i.lookups).collect(), seed);
+    let traffic = Traffic::new(deployment.instances.iter().map(|i| i.lookup_addr).collect(), seed);
     let clients: Vec<_> = (0..CLIENTS).map(|n| tokio::spawn(Arc::clone(&traffic).run(n))).collect();
     let start = Instant::now();
     let faults = plan.faults.iter().cloned().map(|(at, fault)| {
@@ -95,12 +95,12 @@
     findings
 }
 
-fn folder(seed: u64, instances: usize) -> PathBuf {
+fn create_run_dir(seed: u64, instances: usize) -> PathBuf {
     let name = format!("soak-{seed}-{instances}");
-    let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let _ = fs::remove_dir_all(&folder);
-    fs::create_dir_all(&folder).unwrap();
-    folder
+    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
+    let _ = fs::remove_dir_all(&dir);
+    fs::create_dir_all(&dir).unwrap();
+    dir
 }
 
 /// Returns a number for a run that is unique in this process, so that concurrent runs have
@@ -131,20 +131,20 @@
         store.put("servers", &id, backend_row(SERVICE, proxy.addr, zone, "ready"));
         servers.push(Server { backend, drained_at: Mutex::new(None), proxy, zone });
     }
-    let folder = folder(seed, count);
+    let dir = create_run_dir(seed, count);
     let run = next_run();
-    let (mut instances, mut store_links) = (Vec::new(), Vec::new());
+    let (mut instances, mut store_proxies) = (Vec::new(), Vec::new());
     for number in 0..count {
-        let link = Proxy::start(store.addr()).await;
-        instances.push(Process::start(&folder, number, ip(run, number), link.addr));
-        store_links.push(link);
+        let proxy = Proxy::start(store.addr()).await;
+        instances.push(Process::start(&dir, number, ip(run, number), proxy.addr));
+        store_proxies.push(proxy);
     }
     let deployment = Deployment {
         instances,
         servers,
         problems: Mutex::default(),
         store,
-        store_links,
+        store_proxies,
         config: Mutex::new(config),
     };
     deployment.wait_until_ready().await;
@@ -158,7 +158,7 @@
     async fn wait_until_ready(&self) {
         for instance in &self.instances {
             let start = Instant::now();
-            while readiness(instance.ready).await != 200 {
+            while readiness(instance.readiness_addr).await != 200 {
                 assert!(
                     start.elapsed() < Duration::from_secs(20),
                     "an instance did not become ready"
@@ -191,7 +191,7 @@
                 self.instances[instance].change_settings(send_sighup);
             }
             Fault::StoreLink { instance, link, duration } => {
-                inject_link_fault(&self.store_links[instance], link, duration).await;
+                inject_link_fault(&self.store_proxies[instance], link, duration).await;
             }
             Fault::Store { fault, duration, expire_rows } => {
                 self.inject_store_fault(fault, duration, expire_rows).await;
@@ -259,13 +259,13 @@
     async fn check_recovered(&self) {
         let config = self.config.lock().unwrap().clone();
         for (number, instance) in self.instances.iter().enumerate() {
-            if readiness(instance.ready).await != 200 {
+            if readiness(instance.readiness_addr).await != 200 {
                 self.problem(format!("entry-{number} is not ready after recovery"));
                 continue;
             }
             // Only the first prefix is new in this version.
             for prefix in config.extra_prefixes.iter().take(1) {
-                let mut client = Client::connect(instance.traffic).await;
+                let mut client = Client::connect(instance.traffic_addr).await;
                 client.send(&read_request(&format!("{prefix}x"), &format!("c{number}"))).await;
                 let status = client.answer().await.map(|answer| answer.status);
                 if status == Some(404) {
@@ -273,8 +273,8 @@
                 }
             }
             let (zone, _) = ZONES[number % ZONES.len()];
-            let addrs = look_up(self.instances[0].lookups, zone, "").await;
-            if !addrs.contains(&instance.traffic) {
+            let addrs = look_up(self.instances[0].lookup_addr, zone, "").await;
+            if !addrs.contains(&instance.traffic_addr) {
                 self.problem(format!("entry-{number} is missing from lookups after recovery"));
             }
         }
