--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -5,7 +5,7 @@
 use azuregate_core::{
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::{
-        Ending, SlotTable,
+        Completion, SlotTable,
         dispatch::{Ask, Config, Dispatch, Grouping, Step},
         group::GroupLoad,
     },
@@ -106,7 +106,7 @@
             b.iter(|| {
                 let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
                 let Step::Serve(slot) = step else { panic!("not served here: {step:?}") };
-                dispatch.finish(&slot, Ending::Answered { latency_ms: 20 }, NOW_MS);
+                dispatch.finish(&slot, Completion::Responded { latency_ms: 20 }, NOW_MS);
             });
         });
     }
@@ -126,7 +126,11 @@
             b.iter(|| {
                 let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
                 let Step::HandOver(hand_over) = step else { panic!("not handed over: {step:?}") };
-                dispatch.finish_hand_over(&hand_over, Ending::Answered { latency_ms: 20 }, NOW_MS);
+                dispatch.finish_hand_over(
+                    &hand_over,
+                    Completion::Responded { latency_ms: 20 },
+                    NOW_MS,
+                );
             });
         });
     }
@@ -150,7 +154,7 @@
             let load =
                 GroupLoad { free, queued, slots: 12, service_ms: 20, ..GroupLoad::default() };
             dispatch.hear(&from, &group, load, false, NOW_MS);
-            dispatch.finish_hand_over(&hand_over, Ending::Answered { latency_ms: 20 }, NOW_MS);
+            dispatch.finish_hand_over(&hand_over, Completion::Responded { latency_ms: 20 }, NOW_MS);
             if last {
                 break;
             }
--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     route::{
-        Ending,
+        Completion,
         dispatch::{Dispatch, HandOver, Refusal, Slot},
         queue::Waiting,
     },
@@ -39,10 +39,10 @@
     }
 
     /// Gives a slot back, with what was learnt.
-    pub fn finish(&mut self, slot: &Slot, ending: Ending, now_ms: Millis) {
+    pub fn finish(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
         let group = &mut self.groups[slot.group];
-        group.router.finish(slot.key, ending, now_ms);
-        group.drain.finish(matches!(ending, Ending::Answered { .. }), now_ms);
+        group.router.finish(slot.key, completion, now_ms);
+        group.drain.finish(matches!(completion, Completion::Responded { .. }), now_ms);
         group.leave(slot.from);
         if let Some(booking) = slot.booking {
             self.links.release(booking);
@@ -50,9 +50,14 @@
     }
 
     /// Ends a hand-over. A dispatcher that did not answer is passed over.
-    pub fn finish_hand_over(&mut self, hand_over: &HandOver, ending: Ending, now_ms: Millis) {
+    pub fn finish_hand_over(
+        &mut self,
+        hand_over: &HandOver,
+        completion: Completion,
+        now_ms: Millis,
+    ) {
         self.peers.finish(hand_over.peer);
-        let failed = ending == Ending::Failed;
+        let failed = completion == Completion::Failed;
         let group = &mut self.groups[hand_over.group];
         if group.known_of == Some(hand_over.peer) {
             group.known.finish(!failed);
--- a/crates/azuregate-core/src/route/mod.rs
+++ b/crates/azuregate-core/src/route/mod.rs
@@ -26,9 +26,9 @@
 
 /// How a request ended at a backend server, as far as limits care.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub enum Ending {
+pub enum Completion {
     /// It answered.
-    Answered {
+    Responded {
         /// From sending to the head of the answer.
         latency_ms: u64,
     },
@@ -37,7 +37,7 @@
     /// No connection, or the connection broke.
     Failed,
     /// The caller left, or the deadline passed.
-    Abandoned,
+    Cancelled,
 }
 
 /// What a backend server says of itself; it lags, and may be wrong.
@@ -82,7 +82,7 @@
     fn id(&self, key: usize) -> &BackendId;
 
     /// Gives the slot back, with what was learnt.
-    fn finish(&mut self, key: usize, ending: Ending, now_ms: Millis);
+    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis);
 
     /// Takes in what a server said of its load.
     fn report(&mut self, key: usize, report: LoadReport);
--- a/crates/azuregate-core/src/route/nearest.rs
+++ b/crates/azuregate-core/src/route/nearest.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     names::BackendId,
-    route::{Ending, LoadReport, Place, Room, RouteServer, Router},
+    route::{Completion, LoadReport, Place, Room, RouteServer, Router},
     time::Millis,
     topology::Distance,
 };
@@ -86,10 +86,10 @@
         &self.slots[key].id
     }
 
-    fn finish(&mut self, key: usize, ending: Ending, now_ms: Millis) {
+    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis) {
         let slots = &mut self.slots[key];
         slots.in_use = slots.in_use.saturating_sub(1);
-        if matches!(ending, Ending::Refused | Ending::Failed) {
+        if matches!(completion, Completion::Refused | Completion::Failed) {
             slots.limit = slots.in_use.clamp(1, slots.total.max(1));
             slots.raise_at_ms = now_ms + HOLD_MS;
         }
--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     names::BackendId,
-    route::{Ending, LoadReport, Place, Room, RouteServer, Router, limit::Limit},
+    route::{Completion, LoadReport, Place, Room, RouteServer, Router, limit::Limit},
     time::Millis,
 };
 
@@ -188,20 +188,22 @@
         &self.servers[key].id
     }
 
-    fn finish(&mut self, key: usize, ending: Ending, now_ms: Millis) {
-        if let Ending::Answered { latency_ms } = ending {
+    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis) {
+        if let Completion::Responded { latency_ms } = completion {
             self.learn_usual(latency_ms as f64);
         }
         let usual_ms = self.usual_ms;
         self.update(key, |server| {
             debug_assert!(server.in_use > 0, "a slot is given back once");
             server.in_use = server.in_use.saturating_sub(1);
-            match ending {
-                Ending::Answered { latency_ms } => {
+            match completion {
+                Completion::Responded { latency_ms } => {
                     server.limit.answered(latency_ms, usual_ms, now_ms);
                 }
-                Ending::Refused | Ending::Failed => server.limit.refused(server.in_use, now_ms),
-                Ending::Abandoned => {}
+                Completion::Refused | Completion::Failed => {
+                    server.limit.refused(server.in_use, now_ms)
+                }
+                Completion::Cancelled => {}
             }
         });
         self.rest_if_closed(key);
--- a/crates/azuregate-core/tests/routing/handing_over.rs
+++ b/crates/azuregate-core/tests/routing/handing_over.rs
@@ -6,7 +6,7 @@
     error::ErrorKind,
     names::{InstanceId, StartNumber},
     route::{
-        Ending,
+        Completion,
         dispatch::{Ask, Slot, Step},
         group::{GroupId, GroupLoad},
     },
@@ -80,10 +80,10 @@
     let mut second = Node::new("old_update_2", "entry-2", "sofia-b", &snapshot);
     let probe = first.hand_over(&["sofia-b"]);
     let Step::Serve(slot) = arrive("entry-1", &mut second, "sofia-b") else { panic!("refused") };
-    let ending = Ending::Answered { latency_ms: 20 };
-    second.dispatch.finish(&slot, ending, second.now_ms);
+    let completion = Completion::Responded { latency_ms: 20 };
+    second.dispatch.finish(&slot, completion, second.now_ms);
     answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
-    first.dispatch.finish_hand_over(&probe, ending, first.now_ms);
+    first.dispatch.finish_hand_over(&probe, completion, first.now_ms);
     first.now_ms = first.now_ms + Millis(1_000);
     // The update says that all three are free; two are an even share.
     for _ in 0..2 {
@@ -119,7 +119,7 @@
     let snapshot = pair();
     let mut first = Node::new("passed_over", "entry-1", "sofia-a", &snapshot);
     let failed = first.hand_over(&["sofia-b"]);
-    first.dispatch.finish_hand_over(&failed, Ending::Failed, first.now_ms);
+    first.dispatch.finish_hand_over(&failed, Completion::Failed, first.now_ms);
     first.serve(&["sofia-b"]);
     first.now_ms = first.now_ms + Millis(999);
     first.serve(&["sofia-b"]);
@@ -129,7 +129,7 @@
     let mut second = Node::new("passed_over_2", "entry-2", "sofia-b", &snapshot);
     arrive("entry-1", &mut second, "sofia-b");
     answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
-    first.dispatch.finish_hand_over(&probe, Ending::Answered { latency_ms: 9 }, first.now_ms);
+    first.dispatch.finish_hand_over(&probe, Completion::Responded { latency_ms: 9 }, first.now_ms);
     first.hand_over(&["sofia-b"]);
 }
 
@@ -283,15 +283,15 @@
         let now_ms = Millis(1_000 + ms);
         while backend.running.front().is_some_and(|(done_ms, ..)| *done_ms <= now_ms) {
             let (_, of, slot) = backend.running.pop_front().unwrap();
-            let ending = Ending::Answered { latency_ms: 20 };
-            nodes[of].dispatch.finish(&slot, ending, now_ms);
+            let completion = Completion::Responded { latency_ms: 20 };
+            nodes[of].dispatch.finish(&slot, completion, now_ms);
         }
         for (of, node) in nodes.iter_mut().enumerate() {
             node.now_ms = now_ms;
             for slot in node.fill(&["sofia-a"]) {
                 if backend.running.len() >= 3 {
                     refused += 1;
-                    node.dispatch.finish(&slot, Ending::Refused, now_ms);
+                    node.dispatch.finish(&slot, Completion::Refused, now_ms);
                 } else {
                     ran += 1;
                     backend.running.push_back((now_ms + Millis(20), of, slot));
--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -5,7 +5,7 @@
 use azuregate_core::{
     names::BackendId,
     route::{
-        Ending,
+        Completion,
         dispatch::{Slot, Step},
     },
     snapshot::{BackendServer, Liveness},
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug)]
 enum Op {
     Acquire,
-    Finish(usize, Ending),
+    Finish(usize, Completion),
     GiveUp(usize),
     Pass(u64),
     /// Which of the four servers are live, and which are listed at all.
@@ -30,15 +30,15 @@
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let ending = prop_oneof![
-        4 => (1..60_u64).prop_map(|latency_ms| Ending::Answered { latency_ms }),
-        2 => Just(Ending::Refused),
-        1 => Just(Ending::Failed),
-        1 => Just(Ending::Abandoned),
+    let completion = prop_oneof![
+        4 => (1..60_u64).prop_map(|latency_ms| Completion::Responded { latency_ms }),
+        2 => Just(Completion::Refused),
+        1 => Just(Completion::Failed),
+        1 => Just(Completion::Cancelled),
     ];
     prop_oneof![
         6 => Just(Op::Acquire),
-        4 => (any::<usize>(), ending).prop_map(|(nth, ending)| Op::Finish(nth, ending)),
+        4 => (any::<usize>(), completion).prop_map(|(nth, completion)| Op::Finish(nth, completion)),
         1 => any::<usize>().prop_map(Op::GiveUp),
         2 => (0..300_u64).prop_map(Op::Pass),
         1 => (any::<[bool; 4]>(), any::<[bool; 4]>()).prop_map(|(live, listed)| Op::List(live, listed)),
@@ -77,7 +77,7 @@
     fn apply(&mut self, op: Op) {
         match op {
             Op::Acquire => self.acquire(),
-            Op::Finish(nth, ending) => self.finish(nth, ending),
+            Op::Finish(nth, completion) => self.finish(nth, completion),
             Op::GiveUp(nth) => self.give_up(nth),
             Op::Pass(ms) => {
                 // A server may be rested now; whoever asks next must not overtake
@@ -120,14 +120,14 @@
         self.slots.push(slot);
     }
 
-    fn finish(&mut self, nth: usize, ending: Ending) {
+    fn finish(&mut self, nth: usize, completion: Completion) {
         if self.slots.is_empty() {
             return;
         }
         let slot = self.slots.swap_remove(nth % self.slots.len());
         let id = self.node.dispatch.server_id(&slot).clone();
         *self.in_use.get_mut(&id).unwrap() -= 1;
-        self.node.dispatch.finish(&slot, ending, self.node.now_ms);
+        self.node.dispatch.finish(&slot, completion, self.node.now_ms);
     }
 
     fn give_up(&mut self, nth: usize) {
@@ -163,14 +163,14 @@
         (self.live, self.listed) = ([true; 4], [true; 4]);
         self.set_list();
         while !self.slots.is_empty() || !self.waiting.is_empty() {
-            self.finish(0, Ending::Answered { latency_ms: 20 });
+            self.finish(0, Completion::Responded { latency_ms: 20 });
             self.node.now_ms = self.node.now_ms + Millis(2_000);
             self.serve_waiting();
         }
         for _ in 0..10 {
             for slot in self.node.fill(&[ZONE]) {
-                let ending = Ending::Answered { latency_ms: 20 };
-                self.node.dispatch.finish(&slot, ending, self.node.now_ms);
+                let completion = Completion::Responded { latency_ms: 20 };
+                self.node.dispatch.finish(&slot, completion, self.node.now_ms);
             }
             self.node.now_ms = self.node.now_ms + Millis(2_000);
         }
--- a/crates/azuregate-lab/src/baselines.rs
+++ b/crates/azuregate-lab/src/baselines.rs
@@ -6,7 +6,7 @@
 use azuregate::dispatch::Rule;
 use azuregate_core::{
     names::BackendId,
-    route::{Ending, LoadReport, Place, Room, RouteServer, Router},
+    route::{Completion, LoadReport, Place, Room, RouteServer, Router},
     time::Millis,
 };
 
@@ -112,7 +112,7 @@
             &self.servers.all[key].id
         }
 
-        fn finish(&mut self, key: usize, _ending: Ending, _now_ms: Millis) {
+        fn finish(&mut self, key: usize, _completion: Completion, _now_ms: Millis) {
             self.servers.finish(key);
         }
 
--- a/crates/azuregate-lab/tests/baselines.rs
+++ b/crates/azuregate-lab/tests/baselines.rs
@@ -7,7 +7,7 @@
 use azuregate::dispatch::Rule;
 use azuregate_core::{
     names::{BackendId, ServiceName, StartNumber, ZoneName},
-    route::{Ending, LoadReport, Place, RouteServer, Router},
+    route::{Completion, LoadReport, Place, RouteServer, Router},
     snapshot::{BackendServer, Liveness},
     time::Millis,
     topology::Topology,
@@ -47,7 +47,7 @@
     for _ in 0..count {
         let key = router.choose(NOW_MS, &mut rng).unwrap();
         *chosen.entry(key).or_default() += 1;
-        router.finish(key, Ending::Answered { latency_ms: 1 }, NOW_MS);
+        router.finish(key, Completion::Responded { latency_ms: 1 }, NOW_MS);
     }
     chosen
 }
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     error::{Error, ErrorKind, Outcome, Retry},
-    route::Ending,
+    route::Completion,
 };
 use hyper::{Response, http::request};
 use tokio::time;
@@ -166,12 +166,12 @@
         match time::timeout(remaining, self.parts.dialer.dial(lease.addr)).await {
             Ok(Ok(conn)) => Ok(Link { conn, pooled: false }),
             Ok(Err(e)) => {
-                lease.set_ending(Ending::Failed);
+                lease.set_ending(Completion::Failed);
                 let detail = format!("cannot connect to {} at {}: {e}", lease.backend, lease.addr);
                 Err(Error::new(ErrorKind::ConnectFailed, detail))
             }
             Err(_) => {
-                lease.set_ending(Ending::Failed);
+                lease.set_ending(Completion::Failed);
                 let detail = format!("no connection to {} in time", lease.backend);
                 Err(Error::new(ErrorKind::DeadlineBeforeSend, detail))
             }
--- a/crates/azuregate/src/gateway/lease_body.rs
+++ b/crates/azuregate/src/gateway/lease_body.rs
@@ -7,7 +7,7 @@
 
 use azuregate_core::{
     error::{Error, ErrorKind},
-    route::Ending,
+    route::Completion,
 };
 use bytes::Bytes;
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
@@ -56,7 +56,7 @@
         let Some(mut held) = self.held.take() else {
             return;
         };
-        held.lease.set_ending(Ending::Answered { latency_ms: held.latency_ms });
+        held.lease.set_ending(Completion::Responded { latency_ms: held.latency_ms });
         if held.reusable {
             held.pool.put(held.lease.addr, held.conn);
         }
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     error::{Error, ErrorKind},
-    route::Ending,
+    route::Completion,
 };
 use http_body_util::BodyExt;
 use hyper::{HeaderMap, Request, Response, body::Body as _, header::HeaderValue, http::request};
@@ -73,7 +73,7 @@
                 // A caller that breaks off says nothing of the server: taken for
                 // a failure, it would lower a limit or pass over a dispatcher.
                 if error.kind() != ErrorKind::CallerLost {
-                    lease.set_ending(Ending::Failed);
+                    lease.set_ending(Completion::Failed);
                 }
                 return Err((error, false));
             }
@@ -85,7 +85,7 @@
             return match handover::take_answer(&lease, response) {
                 Ok(response) => Ok(self.hand_back(lease, link, response, latency_ms, reusable)),
                 Err(error) => {
-                    lease.set_ending(Ending::Refused);
+                    lease.set_ending(Completion::Refused);
                     Err((error, false))
                 }
             };
@@ -97,7 +97,7 @@
         // for the next one.
         let reusable = !closing && progress.is_ended();
         if headers::is_refusal(response.headers()) {
-            lease.set_ending(Ending::Refused);
+            lease.set_ending(Completion::Refused);
             let error = Error::new(ErrorKind::BackendRefused, format!("{} refused", lease.backend));
             if reusable {
                 self.reuse_after_refusal(&lease, link, response.into_body()).await;
@@ -159,7 +159,7 @@
                 (Error::new(ErrorKind::DeadlineAfterSend, detail), false)
             }),
             () = lost(lease), if self.attributes.idempotent => {
-                lease.set_ending(Ending::Failed);
+                lease.set_ending(Completion::Failed);
                 let detail = format!("{backend} has gone silent");
                 Err((Error::new(ErrorKind::BackendLost, detail), false))
             }
--- a/crates/azuregate/src/selector/lease.rs
+++ b/crates/azuregate/src/selector/lease.rs
@@ -6,7 +6,7 @@
     error::Error,
     names::{BackendId, InstanceId, StartNumber},
     route::{
-        Ending, LoadReport,
+        Completion, LoadReport,
         dispatch::{HandOver, Slot},
         group::{GroupId, GroupLoad},
     },
@@ -32,7 +32,7 @@
     /// Counts the bytes, where they cross a link between regions.
     pub meter: Option<Arc<Meter>>,
     pub(super) held: Held,
-    pub(super) ending: Ending,
+    pub(super) ending: Completion,
     pub(super) sender: mpsc::UnboundedSender<Message>,
 }
 
@@ -62,7 +62,7 @@
 pub(super) enum Message {
     Acquire { ticket: u64, want: Want, reply: Reply },
     GiveUp { ticket: u64 },
-    Finish { held: Held, ending: Ending },
+    Finish { held: Held, ending: Completion },
     Report { slot: Slot, report: LoadReport },
     Hear { hand_over: HandOver, load: GroupLoad },
     LoadFor { to: InstanceId, group: GroupId, reply: oneshot::Sender<Option<GroupLoad>> },
@@ -71,7 +71,7 @@
 impl Lease {
     /// Records how the request ended; the slot goes back when the lease is
     /// dropped.
-    pub fn set_ending(&mut self, ending: Ending) {
+    pub fn set_ending(&mut self, ending: Completion) {
         self.ending = ending;
     }
 
@@ -81,7 +81,7 @@
     /// server cut: the dispatcher itself had answered.
     pub fn set_cut(&mut self) {
         let handed = self.handed_to.is_some();
-        self.ending = if handed { Ending::Abandoned } else { Ending::Failed };
+        self.ending = if handed { Completion::Cancelled } else { Completion::Failed };
     }
 
     /// Passes on what the server said of its load.
--- a/crates/azuregate/src/selector/reply.rs
+++ b/crates/azuregate/src/selector/reply.rs
@@ -5,7 +5,7 @@
 use azuregate_core::{
     names::{BackendId, StartNumber},
     route::{
-        Ending,
+        Completion,
         dispatch::{HandOver, Slot},
     },
 };
@@ -22,7 +22,7 @@
         let (Some(sender), Some(server)) = (self.sender.upgrade(), self.dispatch.server(&slot))
         else {
             let now_ms = self.clock.now();
-            self.dispatch.finish(&slot, Ending::Abandoned, now_ms);
+            self.dispatch.finish(&slot, Completion::Cancelled, now_ms);
             return;
         };
         let distance = self.topology.distance(&self.zone, &server.zone);
@@ -34,7 +34,7 @@
             handed_to: None,
             meter: None,
             held: Held::Slot(slot),
-            ending: Ending::Abandoned,
+            ending: Completion::Cancelled,
             sender,
         };
         lease.meter = slot.booking.map(|booking| self.meter(booking.link));
@@ -51,7 +51,7 @@
         let id = self.dispatch.dispatcher_id(&hand_over);
         let (Some(sender), Some(&addr)) = (self.sender.upgrade(), self.addrs.get(id)) else {
             let now_ms = self.clock.now();
-            self.dispatch.finish_hand_over(&hand_over, Ending::Failed, now_ms);
+            self.dispatch.finish_hand_over(&hand_over, Completion::Failed, now_ms);
             return;
         };
         let backend = BackendId::new(id.as_str());
@@ -69,7 +69,7 @@
             handed_to: Some(HandedTo { group, wait_ms: want.wait_ms, lost }),
             meter,
             held: Held::HandOver { hand_over, ticket },
-            ending: Ending::Abandoned,
+            ending: Completion::Cancelled,
             sender,
         };
         let _ = reply.send(Ok(lease));
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -13,7 +13,7 @@
     error::Error,
     names::{InstanceId, ServiceName, ZoneName},
     route::{
-        Ending,
+        Completion,
         dispatch::{Ask, Dispatch, Refusal, Step},
     },
     snapshot::Snapshot,
@@ -283,7 +283,7 @@
                 // A caller that left meanwhile drops the lease, which gives it
                 // back.
                 Some(reply) => self.reply_slot(reply, slot),
-                None => self.dispatch.finish(&slot, Ending::Abandoned, now_ms),
+                None => self.dispatch.finish(&slot, Completion::Cancelled, now_ms),
             }
         }
     }
