--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -41,7 +41,7 @@
     /// Gives a slot back, with what was learnt.
     pub fn finish(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
         let group = &mut self.groups[slot.group];
-        group.router.finish(slot.key, completion, now_ms);
+        group.router.release(slot.key, completion, now_ms);
         group.drain.finish(matches!(completion, Completion::Responded { .. }), now_ms);
         group.leave(slot.from);
         if let Some(booking) = slot.booking {
--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -8,7 +8,7 @@
 impl Group {
     /// Free slots that nobody waits for.
     pub(super) fn free(&self) -> u64 {
-        if self.queue.is_empty() { u64::from(self.router.room().free) } else { 0 }
+        if self.queue.is_empty() { u64::from(self.router.capacity().free) } else { 0 }
     }
 
     /// How long another request would wait here.
@@ -16,7 +16,7 @@
         if self.free() > 0 {
             return 0;
         }
-        self.drain.wait_ms(self.queue.len() + 1, self.router.room().slots)
+        self.drain.wait_ms(self.queue.len() + 1, self.router.capacity().total)
     }
 
     /// Another dispatcher's updates do not count for this one.
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -5,7 +5,7 @@
 use crate::{
     names::ZoneName,
     route::{
-        Place, RouteServer,
+        Locality, ServerStatus,
         dispatch::{Dispatch, Group, Grouping, Refusal, Who},
         group::{self, GroupId},
         known::Known,
@@ -48,15 +48,15 @@
         refused
     }
 
-    fn split(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<RouteServer>> {
+    fn split(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<ServerStatus>> {
         let servers = snapshot.route_servers(&self.config.service);
-        let mut by_group: BTreeMap<GroupId, Vec<RouteServer>> = BTreeMap::new();
+        let mut by_group: BTreeMap<GroupId, Vec<ServerStatus>> = BTreeMap::new();
         if self.config.grouping == Grouping::Whole {
             by_group.insert(GroupId { zone: self.config.zone.clone(), part: 0 }, servers);
             return by_group;
         }
         let mut count_by_zone: HashMap<ZoneName, usize> = HashMap::new();
-        for RouteServer { server, .. } in &servers {
+        for ServerStatus { server, .. } in &servers {
             *count_by_zone.entry(server.zone.clone()).or_default() += 1;
         }
         for server in servers {
@@ -95,15 +95,15 @@
         index: usize,
         snapshot: &Snapshot,
         instances: &mut [&Instance],
-        servers: &[RouteServer],
+        servers: &[ServerStatus],
     ) {
         let order = self.order(index, snapshot, instances);
         let here = &self.config.zone;
         let group = &mut self.groups[index];
         let topology = &snapshot.topology;
-        group.router.set_servers(Place { topology, zone: here }, servers);
+        group.router.set_servers(Locality { topology, zone: here }, servers);
         group.servers = servers.iter().map(|s| (s.server.id.clone(), s.server.clone())).collect();
-        group.listed_slots = servers.iter().filter(|s| s.open).map(|s| s.server.slots).sum();
+        group.listed_slots = servers.iter().filter(|s| s.available).map(|s| s.server.slots).sum();
         group.round_trip_ms = 2 * topology.delay_ms(topology.distance(here, &group.id.zone));
         let region = topology.region_of(&group.id.zone);
         group.link = region.and_then(|region| self.links.to(region));
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -257,7 +257,7 @@
 
     /// Takes in what a server said of its load.
     pub fn report(&mut self, slot: &Slot, report: crate::route::LoadReport) {
-        self.groups[slot.group].router.report(slot.key, report);
+        self.groups[slot.group].router.record_load(slot.key, report);
     }
 
     /// Takes in how many bytes have passed over a link since the start.
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -234,7 +234,7 @@
         rng: &mut fastrand::Rng,
     ) -> Option<Slot> {
         let group = &mut self.groups[index];
-        let key = group.router.choose(now_ms, rng)?;
+        let key = group.router.acquire(now_ms, rng)?;
         group.drain.take(now_ms);
         if let Some(booking) = booking {
             self.links.book(booking);
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -101,12 +101,12 @@
 
 impl Group {
     fn load(&self, start: crate::names::StartNumber) -> GroupLoad {
-        let room = self.router.room();
+        let capacity = self.router.capacity();
         GroupLoad {
             start,
             free: u32::try_from(self.free()).unwrap_or(u32::MAX),
             queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
-            slots: room.slots,
+            slots: capacity.total,
             service_ms: u32::try_from(self.drain.hold_ms()).unwrap_or(u32::MAX),
             seen: 0,
         }
--- a/crates/azuregate-core/src/route/mod.rs
+++ b/crates/azuregate-core/src/route/mod.rs
@@ -53,7 +53,7 @@
 
 /// The inputs of a choice that the router does not own.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct Locality<'a> {
     /// Regions and availability zones.
     pub topology: &'a Topology,
     /// The availability zone that chooses.
@@ -68,43 +68,43 @@
 pub trait Router: Send {
     /// Replaces the list of servers; counts of servers that stay are kept, and
     /// servers that are no longer listed get no new work.
-    fn set_servers(&mut self, place: Place<'_>, servers: &[RouteServer]);
+    fn set_servers(&mut self, locality: Locality<'_>, servers: &[ServerStatus]);
 
     /// Chooses a server and takes one of its slots, or `None` when all that may
     /// serve are full.
-    fn choose(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize>;
+    fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize>;
 
     /// The name of the server with this key.
     ///
     /// # Panics
     ///
-    /// When `key` did not come from [`Router::choose`].
+    /// When `key` did not come from [`Router::acquire`].
     fn id(&self, key: usize) -> &BackendId;
 
     /// Gives the slot back, with what was learnt.
-    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis);
+    fn release(&mut self, key: usize, completion: Completion, now_ms: Millis);
 
     /// Takes in what a server said of its load.
-    fn report(&mut self, key: usize, report: LoadReport);
+    fn record_load(&mut self, key: usize, report: LoadReport);
 
     /// What it has to give.
-    fn room(&self) -> Room;
+    fn capacity(&self) -> Capacity;
 }
 
 /// The slots of a router, as far as its learnt limits allow.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Slots that are free.
     pub free: u32,
     /// Slots in all.
-    pub slots: u32,
+    pub total: u32,
 }
 
 /// A backend server with what the instance knows of it beyond the list.
 #[derive(Clone, Debug)]
-pub struct RouteServer {
+pub struct ServerStatus {
     /// The server as listed.
     pub server: BackendServer,
     /// Whether it may get new work.
-    pub open: bool,
+    pub available: bool,
 }
--- a/crates/azuregate-core/src/route/nearest.rs
+++ b/crates/azuregate-core/src/route/nearest.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     names::BackendId,
-    route::{Completion, LoadReport, Place, Room, RouteServer, Router},
+    route::{Capacity, Completion, LoadReport, Locality, Router, ServerStatus},
     time::Millis,
     topology::Distance,
 };
@@ -36,17 +36,17 @@
 }
 
 impl Router for Nearest {
-    fn set_servers(&mut self, place: Place<'_>, servers: &[RouteServer]) {
+    fn set_servers(&mut self, locality: Locality<'_>, servers: &[ServerStatus]) {
         for slots in &mut self.slots {
             slots.open = false;
         }
         for server in servers {
-            let distance = place.topology.distance(place.zone, &server.server.zone);
+            let distance = locality.topology.distance(locality.zone, &server.server.zone);
             let total = server.server.slots;
             let known = self.slots.iter_mut().find(|slots| slots.id == server.server.id);
             if let Some(slots) = known {
                 slots.distance = distance;
-                slots.open = server.open;
+                slots.open = server.available;
                 slots.total = total;
                 slots.limit = slots.limit.min(total);
                 continue;
@@ -54,7 +54,7 @@
             self.slots.push(Slots {
                 id: server.server.id.clone(),
                 distance,
-                open: server.open,
+                open: server.available,
                 total,
                 limit: total,
                 in_use: 0,
@@ -63,7 +63,7 @@
         }
     }
 
-    fn choose(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+    fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         for slots in &mut self.slots {
             if slots.limit < slots.total && slots.raise_at_ms <= now_ms {
                 slots.limit += 1;
@@ -86,7 +86,7 @@
         &self.slots[key].id
     }
 
-    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis) {
+    fn release(&mut self, key: usize, completion: Completion, now_ms: Millis) {
         let slots = &mut self.slots[key];
         slots.in_use = slots.in_use.saturating_sub(1);
         if matches!(completion, Completion::Refused | Completion::Failed) {
@@ -95,13 +95,13 @@
         }
     }
 
-    fn report(&mut self, _key: usize, _report: LoadReport) {}
+    fn record_load(&mut self, _key: usize, _report: LoadReport) {}
 
-    fn room(&self) -> Room {
+    fn capacity(&self) -> Capacity {
         let open = || self.slots.iter().filter(|slots| slots.open);
-        Room {
+        Capacity {
             free: open().map(|slots| slots.limit.saturating_sub(slots.in_use)).sum(),
-            slots: open().map(|slots| slots.total).sum(),
+            total: open().map(|slots| slots.total).sum(),
         }
     }
 }
--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     names::BackendId,
-    route::{Completion, LoadReport, Place, Room, RouteServer, Router, limit::Limit},
+    route::{Capacity, Completion, LoadReport, Locality, Router, ServerStatus, limit::Limit},
     time::Millis,
 };
 
@@ -32,7 +32,7 @@
     /// Servers with a limit of zero, by when they may be tried again.
     resting: BinaryHeap<Reverse<(Millis, usize)>>,
     usual_ms: f64,
-    room: Room,
+    capacity: Capacity,
 }
 
 #[derive(Debug)]
@@ -64,7 +64,7 @@
             filled: 0,
             resting: BinaryHeap::new(),
             usual_ms: 0.0,
-            room: Room::default(),
+            capacity: Capacity::default(),
         }
     }
 }
@@ -75,8 +75,8 @@
         let server = &mut self.servers[key];
         let (free, slots) = (server.free(), server.slots());
         change(server);
-        self.room.free = self.room.free - free + server.free();
-        self.room.slots = self.room.slots - slots + server.slots();
+        self.capacity.free = self.capacity.free - free + server.free();
+        self.capacity.total = self.capacity.total - slots + server.slots();
         let bucket = (server.free() as usize).min(FREE_LIMIT);
         if bucket != server.bucket {
             self.take_out(key);
@@ -151,26 +151,26 @@
 }
 
 impl Router for SlotTable {
-    fn set_servers(&mut self, _place: Place<'_>, servers: &[RouteServer]) {
+    fn set_servers(&mut self, _locality: Locality<'_>, servers: &[ServerStatus]) {
         for key in 0..self.servers.len() {
             self.update(key, |server| server.open = false);
         }
         // Servers of the first list served before this instance looked: a new
         // dispatcher that took them for cold would refuse what they can take.
         let first = self.servers.is_empty();
-        for RouteServer { server, open } in servers {
+        for ServerStatus { server, available } in servers {
             let make = if first { Limit::warm } else { Limit::cold };
             let known = self.by_id.get(&server.id).copied();
             let key =
                 known.unwrap_or_else(|| self.add(&server.id, make(server.start, server.slots)));
             self.update(key, |known| {
                 known.limit.set_server(server.start, server.slots);
-                known.open = *open;
+                known.open = *available;
             });
         }
     }
 
-    fn choose(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+    fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         self.wake_rested(now_ms);
         let bucket = self.filled.checked_ilog2()? as usize;
         let nth = rng.usize(..self.buckets[bucket].len());
@@ -188,7 +188,7 @@
         &self.servers[key].id
     }
 
-    fn finish(&mut self, key: usize, completion: Completion, now_ms: Millis) {
+    fn release(&mut self, key: usize, completion: Completion, now_ms: Millis) {
         if let Completion::Responded { latency_ms } = completion {
             self.learn_usual(latency_ms as f64);
         }
@@ -212,9 +212,9 @@
     /// Changes nothing: the slots taken here are counted exactly, and a report
     /// that lags by a second says "full" of servers that have long been free.
     /// Requests that others sent show in refusals at once.
-    fn report(&mut self, _key: usize, _report: LoadReport) {}
+    fn record_load(&mut self, _key: usize, _report: LoadReport) {}
 
-    fn room(&self) -> Room {
-        self.room
+    fn capacity(&self) -> Capacity {
+        self.capacity
     }
 }
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -13,7 +13,7 @@
     names::{BackendId, InstanceId, ServiceName, StartNumber},
     policy::{Policy, SHIFT_DELAY_MS},
     probe::{self, ProbeReport},
-    route::{RouteServer, hash},
+    route::{ServerStatus, hash},
     topology::Topology,
 };
 
@@ -219,7 +219,7 @@
     }
 
     /// The backend servers of a service, each with whether it may get new work.
-    pub fn route_servers(&self, service: &ServiceName) -> Vec<RouteServer> {
+    pub fn route_servers(&self, service: &ServiceName) -> Vec<ServerStatus> {
         let drains = self.policies.get(service).map(|policy| &policy.drains);
         let servers = self.backends.get(service).map_or(&[][..], |servers| servers);
         let is_open = |server: &BackendServer| {
@@ -230,7 +230,7 @@
         };
         servers
             .iter()
-            .map(|server| RouteServer { server: server.clone(), open: is_open(server) })
+            .map(|server| ServerStatus { server: server.clone(), available: is_open(server) })
             .collect()
     }
 
--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -282,7 +282,7 @@
             let zone = self.zones.iter_mut().find(|zone| zone.name == server.server.zone);
             let Some(zone) = zone else { continue };
             zone.listed = true;
-            zone.open |= server.open;
+            zone.open |= server.available;
         }
     }
 
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -240,7 +240,7 @@
 
 fn open(snapshot: &Snapshot) -> usize {
     let servers = snapshot.route_servers(&ServiceName::new("desk"));
-    servers.iter().filter(|server| server.open).count()
+    servers.iter().filter(|server| server.available).count()
 }
 
 fn backends(indices: &[usize]) -> BTreeSet<BackendId> {
--- a/crates/azuregate-lab/src/baselines.rs
+++ b/crates/azuregate-lab/src/baselines.rs
@@ -6,7 +6,7 @@
 use azuregate::dispatch::Rule;
 use azuregate_core::{
     names::BackendId,
-    route::{Completion, LoadReport, Place, Room, RouteServer, Router},
+    route::{Capacity, Completion, LoadReport, Locality, Router, ServerStatus},
     time::Millis,
 };
 
@@ -45,16 +45,16 @@
 }
 
 impl Servers {
-    fn set(&mut self, servers: &[RouteServer]) {
+    fn set(&mut self, servers: &[ServerStatus]) {
         for known in &mut self.all {
             known.open = false;
         }
-        for RouteServer { server, open } in servers {
+        for ServerStatus { server, available } in servers {
             match self.all.iter_mut().find(|known| known.id == server.id) {
-                Some(known) => known.open = *open,
+                Some(known) => known.open = *available,
                 None => self.all.push(Server {
                     id: server.id.clone(),
-                    open: *open,
+                    open: *available,
                     in_use: 0,
                     report: None,
                 }),
@@ -72,9 +72,9 @@
     }
 
     /// They count no slots, and never make a request wait for one.
-    fn room(&self) -> Room {
+    fn room(&self) -> Capacity {
         let open = self.open().next().is_some();
-        if open { Room { free: u32::MAX, slots: u32::MAX } } else { Room::default() }
+        if open { Capacity { free: u32::MAX, total: u32::MAX } } else { Capacity::default() }
     }
 
     fn finish(&mut self, key: usize) {
@@ -104,7 +104,7 @@
 
 macro_rules! delegate {
     () => {
-        fn set_servers(&mut self, _place: Place<'_>, servers: &[RouteServer]) {
+        fn set_servers(&mut self, _locality: Locality<'_>, servers: &[ServerStatus]) {
             self.servers.set(servers);
         }
 
@@ -112,15 +112,15 @@
             &self.servers.all[key].id
         }
 
-        fn finish(&mut self, key: usize, _completion: Completion, _now_ms: Millis) {
+        fn release(&mut self, key: usize, _completion: Completion, _now_ms: Millis) {
             self.servers.finish(key);
         }
 
-        fn report(&mut self, key: usize, report: LoadReport) {
+        fn record_load(&mut self, key: usize, report: LoadReport) {
             self.servers.all[key].report = Some(report);
         }
 
-        fn room(&self) -> Room {
+        fn capacity(&self) -> Capacity {
             self.servers.room()
         }
     };
@@ -129,7 +129,7 @@
 impl Router for Random {
     delegate!();
 
-    fn choose(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+    fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         let count = self.servers.open().count();
         let nth = if count == 0 { return None } else { rng.usize(..count) };
         let key = self.servers.open().nth(nth)?;
@@ -140,7 +140,7 @@
 impl Router for RoundRobin {
     delegate!();
 
-    fn choose(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+    fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         // Instances that all start at the first server would move in step.
         let count = self.servers.all.len();
         let last = *self.last.get_or_insert_with(|| rng.usize(..count.max(1)));
@@ -154,7 +154,7 @@
 impl Router for LeastLoad {
     delegate!();
 
-    fn choose(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+    fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         let load = |key: usize| self.servers.all[key].report.map_or(0, |report| report.in_use);
         let least = self.servers.open().map(load).min()?;
         let ties: Vec<_> = self.servers.open().filter(|&key| load(key) == least).collect();
--- a/crates/azuregate-lab/tests/baselines.rs
+++ b/crates/azuregate-lab/tests/baselines.rs
@@ -7,7 +7,7 @@
 use azuregate::dispatch::Rule;
 use azuregate_core::{
     names::{BackendId, ServiceName, StartNumber, ZoneName},
-    route::{Completion, LoadReport, Place, RouteServer, Router},
+    route::{Completion, LoadReport, Locality, Router, ServerStatus},
     snapshot::{BackendServer, Liveness},
     time::Millis,
     topology::Topology,
@@ -32,12 +32,12 @@
             slots: 3,
             liveness: Liveness::Live,
         };
-        RouteServer { server, open }
+        ServerStatus { server, available: open }
     });
     let topology =
         Topology { regions: Vec::new(), zone_delay_ms: 0, region_delay_ms: 0, link_mbit_per_s: 0 };
-    let place = Place { topology: &topology, zone: &ZoneName::new("a") };
-    router.set_servers(place, &servers.collect::<Vec<_>>());
+    let locality = Locality { topology: &topology, zone: &ZoneName::new("a") };
+    router.set_servers(locality, &servers.collect::<Vec<_>>());
 }
 
 /// How often each server was chosen in `count` choices.
@@ -45,9 +45,9 @@
     let mut rng = fastrand::Rng::with_seed(7);
     let mut chosen = BTreeMap::new();
     for _ in 0..count {
-        let key = router.choose(NOW_MS, &mut rng).unwrap();
+        let key = router.acquire(NOW_MS, &mut rng).unwrap();
         *chosen.entry(key).or_default() += 1;
-        router.finish(key, Completion::Responded { latency_ms: 1 }, NOW_MS);
+        router.release(key, Completion::Responded { latency_ms: 1 }, NOW_MS);
     }
     chosen
 }
@@ -72,7 +72,7 @@
         set(router.as_mut(), [true, false, true]);
         assert!(!choose(router.as_mut(), 100).contains_key(&1), "{rule}");
         set(router.as_mut(), [false; 3]);
-        assert_eq!(router.choose(NOW_MS, &mut fastrand::Rng::with_seed(1)), None, "{rule}");
+        assert_eq!(router.acquire(NOW_MS, &mut fastrand::Rng::with_seed(1)), None, "{rule}");
     }
 }
 
@@ -83,7 +83,7 @@
     let mut router = router("least-load");
     set(router.as_mut(), [true; 3]);
     for (key, in_use) in [(0, 3), (1, 0), (2, 2)] {
-        router.report(key, LoadReport { in_use, slots: 3, at_ms: NOW_MS });
+        router.record_load(key, LoadReport { in_use, slots: 3, at_ms: NOW_MS });
     }
     assert_eq!(choose(router.as_mut(), 50), BTreeMap::from([(1, 50)]));
 }
--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -233,7 +233,8 @@
         return false;
     };
     let servers = snapshot.route_servers(&server.service);
-    let open = servers.iter().filter(|other| other.open && other.server.id != *backend).count();
+    let open =
+        servers.iter().filter(|other| other.available && other.server.id != *backend).count();
     open * 2 >= servers.len()
 }
 
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -115,5 +115,5 @@
 
 fn shut_servers(snapshot: &Snapshot) -> BTreeSet<std::net::SocketAddr> {
     let servers = snapshot.backends.keys().flat_map(|service| snapshot.route_servers(service));
-    servers.filter(|server| !server.open).map(|server| server.server.addr).collect()
+    servers.filter(|server| !server.available).map(|server| server.server.addr).collect()
 }
