--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -12,7 +12,7 @@
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
-    route::hash::score,
+    route::hash::stable_hash,
     topology::Distance,
 };
 
@@ -198,7 +198,7 @@
         self.next_handle += 1;
         let node = Node {
             handle: BackendHandle(self.next_handle),
-            seed: score(&[backend.id.as_str()]),
+            seed: stable_hash(&[backend.id.as_str()]),
             distance: self.settings.distance(&backend.zone),
             is_evacuated: self.evacuated.contains(&backend.zone),
             cold_until_ms: now_ms + backend.cold_left_ms,
--- a/crates/azuregate-core/src/balance/cold.rs
+++ b/crates/azuregate-core/src/balance/cold.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::route::hash::score;
+use crate::route::hash::stable_hash;
 
 /// How many instances send to one cold backend server at the most.
 ///
@@ -39,11 +39,11 @@
         instances: impl Iterator<Item = &'a str>,
         rate_per_s: f64,
     ) -> u32 {
-        let own = score(&[backend, instance]);
+        let own = stable_hash(&[backend, instance]);
         let (mut total, mut higher) = (0, 0);
         for other in instances {
             total += 1;
-            higher += usize::from(other != instance && score(&[backend, other]) > own);
+            higher += usize::from(other != instance && stable_hash(&[backend, other]) > own);
         }
         let senders = SENDERS.min(total.max(1));
         if higher >= senders {
--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     names::{InstanceId, RegionName, StartNumber, ZoneName},
-    route::hash::score,
+    route::hash::stable_hash,
 };
 
 /// How many addresses a lookup names at the most.
@@ -142,7 +142,7 @@
             .filter(|known| self.is_usable(known, now_ms))
             .map(|known| {
                 let rank = self.rank(known, zone, region);
-                (rank, score(&[zone, known.member.instance.as_str()]), known)
+                (rank, stable_hash(&[zone, known.member.instance.as_str()]), known)
             })
             .collect();
         ranked.sort_by_key(|&(rank, score, _)| (rank, score));
--- a/crates/azuregate-core/src/balance/sources.rs
+++ b/crates/azuregate-core/src/balance/sources.rs
@@ -1,7 +1,7 @@
 //! Which instances watch the store for all.
 
 use super::{Member, Members};
-use crate::{names::RegionName, route::hash::score};
+use crate::{names::RegionName, route::hash::stable_hash};
 
 /// Up to so many instances all follow the two that watch the store.
 const DIRECT_LIMIT: usize = 16;
@@ -42,7 +42,7 @@
 
     fn watchers(&self, now_ms: u64) -> Vec<&Member> {
         let mut ranked: Vec<&Member> = self.possible_watchers(now_ms).collect();
-        ranked.sort_by_cached_key(|member| score(&["watcher", member.instance.as_str()]));
+        ranked.sort_by_cached_key(|member| stable_hash(&["watcher", member.instance.as_str()]));
         let Some((&first, rest)) = ranked.split_first() else { return Vec::new() };
         let elsewhere = |other: &&&Member| self.region(other) != self.region(first);
         let second = rest.iter().find(elsewhere).or(rest.first()).copied();
@@ -54,7 +54,7 @@
         let Some(zone) = self.own_zone() else { return Vec::new() };
         let in_zone = self.possible_watchers(now_ms).filter(|member| member.zone == *zone);
         let mut ranked: Vec<&Member> = in_zone.collect();
-        ranked.sort_by_cached_key(|member| score(&["relay", member.instance.as_str()]));
+        ranked.sort_by_cached_key(|member| stable_hash(&["relay", member.instance.as_str()]));
         ranked.truncate(2);
         ranked
     }
--- a/crates/azuregate-core/src/claim.rs
+++ b/crates/azuregate-core/src/claim.rs
@@ -76,7 +76,7 @@
 pub fn cleaner(instances: &[Instance], now_ms: Millis) -> Option<&InstanceId> {
     let turn = (now_ms.0 / TURN_MS).to_string();
     let live = instances.iter().filter(|instance| instance.liveness == Liveness::Live);
-    live.map(|instance| &instance.id).max_by_key(|id| hash::score(&[id.as_str(), &turn]))
+    live.map(|instance| &instance.id).max_by_key(|id| hash::stable_hash(&[id.as_str(), &turn]))
 }
 
 /// How a claimed request ended.
--- a/crates/azuregate-core/src/entries.rs
+++ b/crates/azuregate-core/src/entries.rs
@@ -67,7 +67,7 @@
 
 /// Which of the [`VARIANTS`] orders callers at `salt` get.
 pub fn variant(salt: &str) -> u8 {
-    (hash::score(&[salt]) % u64::from(VARIANTS)) as u8
+    (hash::stable_hash(&[salt]) % u64::from(VARIANTS)) as u8
 }
 
 /// The first [`ENTRIES_LIMIT`] entry instances for callers near `zone`.
@@ -88,7 +88,7 @@
     live.sort_by_cached_key(|instance| {
         let distance = snapshot.topology.distance(zone, &instance.zone);
         let dispatches = dispatcher.as_ref() == Some(&instance.id);
-        (!dispatches, distance, hash::score(&[instance.id.as_str(), &salt]))
+        (!dispatches, distance, hash::stable_hash(&[instance.id.as_str(), &salt]))
     });
     live.truncate(ENTRIES_LIMIT);
     live
--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -65,7 +65,7 @@
         let others = instances.iter().filter(|other| other.id != this.id);
         return others.map(|other| &other.id).collect();
     }
-    let score = |name: &str| hash::score(&[this.id.as_str(), name]);
+    let score = |name: &str| hash::stable_hash(&[this.id.as_str(), name]);
     let mut away: Vec<_> = zones.keys().filter(|zone| ***zone != this.zone).collect();
     away.sort_by_cached_key(|zone| score(zone.as_str()));
     away.truncate(PICKS_AWAY);
@@ -89,7 +89,7 @@
     count: usize,
 ) -> Vec<&'a InstanceId> {
     let mut scored: Vec<_> = instances.collect();
-    scored.sort_by_cached_key(|id| hash::score(&[name, id.as_str()]));
+    scored.sort_by_cached_key(|id| hash::stable_hash(&[name, id.as_str()]));
     scored.truncate(count);
     scored
 }
--- a/crates/azuregate-core/src/route/group.rs
+++ b/crates/azuregate-core/src/route/group.rs
@@ -54,7 +54,7 @@
     if parts <= 1 {
         return 0;
     }
-    let score = |part: &u16| hash::score(&[server.as_str(), &part.to_string()]);
+    let score = |part: &u16| hash::stable_hash(&[server.as_str(), &part.to_string()]);
     (0..parts).max_by_key(score).unwrap_or(0)
 }
 
@@ -74,7 +74,7 @@
     instances.sort_by_cached_key(|instance| {
         let distance = topology.distance(&group.zone, &instance.zone);
         let parts = [instance.id.as_str(), service, group.zone.as_str(), &part];
-        (distance, std::cmp::Reverse(hash::score(&parts)))
+        (distance, std::cmp::Reverse(hash::stable_hash(&parts)))
     });
 }
 
--- a/crates/azuregate-core/src/route/hash.rs
+++ b/crates/azuregate-core/src/route/hash.rs
@@ -6,7 +6,7 @@
 ///
 /// A separator goes between the parts, so that `["ab", "c"]` and `["a", "bc"]`
 /// differ.
-pub fn score(parts: &[&str]) -> u64 {
+pub fn stable_hash(parts: &[&str]) -> u64 {
     let mut hasher = Xxh3::new();
     for part in parts {
         hasher.update(part.as_bytes());
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -143,7 +143,7 @@
             .flat_map(|policy| [policy.service.to_string(), policy.version.to_string()]);
         let versions: Vec<String> = versions.collect();
         let parts: Vec<&str> = versions.iter().map(String::as_str).collect();
-        hash::score(&parts)
+        hash::stable_hash(&parts)
     }
 
     /// The server with this name, as the platform lists it.
--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -99,7 +99,7 @@
             let parts = [self.service.as_str(), self.instance.as_str(), name.as_str()];
             // Instances that all started at the same credit would move their
             // next request at the same time.
-            let phase = hash::score(&parts) as f64 / u64::MAX as f64;
+            let phase = hash::stable_hash(&parts) as f64 / u64::MAX as f64;
             self.zones.push(Zone {
                 name: name.clone(),
                 region: topology.region_of(name).cloned(),
@@ -113,7 +113,7 @@
         // Zones equally near are ordered differently on each instance, or all
         // would fail over to the same one.
         self.zones.sort_by_key(|zone| {
-            let spread = hash::score(&[self.instance.as_str(), zone.name.as_str()]);
+            let spread = hash::stable_hash(&[self.instance.as_str(), zone.name.as_str()]);
             (topology.distance(&self.from, &zone.name), spread)
         });
     }
--- a/crates/azuregate-core/tests/routing/world.rs
+++ b/crates/azuregate-core/tests/routing/world.rs
@@ -18,7 +18,7 @@
 
 /// A generator whose seed follows from the test's name.
 pub(crate) fn rng(test: &str) -> fastrand::Rng {
-    fastrand::Rng::with_seed(hash::score(&[test]))
+    fastrand::Rng::with_seed(hash::stable_hash(&[test]))
 }
 
 pub(crate) fn zone(name: &str) -> ZoneName {
--- a/crates/azuregate-core/tests/shift.rs
+++ b/crates/azuregate-core/tests/shift.rs
@@ -194,7 +194,7 @@
 }
 
 fn config(test: &str) -> ProptestConfig {
-    let seed = azuregate_core::route::hash::score(&[test]);
+    let seed = azuregate_core::route::hash::stable_hash(&[test]);
     ProptestConfig {
         cases: 40,
         failure_persistence: None,
--- a/crates/azuregate-lab/tests/processes/deployment.rs
+++ b/crates/azuregate-lab/tests/processes/deployment.rs
@@ -134,7 +134,7 @@
     let mut example = Example::load(file.as_ref()).unwrap();
     // Two checkouts may test at once on one machine, so the folder counts too.
     let checkout = env!("CARGO_TARGET_TMPDIR");
-    let [.., second, third] = hash::score(&[test, checkout]).to_be_bytes();
+    let [.., second, third] = hash::stable_hash(&[test, checkout]).to_be_bytes();
     let ip = |last: u8| IpAddr::V4(Ipv4Addr::new(127, 64 + second / 2, third, last));
     example.entries.truncate(3);
     for (entry, last) in example.entries.iter_mut().zip(1..) {
--- a/crates/azuregate/src/gateway/request.rs
+++ b/crates/azuregate/src/gateway/request.rs
@@ -71,7 +71,7 @@
         let timeout_ms = timeout_ms(headers)?;
         let method = request.method();
         let path = request.uri().path_and_query().map_or("/", |path| path.as_str());
-        let fingerprint = hash::score(&[service.as_str(), method.as_str(), path]);
+        let fingerprint = hash::stable_hash(&[service.as_str(), method.as_str(), path]);
         let idempotent = method.is_idempotent() && idempotency_key.is_none();
         let class = class(method, idempotency_key.is_some());
         let tenant = tenant(headers)?;
--- a/crates/azuregate/src/operators/edit.rs
+++ b/crates/azuregate/src/operators/edit.rs
@@ -44,7 +44,7 @@
     pub(crate) fn fingerprint(&self) -> String {
         let edit = serde_json::to_string(&self.edit).unwrap_or_default();
         let based_on = self.based_on_version.map_or_else(String::new, |v| v.to_string());
-        format!("{:016x}", hash::score(&[self.service.as_str(), &based_on, &edit]))
+        format!("{:016x}", hash::stable_hash(&[self.service.as_str(), &based_on, &edit]))
     }
 }
 
--- a/crates/azuregate/tests/configuration/mesh.rs
+++ b/crates/azuregate/tests/configuration/mesh.rs
@@ -43,7 +43,8 @@
 /// IP numbers of one test of one run: another run of the same tests on this
 /// machine would otherwise hold the ports.
 fn ip(test: u8, last: u8) -> IpAddr {
-    let [.., run_high, run_low] = hash::score(&[&std::process::id().to_string()]).to_be_bytes();
+    let [.., run_high, run_low] =
+        hash::stable_hash(&[&std::process::id().to_string()]).to_be_bytes();
     IpAddr::V4(Ipv4Addr::new(127, 192 + run_high % 48, (run_low & 0xf0) | test, last))
 }
 
