--- a/crates/azuregate-core/src/entries.rs
+++ b/crates/azuregate-core/src/entries.rs
@@ -108,7 +108,7 @@
     if in_zone == 0 {
         return None;
     }
-    let part = u16::from(variant) % group::parts(in_zone);
+    let part = u16::from(variant) % group::partition_count(in_zone);
     let id = GroupId { zone: zone.clone(), part };
     let mut live = live.to_vec();
     group::sort_by_preference(&mut live, &snapshot.topology, service.as_str(), &id);
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -61,8 +61,8 @@
         }
         for server in servers {
             let zone = server.server.zone.clone();
-            let parts = group::parts(count_by_zone[&zone]);
-            let part = group::part_of(&server.server.id, parts);
+            let partitions = group::partition_count(count_by_zone[&zone]);
+            let part = group::partition_of(&server.server.id, partitions);
             by_group.entry(GroupId { zone, part }).or_default().push(server);
         }
         by_group
--- a/crates/azuregate-core/src/route/group.rs
+++ b/crates/azuregate-core/src/route/group.rs
@@ -15,7 +15,7 @@
 ///
 /// One instance carries the dispatching of a whole group, so a large service in
 /// one availability zone is split.
-pub const GROUP_SIZE: usize = 64;
+pub const TARGET_GROUP_SIZE: usize = 64;
 
 /// Names a group of one service's backend servers.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -42,20 +42,20 @@
 }
 
 /// How many parts a zone with `servers` backend servers is split into.
-pub fn parts(servers: usize) -> u16 {
-    u16::try_from(servers.div_ceil(GROUP_SIZE)).unwrap_or(u16::MAX).max(1)
+pub fn partition_count(servers: usize) -> u16 {
+    u16::try_from(servers.div_ceil(TARGET_GROUP_SIZE)).unwrap_or(u16::MAX).max(1)
 }
 
 /// The part that a server belongs to.
 ///
 /// By rendezvous hashing, so that only one server in `parts` moves when a part
 /// is added.
-pub fn part_of(server: &BackendId, parts: u16) -> u16 {
-    if parts <= 1 {
+pub fn partition_of(server: &BackendId, partitions: u16) -> u16 {
+    if partitions <= 1 {
         return 0;
     }
     let score = |part: &u16| hash::stable_hash(&[server.as_str(), &part.to_string()]);
-    (0..parts).max_by_key(score).unwrap_or(0)
+    (0..partitions).max_by_key(score).unwrap_or(0)
 }
 
 /// Sorts instances into the order in which they dispatch for a group: those in
--- a/crates/azuregate-core/tests/routing/groups.rs
+++ b/crates/azuregate-core/tests/routing/groups.rs
@@ -51,10 +51,11 @@
 fn a_large_zone_is_split_and_grows_by_moving_few() {
     let cases = [(0, 1), (1, 1), (64, 1), (65, 2), (1_000, 16)];
     for (servers, parts) in cases {
-        assert_eq!(group::parts(servers), parts, "{servers} servers");
+        assert_eq!(group::partition_count(servers), parts, "{servers} servers");
     }
     let servers: Vec<_> = (0..1_000).map(|nth| BackendId::new(&format!("s{nth}"))).collect();
-    let moved = servers.iter().filter(|s| group::part_of(s, 15) != group::part_of(s, 16)).count();
+    let moved =
+        servers.iter().filter(|s| group::partition_of(s, 15) != group::partition_of(s, 16)).count();
     assert!((30..=100).contains(&moved), "{moved} of 1000 moved");
 }
 
