--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -6,7 +6,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::{
         Completion, SlotTable,
-        dispatch::{Ask, Config, Dispatch, Grouping, Step},
+        dispatch::{Config, Decision, Dispatch, DispatchRequest, Grouping},
         group::GroupLoad,
     },
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -92,8 +92,15 @@
     plan
 }
 
-fn ask(plan: &[ZoneName]) -> Ask<'_> {
-    Ask { ticket: 1, plan, wait_ms: 200, left_ms: 10_000, up_bytes: 0, idempotent: true }
+fn request(plan: &[ZoneName]) -> DispatchRequest<'_> {
+    DispatchRequest {
+        ticket: 1,
+        zones: plan,
+        max_wait_ms: 200,
+        remaining_ms: 10_000,
+        body_bytes: 0,
+        idempotent: true,
+    }
 }
 
 /// A choice and its end, with a free slot in the own zone.
@@ -104,8 +111,10 @@
         let (plan, mut rng) = (plan(), fastrand::Rng::with_seed(1));
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
-                let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
-                let Step::Serve(slot) = step else { panic!("not served here: {step:?}") };
+                let decision = dispatch.place(black_box(&request(&plan)), NOW_MS, &mut rng);
+                let Decision::Serve(slot) = decision else {
+                    panic!("not served here: {decision:?}")
+                };
                 dispatch.finish(&slot, Completion::Responded { latency_ms: 20 }, NOW_MS);
             });
         });
@@ -124,8 +133,10 @@
         fill(&mut dispatch, &plan, &mut rng);
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
-                let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
-                let Step::HandOver(hand_over) = step else { panic!("not handed over: {step:?}") };
+                let decision = dispatch.place(black_box(&request(&plan)), NOW_MS, &mut rng);
+                let Decision::HandOver(hand_over) = decision else {
+                    panic!("not handed over: {decision:?}")
+                };
                 dispatch.finish_hand_over(
                     &hand_over,
                     Completion::Responded { latency_ms: 20 },
@@ -141,13 +152,15 @@
 /// the last of the plan say that its own are full.
 fn fill(dispatch: &mut Dispatch, plan: &[ZoneName], rng: &mut fastrand::Rng) {
     let own = [plan[0].clone()];
-    let patient = Ask { wait_ms: 60_000, left_ms: 60_000, ..ask(&own) };
-    while !matches!(dispatch.place(&patient, NOW_MS, rng), Step::Refuse(_)) {}
+    let patient = DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..request(&own) };
+    while !matches!(dispatch.place(&patient, NOW_MS, rng), Decision::Refuse(_)) {}
     for zone in &plan[1..] {
         let one = [zone.clone()];
         let last = zone == &plan[plan.len() - 1];
         for _ in 0..64 {
-            let Step::HandOver(hand_over) = dispatch.place(&ask(&one), NOW_MS, rng) else { break };
+            let Decision::HandOver(hand_over) = dispatch.place(&request(&one), NOW_MS, rng) else {
+                break;
+            };
             let from = dispatch.dispatcher_id(&hand_over).clone();
             let group = dispatch.group_id(hand_over.group).clone();
             let (free, queued) = if last { (1_000, 0) } else { (0, 1_000) };
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -12,7 +12,7 @@
 //!     names::{InstanceId, ServiceName, StartNumber, ZoneName},
 //!     route::{
 //!         SlotTable,
-//!         dispatch::{Ask, Config, Dispatch, Grouping, Step},
+//!         dispatch::{DispatchRequest, Config, Dispatch, Grouping, Decision},
 //!     },
 //!     time::Millis,
 //! };
@@ -27,9 +27,9 @@
 //! });
 //! // No server is listed yet.
 //! let plan = [ZoneName::new("sofia-a")];
-//! let ask = Ask { ticket: 1, plan: &plan, wait_ms: 100, left_ms: 1_000, up_bytes: 0, idempotent: true };
-//! let step = dispatch.place(&ask, Millis(0), &mut fastrand::Rng::with_seed(1));
-//! assert!(matches!(step, Step::Refuse(_)));
+//! let request = DispatchRequest { ticket: 1, zones: &plan, max_wait_ms: 100, remaining_ms: 1_000, body_bytes: 0, idempotent: true };
+//! let decision = dispatch.place(&request, Millis(0), &mut fastrand::Rng::with_seed(1));
+//! assert!(matches!(decision, Decision::Refuse(_)));
 //! ```
 
 mod end;
@@ -86,24 +86,24 @@
 
 /// A request that wants a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
+pub struct DispatchRequest<'a> {
     /// Names the request while it waits.
     pub ticket: u64,
     /// The availability zones that it may go to, the one to prefer first.
-    pub plan: &'a [ZoneName],
+    pub zones: &'a [ZoneName],
     /// How long it may wait for a slot.
-    pub wait_ms: u64,
+    pub max_wait_ms: u64,
     /// How long its caller waits for the answer.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// The length of its body, as far as it is known.
-    pub up_bytes: u64,
+    pub body_bytes: u64,
     /// Whether it may be sent twice.
     pub idempotent: bool,
 }
 
 /// What becomes of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
+pub enum Decision {
     /// It goes to a backend server from here.
     Serve(Slot),
     /// It goes to the dispatcher of another group.
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -5,7 +5,7 @@
 use crate::{
     names::InstanceId,
     route::{
-        dispatch::{Ask, Dispatch, HandOver, Refusal, Slot, Step, Who},
+        dispatch::{Decision, Dispatch, DispatchRequest, HandOver, Refusal, Slot, Who},
         group::GroupId,
         link::Booking,
         queue::{self, Waiting},
@@ -45,11 +45,16 @@
     /// A zone later in the plan than the first has to save more than its longer
     /// way costs: a slot that is free in another region is 40 ms away, and one
     /// here is often free in 5.
-    pub fn place(&mut self, ask: &Ask<'_>, now_ms: Millis, rng: &mut fastrand::Rng) -> Step {
+    pub fn place(
+        &mut self,
+        request: &DispatchRequest<'_>,
+        now_ms: Millis,
+        rng: &mut fastrand::Rng,
+    ) -> Decision {
         let mut best: Option<Candidate> = None;
         let mut crowded = false;
         let mut first_trip_ms = None;
-        for zone in ask.plan {
+        for zone in request.zones {
             let Some(groups) = self.by_zone.get(zone).cloned() else {
                 continue;
             };
@@ -59,7 +64,7 @@
                 Some(first_ms) => round_trip_ms.abs_diff(first_ms).max(MOVE_MS),
             };
             first_trip_ms.get_or_insert(round_trip_ms);
-            let Some(mut candidate) = self.best_of(groups, ask, now_ms) else {
+            let Some(mut candidate) = self.best_of(groups, request, now_ms) else {
                 crowded = true;
                 continue;
             };
@@ -73,12 +78,12 @@
             }
         }
         match best {
-            Some(candidate) => self.send(candidate, ask, now_ms, rng),
-            None if ask.plan.is_empty() && !self.by_zone.is_empty() => {
-                Step::Refuse(Refusal::cap_reached())
+            Some(candidate) => self.send(candidate, request, now_ms, rng),
+            None if request.zones.is_empty() && !self.by_zone.is_empty() => {
+                Decision::Refuse(Refusal::cap_reached())
             }
-            None if crowded => Step::Refuse(Refusal::no_link()),
-            None => Step::Refuse(Refusal::no_backend()),
+            None if crowded => Decision::Refuse(Refusal::no_link()),
+            None => Decision::Refuse(Refusal::no_backend()),
         }
     }
 
@@ -88,33 +93,33 @@
         &mut self,
         from: &InstanceId,
         group: &GroupId,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
         rng: &mut fastrand::Rng,
-    ) -> Step {
+    ) -> Decision {
         let Some(&index) = self.by_id.get(group) else {
-            return Step::Refuse(Refusal::no_backend());
+            return Decision::Refuse(Refusal::no_backend());
         };
         let peer = self.peers.index(from);
         self.groups[index].enter(peer, now_ms);
-        let step = self.place_here(index, Some(peer), ask, now_ms, rng);
-        if matches!(step, Step::Refuse(_)) {
+        let decision = self.place_here(index, Some(peer), request, now_ms, rng);
+        if matches!(decision, Decision::Refuse(_)) {
             self.groups[index].leave(Some(peer));
         }
-        step
+        decision
     }
 
     /// The best of one zone's groups; `None` when the link there has no room.
     fn best_of(
         &mut self,
         groups: Range<usize>,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Option<Candidate> {
-        let booking = self.link_room(self.open[groups.start], ask, now_ms)?;
+        let booking = self.link_room(self.open[groups.start], request, now_ms)?;
         let mut best: Option<Candidate> = None;
         for nth in groups {
-            let candidate = self.candidate(self.open[nth], booking, ask, now_ms);
+            let candidate = self.candidate(self.open[nth], booking, request, now_ms);
             if best.is_none_or(|best| candidate.order() < best.order()) {
                 best = Some(candidate);
             }
@@ -136,23 +141,23 @@
     fn link_room(
         &mut self,
         group: usize,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Option<Option<Booking>> {
         let Some(link) = self.groups[group].link else {
             return Some(None);
         };
-        self.links.room(link, ask.up_bytes, now_ms).map(Some)
+        self.links.room(link, request.body_bytes, now_ms).map(Some)
     }
 
     fn candidate(
         &mut self,
         index: usize,
         booking: Option<Booking>,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Candidate {
-        let who = self.dispatcher(index, ask.idempotent, now_ms);
+        let who = self.dispatcher(index, request.idempotent, now_ms);
         let group = &mut self.groups[index];
         let (free, wait_ms, queued) = match who {
             Who::Me => (group.free(), group.wait_ms(), group.queue.len()),
@@ -171,21 +176,21 @@
     fn send(
         &mut self,
         candidate: Candidate,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
         rng: &mut fastrand::Rng,
-    ) -> Step {
+    ) -> Decision {
         let Candidate { group, who, booking, wait_ms, full, .. } = candidate;
         let Who::Peer(peer) = who else {
-            return self.place_here(group, None, ask, now_ms, rng);
+            return self.place_here(group, None, request, now_ms, rng);
         };
         // The dispatcher would only say the same, a round trip later.
         if full {
-            return Step::Refuse(Refusal::queue_full(wait_ms));
+            return Decision::Refuse(Refusal::queue_full(wait_ms));
         }
         let wait_ms = wait_ms + self.groups[group].round_trip_ms;
-        if wait_ms > ask.wait_ms || wait_ms >= ask.left_ms {
-            return Step::Refuse(Refusal::too_late(wait_ms));
+        if wait_ms > request.max_wait_ms || wait_ms >= request.remaining_ms {
+            return Decision::Refuse(Refusal::too_late(wait_ms));
         }
         self.hand_over(group, peer, booking, now_ms)
     }
@@ -194,36 +199,42 @@
         &mut self,
         group: usize,
         from: Option<usize>,
-        ask: &Ask<'_>,
+        request: &DispatchRequest<'_>,
         now_ms: Millis,
         rng: &mut fastrand::Rng,
-    ) -> Step {
+    ) -> Decision {
         if self.groups[group].listed_slots == 0 {
-            return Step::Refuse(Refusal::no_backend());
+            return Decision::Refuse(Refusal::no_backend());
         }
         if self.groups[group].queue.is_empty() {
             // Who handed it over has looked at the link; what is held here counts
             // all the same.
-            let booking = self.link_room(group, ask, now_ms).flatten();
+            let booking = self.link_room(group, request, now_ms).flatten();
             if let Some(slot) = self.take_slot(group, booking, now_ms, rng) {
-                return Step::Serve(Slot { from, ..slot });
+                return Decision::Serve(Slot { from, ..slot });
             }
         }
-        self.enqueue(group, from, ask)
+        self.enqueue(group, from, request)
     }
 
-    fn enqueue(&mut self, index: usize, from: Option<usize>, ask: &Ask<'_>) -> Step {
+    fn enqueue(
+        &mut self,
+        index: usize,
+        from: Option<usize>,
+        request: &DispatchRequest<'_>,
+    ) -> Decision {
         let group = &mut self.groups[index];
         let wait_ms = group.wait_ms();
         if group.queue.len() >= queue::limit(group.listed_slots) {
-            return Step::Refuse(Refusal::queue_full(wait_ms));
+            return Decision::Refuse(Refusal::queue_full(wait_ms));
         }
-        let in_time = wait_ms <= ask.wait_ms && wait_ms + group.drain.hold_ms() <= ask.left_ms;
+        let in_time = wait_ms <= request.max_wait_ms
+            && wait_ms + group.drain.hold_ms() <= request.remaining_ms;
         if !in_time {
-            return Step::Refuse(Refusal::too_late(wait_ms));
+            return Decision::Refuse(Refusal::too_late(wait_ms));
         }
-        group.queue.push(Waiting { ticket: ask.ticket, from });
-        Step::Wait { group: index }
+        group.queue.push(Waiting { ticket: request.ticket, from });
+        Decision::Wait { group: index }
     }
 
     pub(super) fn take_slot(
@@ -248,12 +259,12 @@
         peer: usize,
         booking: Option<Booking>,
         now_ms: Millis,
-    ) -> Step {
+    ) -> Decision {
         self.peers.send(peer, now_ms);
         self.groups[group].known.send();
         if let Some(booking) = booking {
             self.links.book(booking);
         }
-        Step::HandOver(HandOver { group, peer, booking })
+        Decision::HandOver(HandOver { group, peer, booking })
     }
 }
--- a/crates/azuregate-core/tests/routing/dispatch.rs
+++ b/crates/azuregate-core/tests/routing/dispatch.rs
@@ -4,7 +4,7 @@
     error::ErrorKind,
     route::{
         Completion,
-        dispatch::{Ask, Refusal, Step},
+        dispatch::{Decision, DispatchRequest, Refusal},
     },
     snapshot::{BackendServer, Liveness, Snapshot},
     time::Millis,
@@ -21,8 +21,8 @@
     (Node::new(test, "entry-1", "sofia-a", &snapshot), snapshot)
 }
 
-fn refusal(step: Step) -> Refusal {
-    let Step::Refuse(refusal) = step else { panic!("not refused: {step:?}") };
+fn refusal(decision: Decision) -> Refusal {
+    let Decision::Refuse(refusal) = decision else { panic!("not refused: {decision:?}") };
     refusal
 }
 
@@ -33,12 +33,12 @@
 fn a_request_goes_where_it_starts_first() {
     let (mut node, _) = alone("starts_first");
     let zone_of = |node: &Node, group| node.dispatch.group_id(group).zone.to_string();
-    let mut steps = Vec::new();
+    let mut decisions = Vec::new();
     for _ in 0..21 {
-        steps.push(match node.place(&ALL) {
-            Step::Serve(slot) => zone_of(&node, slot.group),
-            Step::Wait { group } => format!("wait {}", zone_of(&node, group)),
-            step => panic!("{step:?}"),
+        decisions.push(match node.place(&ALL) {
+            Decision::Serve(slot) => zone_of(&node, slot.group),
+            Decision::Wait { group } => format!("wait {}", zone_of(&node, group)),
+            decision => panic!("{decision:?}"),
         });
     }
     let (a, b, far) = ("sofia-a", "sofia-b", ["varna-a", "varna-b"]);
@@ -48,7 +48,7 @@
         // The sixth would wait 40 ms. Of zones equally far, the roomier is taken.
         far[0], far[1], far[0], far[1], far[0], far[1],
     ];
-    assert_eq!(steps[..expected.len()], expected);
+    assert_eq!(decisions[..expected.len()], expected);
 }
 
 #[test]
@@ -79,13 +79,13 @@
         (200, 100, Some(ErrorKind::TooLate)),
         (200, 10_000, None),
     ];
-    for (wait_ms, left_ms, expected) in cases {
-        let ask = Ask { wait_ms, left_ms, ..node.ask(&plan) };
-        let step = node.dispatch.place(&ask, node.now_ms, &mut node.rng);
+    for (max_wait_ms, remaining_ms, expected) in cases {
+        let request = DispatchRequest { max_wait_ms, remaining_ms, ..node.request(&plan) };
+        let decision = node.dispatch.place(&request, node.now_ms, &mut node.rng);
         match expected {
-            None => assert!(matches!(step, Step::Wait { .. }), "{step:?}"),
+            None => assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}"),
             Some(kind) => {
-                let refused = refusal(step);
+                let refused = refusal(decision);
                 assert_eq!(refused.kind, kind);
                 assert!((30..=90).contains(&refused.retry_after_ms), "{refused:?}");
             }
@@ -100,11 +100,12 @@
     let mut waiting = 0;
     let plan = [zone("sofia-a")];
     loop {
-        let ask = Ask { wait_ms: 60_000, left_ms: 60_000, ..node.ask(&plan) };
-        match node.dispatch.place(&ask, node.now_ms, &mut node.rng) {
-            Step::Wait { .. } => waiting += 1,
-            step => {
-                assert_eq!(refusal(step).kind, ErrorKind::QueueFull);
+        let request =
+            DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..node.request(&plan) };
+        match node.dispatch.place(&request, node.now_ms, &mut node.rng) {
+            Decision::Wait { .. } => waiting += 1,
+            decision => {
+                assert_eq!(refusal(decision).kind, ErrorKind::QueueFull);
                 break;
             }
         }
@@ -118,7 +119,7 @@
 fn requests_that_wait_for_a_zone_that_closes_are_refused_at_once() {
     let (mut node, snapshot) = alone("zone_closes");
     node.fill(&["sofia-a"]);
-    assert!(matches!(node.place(&["sofia-a"]), Step::Wait { .. }));
+    assert!(matches!(node.place(&["sofia-a"]), Decision::Wait { .. }));
     let leaving: Vec<_> = snapshot
         .backends
         .values()
--- a/crates/azuregate-core/tests/routing/handing_over.rs
+++ b/crates/azuregate-core/tests/routing/handing_over.rs
@@ -7,7 +7,7 @@
     names::{InstanceId, StartNumber},
     route::{
         Completion,
-        dispatch::{Ask, Slot, Step},
+        dispatch::{Decision, DispatchRequest, Slot},
         group::{GroupId, GroupLoad},
     },
     snapshot::Snapshot,
@@ -31,10 +31,10 @@
 }
 
 /// Hands a request of `from` over to `to`, as the wire would.
-fn arrive(from: &str, to: &mut Node, zone_name: &str) -> Step {
-    let ask = to.ask(&[]);
+fn arrive(from: &str, to: &mut Node, zone_name: &str) -> Decision {
+    let request = to.request(&[]);
     let (now_ms, rng) = (to.now_ms, &mut to.rng);
-    to.dispatch.place_handed(&id(from), &group(zone_name), &ask, now_ms, rng)
+    to.dispatch.place_handed(&id(from), &group(zone_name), &request, now_ms, rng)
 }
 
 /// Brings back the update of `from` about its group, where requests take 100 ms:
@@ -63,7 +63,7 @@
     let mut first = Node::new("sent_since", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("sent_since_2", "entry-2", "sofia-b", &snapshot);
     first.hand_over(&["sofia-b"]);
-    assert!(matches!(arrive("entry-1", &mut second, "sofia-b"), Step::Serve(_)));
+    assert!(matches!(arrive("entry-1", &mut second, "sofia-b"), Decision::Serve(_)));
     answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
@@ -79,7 +79,9 @@
     let mut first = Node::new("old_update", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("old_update_2", "entry-2", "sofia-b", &snapshot);
     let probe = first.hand_over(&["sofia-b"]);
-    let Step::Serve(slot) = arrive("entry-1", &mut second, "sofia-b") else { panic!("refused") };
+    let Decision::Serve(slot) = arrive("entry-1", &mut second, "sofia-b") else {
+        panic!("refused")
+    };
     let completion = Completion::Responded { latency_ms: 20 };
     second.dispatch.finish(&slot, completion, second.now_ms);
     answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
@@ -99,14 +101,16 @@
 fn a_request_that_was_handed_over_goes_no_further() {
     let snapshot = pair();
     let mut first = Node::new("second_hop", "entry-1", "sofia-a", &snapshot);
-    assert!(matches!(first.place(&["sofia-b"]), Step::HandOver(_)));
-    let mut steps = Vec::new();
+    assert!(matches!(first.place(&["sofia-b"]), Decision::HandOver(_)));
+    let mut decisions = Vec::new();
     for _ in 0..40 {
-        steps.push(arrive("entry-2", &mut first, "sofia-b"));
+        decisions.push(arrive("entry-2", &mut first, "sofia-b"));
     }
-    let handed_on = steps.iter().filter(|step| matches!(step, Step::HandOver(_))).count();
-    let served = steps.iter().filter(|step| matches!(step, Step::Serve(_))).count();
-    let refused = steps.iter().filter(|step| matches!(step, Step::Refuse(_))).count();
+    let handed_on =
+        decisions.iter().filter(|decision| matches!(decision, Decision::HandOver(_))).count();
+    let served = decisions.iter().filter(|decision| matches!(decision, Decision::Serve(_))).count();
+    let refused =
+        decisions.iter().filter(|decision| matches!(decision, Decision::Refuse(_))).count();
     assert_eq!((handed_on, served), (0, 3));
     assert!(refused > 0, "the queue is bounded");
 }
@@ -207,7 +211,7 @@
     first.hand_over(&["sofia-b"]);
     let load = GroupLoad { queued: 12, slots: 3, service_ms: 1, seen: 1, ..Default::default() };
     first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
-    let Step::Refuse(refusal) = first.place(&["sofia-b"]) else { panic!("not refused") };
+    let Decision::Refuse(refusal) = first.place(&["sofia-b"]) else { panic!("not refused") };
     assert_eq!(refusal.kind, ErrorKind::QueueFull);
     first.now_ms = first.now_ms + Millis(301);
     first.hand_over(&["sofia-b"]);
@@ -252,9 +256,9 @@
     assert!(pass(&mut first, 600));
     assert!(!pass(&mut first, 1_000), "it is told once");
     let plan = [zone("sofia-b")];
-    let order = Ask { idempotent: false, ..first.ask(&plan) };
-    let step = first.dispatch.place(&order, first.now_ms, &mut first.rng);
-    assert!(matches!(step, Step::Serve(_)), "{step:?}");
+    let order = DispatchRequest { idempotent: false, ..first.request(&plan) };
+    let decision = first.dispatch.place(&order, first.now_ms, &mut first.rng);
+    assert!(matches!(decision, Decision::Serve(_)), "{decision:?}");
     first.hand_over(&["sofia-b"]);
     assert!(pass(&mut first, 600));
 }
--- a/crates/azuregate-core/tests/routing/links.rs
+++ b/crates/azuregate-core/tests/routing/links.rs
@@ -4,7 +4,7 @@
     error::ErrorKind,
     names::RegionName,
     route::{
-        dispatch::{Ask, Step},
+        dispatch::{Decision, DispatchRequest},
         link::Links,
     },
     snapshot::{InstanceList, Snapshot},
@@ -98,10 +98,10 @@
     let link = slot.booking.expect("it crosses a link").link;
     node.dispatch.passed(link, 999_999, 0, node.now_ms);
     let plan = [zone("varna-a")];
-    let ask = Ask { up_bytes: 2, ..node.ask(&plan) };
-    let step = node.dispatch.place(&ask, node.now_ms, &mut node.rng);
-    let Step::Refuse(refusal) = step else { panic!("{step:?}") };
+    let request = DispatchRequest { body_bytes: 2, ..node.request(&plan) };
+    let decision = node.dispatch.place(&request, node.now_ms, &mut node.rng);
+    let Decision::Refuse(refusal) = decision else { panic!("{decision:?}") };
     assert_eq!(refusal.kind, ErrorKind::QueueFull);
     node.now_ms = node.now_ms + SECOND_MS;
-    assert!(matches!(node.place(&["varna-a"]), Step::Serve(_)));
+    assert!(matches!(node.place(&["varna-a"]), Decision::Serve(_)));
 }
--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -6,7 +6,7 @@
     names::BackendId,
     route::{
         Completion,
-        dispatch::{Slot, Step},
+        dispatch::{Decision, Slot},
     },
     snapshot::{BackendServer, Liveness},
     time::Millis,
@@ -100,13 +100,13 @@
     fn acquire(&mut self) {
         self.tickets += 1;
         match self.node.place(&[ZONE]) {
-            Step::Serve(slot) => {
+            Decision::Serve(slot) => {
                 assert!(self.waiting.is_empty(), "nobody overtakes the queue");
                 self.take(slot);
             }
-            Step::Wait { .. } => self.waiting.push_back(self.tickets),
-            Step::Refuse(_) => {}
-            Step::HandOver(_) => panic!("there is nobody to hand over to"),
+            Decision::Wait { .. } => self.waiting.push_back(self.tickets),
+            Decision::Refuse(_) => {}
+            Decision::HandOver(_) => panic!("there is nobody to hand over to"),
         }
     }
 
--- a/crates/azuregate-core/tests/routing/world.rs
+++ b/crates/azuregate-core/tests/routing/world.rs
@@ -6,7 +6,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::{
         SlotTable,
-        dispatch::{Ask, Config, Dispatch, Grouping, HandOver, Slot, Step},
+        dispatch::{Config, Decision, Dispatch, DispatchRequest, Grouping, HandOver, Slot},
         hash,
     },
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -91,42 +91,42 @@
         Node { dispatch, now_ms: Millis(1_000), rng: rng(test), ticket: 0 }
     }
 
-    pub(crate) fn ask<'a>(&mut self, plan: &'a [ZoneName]) -> Ask<'a> {
+    pub(crate) fn request<'a>(&mut self, zones: &'a [ZoneName]) -> DispatchRequest<'a> {
         self.ticket += 1;
-        Ask {
+        DispatchRequest {
             ticket: self.ticket,
-            plan,
-            wait_ms: 200,
-            left_ms: 10_000,
-            up_bytes: 0,
+            zones,
+            max_wait_ms: 200,
+            remaining_ms: 10_000,
+            body_bytes: 0,
             idempotent: true,
         }
     }
 
-    pub(crate) fn place(&mut self, zones: &[&str]) -> Step {
+    pub(crate) fn place(&mut self, zones: &[&str]) -> Decision {
         let plan: Vec<_> = zones.iter().map(|name| zone(name)).collect();
-        let ask = self.ask(&plan);
-        self.dispatch.place(&ask, self.now_ms, &mut self.rng)
+        let request = self.request(&plan);
+        self.dispatch.place(&request, self.now_ms, &mut self.rng)
     }
 
     pub(crate) fn serve(&mut self, zones: &[&str]) -> Slot {
         match self.place(zones) {
-            Step::Serve(slot) => slot,
-            step => panic!("not served here: {step:?}"),
+            Decision::Serve(slot) => slot,
+            decision => panic!("not served here: {decision:?}"),
         }
     }
 
     pub(crate) fn hand_over(&mut self, zones: &[&str]) -> HandOver {
         match self.place(zones) {
-            Step::HandOver(hand_over) => hand_over,
-            step => panic!("not handed over: {step:?}"),
+            Decision::HandOver(hand_over) => hand_over,
+            decision => panic!("not handed over: {decision:?}"),
         }
     }
 
     /// Takes slots until none is free.
     pub(crate) fn fill(&mut self, zones: &[&str]) -> Vec<Slot> {
         let mut slots = Vec::new();
-        while let Step::Serve(slot) = self.place(zones) {
+        while let Decision::Serve(slot) = self.place(zones) {
             slots.push(slot);
         }
         // The last one found none; it does not wait.
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -14,7 +14,7 @@
     names::{InstanceId, ServiceName, ZoneName},
     route::{
         Completion,
-        dispatch::{Ask, Dispatch, Refusal, Step},
+        dispatch::{Decision, Dispatch, DispatchRequest, Refusal},
     },
     snapshot::Snapshot,
     steer::Steer,
@@ -223,12 +223,12 @@
             None => self.place(ticket, want),
             Some(handed) => {
                 let wait_ms = want.wait_ms.min(handed.wait_ms);
-                let ask = Ask {
+                let ask = DispatchRequest {
                     ticket,
-                    plan: &[],
-                    wait_ms,
-                    left_ms: want.left_ms,
-                    up_bytes: want.up_bytes,
+                    zones: &[],
+                    max_wait_ms: wait_ms,
+                    remaining_ms: want.left_ms,
+                    body_bytes: want.up_bytes,
                     idempotent: want.idempotent,
                 };
                 let (from, group) = (&handed.from, &handed.group);
@@ -237,38 +237,52 @@
             }
         };
         match step {
-            Step::Serve(slot) => self.reply_slot(reply, slot),
-            Step::HandOver(hand_over) => self.reply_hand_over(reply, ticket, hand_over, want),
-            Step::Wait { group } => {
+            Decision::Serve(slot) => self.reply_slot(reply, slot),
+            Decision::HandOver(hand_over) => self.reply_hand_over(reply, ticket, hand_over, want),
+            Decision::Wait { group } => {
                 self.waiting.insert(ticket, reply);
                 self.serve_waiting(group);
             }
-            Step::Refuse(refusal) => {
+            Decision::Refuse(refusal) => {
                 let _ = reply.send(Err(refusal_error(refusal)));
             }
         }
     }
 
-    fn place(&mut self, ticket: u64, want: &Want) -> Step {
+    fn place(&mut self, ticket: u64, want: &Want) -> Decision {
         let now_ms = self.clock.now();
         let Want { wait_ms, left_ms, up_bytes, idempotent, .. } = *want;
         let Some(steer) = &mut self.steer else {
             let plan = std::slice::from_ref(&self.zone);
-            let ask = Ask { ticket, plan, wait_ms, left_ms, up_bytes, idempotent };
+            let ask = DispatchRequest {
+                ticket,
+                zones: plan,
+                max_wait_ms: wait_ms,
+                remaining_ms: left_ms,
+                body_bytes: up_bytes,
+                idempotent,
+            };
             return self.dispatch.place(&ask, now_ms, &mut self.rng);
         };
         let plan = steer.plan(self.clock.epoch(), now_ms);
         if plan.cap_reached {
             steer.went(&plan, None, now_ms);
-            return Step::Refuse(Refusal::cap_reached());
+            return Decision::Refuse(Refusal::cap_reached());
         }
-        let ask = Ask { ticket, plan: &plan.zones, wait_ms, left_ms, up_bytes, idempotent };
+        let ask = DispatchRequest {
+            ticket,
+            zones: &plan.zones,
+            max_wait_ms: wait_ms,
+            remaining_ms: left_ms,
+            body_bytes: up_bytes,
+            idempotent,
+        };
         let step = self.dispatch.place(&ask, now_ms, &mut self.rng);
         let group = match step {
-            Step::Serve(slot) => Some(slot.group),
-            Step::HandOver(hand_over) => Some(hand_over.group),
-            Step::Wait { group } => Some(group),
-            Step::Refuse(_) => None,
+            Decision::Serve(slot) => Some(slot.group),
+            Decision::HandOver(hand_over) => Some(hand_over.group),
+            Decision::Wait { group } => Some(group),
+            Decision::Refuse(_) => None,
         };
         let zone = group.map(|group| &self.dispatch.group_id(group).zone);
         steer.went(&plan, zone, now_ms);
