--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -75,10 +75,10 @@
 fn dispatch(snapshot: &Snapshot) -> Dispatch {
     let mut dispatch = Dispatch::new(Config {
         service: ServiceName::new(SERVICE),
-        me: InstanceId::new("entry-3"),
+        instance: InstanceId::new("entry-3"),
         zone: ZoneName::new("plovdiv-b"),
         start: StartNumber(1),
-        grouping: Grouping::Zones,
+        grouping: Grouping::PerZone,
         make_router: Box::new(|| Box::new(SlotTable::default())),
     });
     dispatch.set_snapshot(snapshot);
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -29,7 +29,8 @@
             .iter()
             .filter(|instance| instance.liveness == Liveness::Live)
             .collect();
-        let others = instances.iter().filter(|instance| instance.id != self.config.me).count();
+        let others =
+            instances.iter().filter(|instance| instance.id != self.config.instance).count();
         self.instances = 1 + others as u32;
         let mut by_group = self.split(snapshot);
         // Groups that are no longer listed stay, closed, for the requests that
@@ -51,7 +52,7 @@
     fn split(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<ServerStatus>> {
         let servers = snapshot.route_servers(&self.config.service);
         let mut by_group: BTreeMap<GroupId, Vec<ServerStatus>> = BTreeMap::new();
-        if self.config.grouping == Grouping::Whole {
+        if self.config.grouping == Grouping::WholeService {
             by_group.insert(GroupId { zone: self.config.zone.clone(), part: 0 }, servers);
             return by_group;
         }
@@ -125,7 +126,7 @@
         snapshot: &Snapshot,
         instances: &mut [&Instance],
     ) -> Vec<Who> {
-        if self.config.grouping == Grouping::Whole {
+        if self.config.grouping == Grouping::WholeService {
             return vec![Who::Me];
         }
         let service = self.config.service.as_str();
@@ -133,7 +134,7 @@
         group::sort_by_preference(instances, &snapshot.topology, service, id);
         let mut order = Vec::with_capacity(instances.len() + 1);
         for instance in instances {
-            if instance.id == self.config.me {
+            if instance.id == self.config.instance {
                 order.push(Who::Me);
                 break;
             }
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -19,10 +19,10 @@
 //!
 //! let mut dispatch = Dispatch::new(Config {
 //!     service: ServiceName::new("starter-desk"),
-//!     me: InstanceId::new("entry-1"),
+//!     instance: InstanceId::new("entry-1"),
 //!     zone: ZoneName::new("sofia-a"),
 //!     start: StartNumber(1),
-//!     grouping: Grouping::Zones,
+//!     grouping: Grouping::PerZone,
 //!     make_router: Box::new(|| Box::new(SlotTable::default())),
 //! });
 //! // No server is listed yet.
@@ -63,9 +63,9 @@
 pub enum Grouping {
     /// Those of one availability zone, split when there are many; one instance
     /// dispatches for each.
-    Zones,
+    PerZone,
     /// All of the service; this instance chooses alone.
-    Whole,
+    WholeService,
 }
 
 /// What a dispatch is made from.
@@ -73,7 +73,7 @@
     /// The service.
     pub service: ServiceName,
     /// This instance.
-    pub me: InstanceId,
+    pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its start number.
--- a/crates/azuregate-core/tests/routing/world.rs
+++ b/crates/azuregate-core/tests/routing/world.rs
@@ -81,10 +81,10 @@
     pub(crate) fn new(test: &str, me: &str, zone_name: &str, snapshot: &Snapshot) -> Node {
         let mut dispatch = Dispatch::new(Config {
             service: ServiceName::new(SERVICE),
-            me: InstanceId::new(me),
+            instance: InstanceId::new(me),
             zone: zone(zone_name),
             start: StartNumber(1),
-            grouping: Grouping::Zones,
+            grouping: Grouping::PerZone,
             make_router: Box::new(|| Box::new(SlotTable::default())),
         });
         dispatch.set_snapshot(snapshot);
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -100,7 +100,7 @@
         let (sender, receiver) = mpsc::unbounded_channel();
         let config = |grouping, make_router| Config {
             service: service.clone(),
-            me: parts.instance.clone(),
+            instance: parts.instance.clone(),
             zone: parts.zone.clone(),
             start: parts.start,
             grouping,
@@ -110,11 +110,11 @@
             Rule::Dispatch => {
                 let make_router = Box::new(|| Box::new(SlotTable::default()) as _);
                 let steer = Box::new(Capped::new(service, &parts.instance, &parts.zone));
-                (config(Grouping::Zones, make_router), Some(steer))
+                (config(Grouping::PerZone, make_router), Some(steer))
             }
             Rule::Alone(make_router) => {
                 let make_router = Arc::clone(make_router);
-                (config(Grouping::Whole, Box::new(move || make_router())), None)
+                (config(Grouping::WholeService, Box::new(move || make_router())), None)
             }
         };
         let task = Task::new(service, parts, Dispatch::new(config), steer, sender.downgrade());
