--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -115,7 +115,7 @@
                 let Decision::Serve(slot) = decision else {
                     panic!("not served here: {decision:?}")
                 };
-                dispatch.finish(&slot, Completion::Responded { latency_ms: 20 }, NOW_MS);
+                dispatch.release(&slot, Completion::Responded { latency_ms: 20 }, NOW_MS);
             });
         });
     }
@@ -166,7 +166,7 @@
             let (free, queued) = if last { (1_000, 0) } else { (0, 1_000) };
             let load =
                 GroupLoad { free, queued, slots: 12, service_ms: 20, ..GroupLoad::default() };
-            dispatch.hear(&from, &group, load, false, NOW_MS);
+            dispatch.receive_load(&from, &group, load, false, NOW_MS);
             dispatch.finish_hand_over(&hand_over, Completion::Responded { latency_ms: 20 }, NOW_MS);
             if last {
                 break;
--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -28,7 +28,7 @@
 
     /// Takes a request out of its queue that has waited as long as it may;
     /// `None` when it waits no more.
-    pub fn give_up(&mut self, ticket: u64) -> Option<Refusal> {
+    pub fn cancel_waiting(&mut self, ticket: u64) -> Option<Refusal> {
         for group in &mut self.groups {
             if let Some(waiting) = group.queue.remove(ticket) {
                 group.leave(waiting.from);
@@ -39,7 +39,7 @@
     }
 
     /// Gives a slot back, with what was learnt.
-    pub fn finish(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
+    pub fn release(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
         let group = &mut self.groups[slot.group];
         group.router.release(slot.key, completion, now_ms);
         group.drain.finish(matches!(completion, Completion::Responded { .. }), now_ms);
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -256,12 +256,18 @@
     }
 
     /// Takes in what a server said of its load.
-    pub fn report(&mut self, slot: &Slot, report: crate::route::LoadReport) {
+    pub fn record_load(&mut self, slot: &Slot, report: crate::route::LoadReport) {
         self.groups[slot.group].router.record_load(slot.key, report);
     }
 
     /// Takes in how many bytes have passed over a link since the start.
-    pub fn passed(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
+    pub fn record_link_bytes(
+        &mut self,
+        link: usize,
+        up_bytes: u64,
+        down_bytes: u64,
+        now_ms: Millis,
+    ) {
         self.links.passed(link, up_bytes, down_bytes, now_ms);
     }
 }
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -89,7 +89,7 @@
 
     /// Places a request that `from` handed over for a group. It goes no
     /// further: a second hop could lead back.
-    pub fn place_handed(
+    pub fn place_handed_over(
         &mut self,
         from: &InstanceId,
         group: &GroupId,
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -57,7 +57,7 @@
 
     /// The instances that the links found away and that hold requests of this
     /// one; as indexes.
-    pub fn away(&self, snapshot: &Snapshot) -> Vec<usize> {
+    pub fn away_peers_with_requests(&self, snapshot: &Snapshot) -> Vec<usize> {
         let known = snapshot.away.iter().filter_map(|id| self.peers.find(id));
         known.filter(|&peer| self.peers.holds_any(peer)).collect()
     }
@@ -77,7 +77,7 @@
     }
 
     /// Takes in an update of a dispatcher.
-    pub fn hear(
+    pub fn receive_load(
         &mut self,
         from: &InstanceId,
         group: &GroupId,
--- a/crates/azuregate-core/tests/routing/dispatch.rs
+++ b/crates/azuregate-core/tests/routing/dispatch.rs
@@ -69,7 +69,7 @@
     // Each request holds a slot for 90 ms: three slots give one every 30 ms.
     node.now_ms = node.now_ms + Millis(90);
     for slot in &slots {
-        node.dispatch.finish(slot, Completion::Responded { latency_ms: 90 }, node.now_ms);
+        node.dispatch.release(slot, Completion::Responded { latency_ms: 90 }, node.now_ms);
     }
     node.fill(&["sofia-a"]);
     let plan = [zone("sofia-a")];
@@ -147,7 +147,7 @@
         assert_eq!(held.len(), expected);
         node.now_ms = node.now_ms + Millis(20);
         for slot in held.drain(..) {
-            node.dispatch.finish(&slot, Completion::Responded { latency_ms: 20 }, node.now_ms);
+            node.dispatch.release(&slot, Completion::Responded { latency_ms: 20 }, node.now_ms);
         }
     }
 }
--- a/crates/azuregate-core/tests/routing/handing_over.rs
+++ b/crates/azuregate-core/tests/routing/handing_over.rs
@@ -34,7 +34,7 @@
 fn arrive(from: &str, to: &mut Node, zone_name: &str) -> Decision {
     let request = to.request(&[]);
     let (now_ms, rng) = (to.now_ms, &mut to.rng);
-    to.dispatch.place_handed(&id(from), &group(zone_name), &request, now_ms, rng)
+    to.dispatch.place_handed_over(&id(from), &group(zone_name), &request, now_ms, rng)
 }
 
 /// Brings back the update of `from` about its group, where requests take 100 ms:
@@ -42,7 +42,7 @@
 fn answer(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
     let load = from.dispatch.load_for(&id(to_id), &group(zone_name), from.now_ms).unwrap();
     let load = GroupLoad { service_ms: 100, ..load };
-    to.dispatch.hear(&id(from_id), &group(zone_name), load, false, to.now_ms);
+    to.dispatch.receive_load(&id(from_id), &group(zone_name), load, false, to.now_ms);
 }
 
 #[test]
@@ -83,7 +83,7 @@
         panic!("refused")
     };
     let completion = Completion::Responded { latency_ms: 20 };
-    second.dispatch.finish(&slot, completion, second.now_ms);
+    second.dispatch.release(&slot, completion, second.now_ms);
     answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     first.dispatch.finish_hand_over(&probe, completion, first.now_ms);
     first.now_ms = first.now_ms + Millis(1_000);
@@ -161,7 +161,13 @@
     for _ in 0..20 {
         second.now_ms = second.now_ms + Millis(50);
         for update in second.dispatch.tick(second.now_ms).0 {
-            first.dispatch.hear(&id("entry-2"), &update.group, update.load, true, first.now_ms);
+            first.dispatch.receive_load(
+                &id("entry-2"),
+                &update.group,
+                update.load,
+                true,
+                first.now_ms,
+            );
         }
         assert!(!pass(&mut first, 50), "it speaks while it holds the request");
     }
@@ -196,7 +202,7 @@
     first.hand_over(&["sofia-b"]);
     arrive("entry-1", &mut second, "sofia-b");
     let load = second.dispatch.load_for(&id("entry-1"), &group("sofia-b"), second.now_ms).unwrap();
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+    first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     first.now_ms = first.now_ms + Millis(30_000);
     assert!(first.dispatch.tick(first.now_ms).1.is_empty());
     first.hand_over(&["sofia-b"]);
@@ -210,7 +216,7 @@
     let mut first = Node::new("full_queue", "entry-1", "sofia-a", &snapshot);
     first.hand_over(&["sofia-b"]);
     let load = GroupLoad { queued: 12, slots: 3, service_ms: 1, seen: 1, ..Default::default() };
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+    first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     let Decision::Refuse(refusal) = first.place(&["sofia-b"]) else { panic!("not refused") };
     assert_eq!(refusal.kind, ErrorKind::QueueFull);
     first.now_ms = first.now_ms + Millis(301);
@@ -236,7 +242,7 @@
             seen,
             ..Default::default()
         };
-        first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+        first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     }
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
@@ -252,7 +258,13 @@
     let mut first = Node::new("probe", "entry-1", "sofia-a", &snapshot);
     pass(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), Default::default(), true, first.now_ms);
+    first.dispatch.receive_load(
+        &id("entry-2"),
+        &group("sofia-b"),
+        Default::default(),
+        true,
+        first.now_ms,
+    );
     assert!(pass(&mut first, 600));
     assert!(!pass(&mut first, 1_000), "it is told once");
     let plan = [zone("sofia-b")];
@@ -288,14 +300,14 @@
         while backend.running.front().is_some_and(|(done_ms, ..)| *done_ms <= now_ms) {
             let (_, of, slot) = backend.running.pop_front().unwrap();
             let completion = Completion::Responded { latency_ms: 20 };
-            nodes[of].dispatch.finish(&slot, completion, now_ms);
+            nodes[of].dispatch.release(&slot, completion, now_ms);
         }
         for (of, node) in nodes.iter_mut().enumerate() {
             node.now_ms = now_ms;
             for slot in node.fill(&["sofia-a"]) {
                 if backend.running.len() >= 3 {
                     refused += 1;
-                    node.dispatch.finish(&slot, Completion::Refused, now_ms);
+                    node.dispatch.release(&slot, Completion::Refused, now_ms);
                 } else {
                     ran += 1;
                     backend.running.push_back((now_ms + Millis(20), of, slot));
--- a/crates/azuregate-core/tests/routing/links.rs
+++ b/crates/azuregate-core/tests/routing/links.rs
@@ -96,7 +96,7 @@
     let mut node = Node::new("no_room", "entry-1", "sofia-a", &snapshot);
     let slot = node.serve(&["varna-a"]);
     let link = slot.booking.expect("it crosses a link").link;
-    node.dispatch.passed(link, 999_999, 0, node.now_ms);
+    node.dispatch.record_link_bytes(link, 999_999, 0, node.now_ms);
     let plan = [zone("varna-a")];
     let request = DispatchRequest { body_bytes: 2, ..node.request(&plan) };
     let decision = node.dispatch.place(&request, node.now_ms, &mut node.rng);
--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -127,7 +127,7 @@
         let slot = self.slots.swap_remove(nth % self.slots.len());
         let id = self.node.dispatch.server_id(&slot).clone();
         *self.in_use.get_mut(&id).unwrap() -= 1;
-        self.node.dispatch.finish(&slot, completion, self.node.now_ms);
+        self.node.dispatch.release(&slot, completion, self.node.now_ms);
     }
 
     fn give_up(&mut self, nth: usize) {
@@ -135,8 +135,11 @@
             return;
         }
         let ticket = self.waiting.remove(nth % self.waiting.len()).unwrap();
-        assert!(self.node.dispatch.give_up(ticket).is_some(), "its final answer comes at once");
-        assert!(self.node.dispatch.give_up(ticket).is_none(), "and only once");
+        assert!(
+            self.node.dispatch.cancel_waiting(ticket).is_some(),
+            "its final answer comes at once"
+        );
+        assert!(self.node.dispatch.cancel_waiting(ticket).is_none(), "and only once");
     }
 
     fn set_list(&mut self) {
@@ -170,7 +173,7 @@
         for _ in 0..10 {
             for slot in self.node.fill(&[ZONE]) {
                 let completion = Completion::Responded { latency_ms: 20 };
-                self.node.dispatch.finish(&slot, completion, self.node.now_ms);
+                self.node.dispatch.release(&slot, completion, self.node.now_ms);
             }
             self.node.now_ms = self.node.now_ms + Millis(2_000);
         }
--- a/crates/azuregate-core/tests/routing/world.rs
+++ b/crates/azuregate-core/tests/routing/world.rs
@@ -130,7 +130,7 @@
             slots.push(slot);
         }
         // The last one found none; it does not wait.
-        self.dispatch.give_up(self.ticket);
+        self.dispatch.cancel_waiting(self.ticket);
         slots
     }
 }
--- a/crates/azuregate/src/selector/reply.rs
+++ b/crates/azuregate/src/selector/reply.rs
@@ -22,7 +22,7 @@
         let (Some(sender), Some(server)) = (self.sender.upgrade(), self.dispatch.server(&slot))
         else {
             let now_ms = self.clock.now();
-            self.dispatch.finish(&slot, Completion::Cancelled, now_ms);
+            self.dispatch.release(&slot, Completion::Cancelled, now_ms);
             return;
         };
         let distance = self.topology.distance(&self.zone, &server.zone);
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -124,23 +124,23 @@
         match message {
             Message::Acquire { ticket, want, reply } => self.acquire(ticket, &want, reply),
             Message::GiveUp { ticket } => {
-                if let Some(refusal) = self.dispatch.give_up(ticket) {
+                if let Some(refusal) = self.dispatch.cancel_waiting(ticket) {
                     self.refuse(ticket, refusal);
                 }
             }
             Message::Finish { held: Held::Slot(slot), ending } => {
-                self.dispatch.finish(&slot, ending, now_ms);
+                self.dispatch.release(&slot, ending, now_ms);
                 self.serve_waiting(slot.group);
             }
             Message::Finish { held: Held::HandOver { hand_over, ticket }, ending } => {
                 self.out.remove(&ticket);
                 self.dispatch.finish_hand_over(&hand_over, ending, now_ms);
             }
-            Message::Report { slot, report } => self.dispatch.report(&slot, report),
+            Message::Report { slot, report } => self.dispatch.record_load(&slot, report),
             Message::Hear { hand_over, load } => {
                 let from = self.dispatch.dispatcher_id(&hand_over).clone();
                 let group = self.dispatch.group_id(hand_over.group).clone();
-                self.dispatch.hear(&from, &group, load, false, now_ms);
+                self.dispatch.receive_load(&from, &group, load, false, now_ms);
             }
             Message::LoadFor { to, group, reply } => {
                 let _ = reply.send(self.dispatch.load_for(&to, &group, now_ms));
@@ -151,7 +151,7 @@
     fn hear(&mut self, update: &LoadUpdate) {
         if update.service == self.service {
             let now_ms = self.clock.now();
-            self.dispatch.hear(&update.peer, &update.group, update.load, true, now_ms);
+            self.dispatch.receive_load(&update.peer, &update.group, update.load, true, now_ms);
         }
     }
 
@@ -159,7 +159,7 @@
         let now_ms = self.clock.now();
         for (&link, meter) in &self.meters {
             let (up_bytes, down_bytes) = meter.read();
-            self.dispatch.passed(link, up_bytes, down_bytes, now_ms);
+            self.dispatch.record_link_bytes(link, up_bytes, down_bytes, now_ms);
         }
         let (updates, silent) = self.dispatch.tick(now_ms);
         for update in updates {
@@ -209,7 +209,7 @@
         if let Some(steer) = &mut self.steer {
             steer.set_snapshot(&snapshot);
         }
-        for peer in self.dispatch.away(&snapshot) {
+        for peer in self.dispatch.away_peers_with_requests(&snapshot) {
             self.lose(peer);
         }
         for (waiting, refusal) in self.dispatch.set_snapshot(&snapshot) {
@@ -233,7 +233,7 @@
                 };
                 let (from, group) = (&handed.from, &handed.group);
                 let now_ms = self.clock.now();
-                self.dispatch.place_handed(from, group, &ask, now_ms, &mut self.rng)
+                self.dispatch.place_handed_over(from, group, &ask, now_ms, &mut self.rng)
             }
         };
         match step {
@@ -297,7 +297,7 @@
                 // A caller that left meanwhile drops the lease, which gives it
                 // back.
                 Some(reply) => self.reply_slot(reply, slot),
-                None => self.dispatch.finish(&slot, Completion::Cancelled, now_ms),
+                None => self.dispatch.release(&slot, Completion::Cancelled, now_ms),
             }
         }
     }
