--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -44,8 +44,8 @@
         group.router.release(slot.key, completion, now_ms);
         group.drain.finish(matches!(completion, Completion::Responded { .. }), now_ms);
         group.leave(slot.from);
-        if let Some(booking) = slot.booking {
-            self.links.release(booking);
+        if let Some(reservation) = slot.reservation {
+            self.links.release(reservation);
         }
     }
 
@@ -65,8 +65,8 @@
         if failed {
             self.peers.fail(hand_over.peer, now_ms);
         }
-        if let Some(booking) = hand_over.booking {
-            self.links.release(booking);
+        if let Some(reservation) = hand_over.reservation {
+            self.links.release(reservation);
         }
     }
 }
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -22,7 +22,7 @@
     pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(Waiting, Refusal)> {
         let zone = &self.config.zone;
         if let Some(region) = snapshot.topology.region_of(zone) {
-            self.links.set(&snapshot.topology, region, &snapshot.instances);
+            self.links.update(&snapshot.topology, region, &snapshot.instances);
         }
         let mut instances: Vec<_> = snapshot
             .instances
@@ -107,7 +107,7 @@
         group.listed_slots = servers.iter().filter(|s| s.available).map(|s| s.server.slots).sum();
         group.round_trip_ms = 2 * topology.delay_ms(topology.distance(here, &group.id.zone));
         let region = topology.region_of(&group.id.zone);
-        group.link = region.and_then(|region| self.links.to(region));
+        group.link = region.and_then(|region| self.links.link_to(region));
         group.order = order;
         if group.listed_slots > 0 {
             // Groups come in the order of their names, so a zone's are together.
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -48,7 +48,7 @@
         Router,
         group::{GroupId, GroupLoad},
         known::Known,
-        link::{Booking, Links},
+        link::{RegionLinks, Reservation},
         peers::Peers,
         queue::{Drain, Queue},
     },
@@ -125,7 +125,7 @@
     /// The server, as a key of the group's router.
     pub key: usize,
     /// What it holds of a link between regions.
-    pub booking: Option<Booking>,
+    pub reservation: Option<Reservation>,
     from: Option<usize>,
 }
 
@@ -137,7 +137,7 @@
     /// The dispatcher, as an index.
     pub peer: usize,
     /// What it holds of a link between regions.
-    pub booking: Option<Booking>,
+    pub reservation: Option<Reservation>,
 }
 
 /// Why a request goes nowhere. It did not run.
@@ -161,7 +161,7 @@
     /// Which of them are a zone's.
     by_zone: HashMap<ZoneName, Range<usize>>,
     peers: Peers,
-    links: Links,
+    links: RegionLinks,
     /// Live instances, this one included.
     instances: u32,
 }
@@ -219,7 +219,7 @@
             open: Vec::new(),
             by_zone: HashMap::new(),
             peers: Peers::default(),
-            links: Links::default(),
+            links: RegionLinks::default(),
             instances: 1,
         }
     }
@@ -268,6 +268,6 @@
         down_bytes: u64,
         now_ms: Millis,
     ) {
-        self.links.passed(link, up_bytes, down_bytes, now_ms);
+        self.links.record_totals(link, up_bytes, down_bytes, now_ms);
     }
 }
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -7,7 +7,7 @@
     route::{
         dispatch::{Decision, Dispatch, DispatchRequest, HandOver, Refusal, Slot, Who},
         group::GroupId,
-        link::Booking,
+        link::Reservation,
         queue::{self, Waiting},
     },
     time::Millis,
@@ -18,7 +18,7 @@
 struct Candidate {
     group: usize,
     who: Who,
-    booking: Option<Booking>,
+    reservation: Option<Reservation>,
     free: u64,
     /// Until it would start there, without the way.
     wait_ms: u64,
@@ -116,10 +116,10 @@
         request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Option<Candidate> {
-        let booking = self.link_room(self.open[groups.start], request, now_ms)?;
+        let reservation = self.check_link(self.open[groups.start], request, now_ms)?;
         let mut best: Option<Candidate> = None;
         for nth in groups {
-            let candidate = self.candidate(self.open[nth], booking, request, now_ms);
+            let candidate = self.candidate(self.open[nth], reservation, request, now_ms);
             if best.is_none_or(|best| candidate.order() < best.order()) {
                 best = Some(candidate);
             }
@@ -138,22 +138,22 @@
 
     /// What a request would hold of the link to a group, if it crosses one;
     /// `None` when that has no room.
-    fn link_room(
+    fn check_link(
         &mut self,
         group: usize,
         request: &DispatchRequest<'_>,
         now_ms: Millis,
-    ) -> Option<Option<Booking>> {
+    ) -> Option<Option<Reservation>> {
         let Some(link) = self.groups[group].link else {
             return Some(None);
         };
-        self.links.room(link, request.body_bytes, now_ms).map(Some)
+        self.links.plan_reservation(link, request.body_bytes, now_ms).map(Some)
     }
 
     fn candidate(
         &mut self,
         index: usize,
-        booking: Option<Booking>,
+        reservation: Option<Reservation>,
         request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Candidate {
@@ -170,7 +170,7 @@
             }
         };
         let full = queued >= queue::limit(group.listed_slots);
-        Candidate { group: index, who, booking, free, wait_ms, cost_ms: wait_ms, full }
+        Candidate { group: index, who, reservation, free, wait_ms, cost_ms: wait_ms, full }
     }
 
     fn send(
@@ -180,7 +180,7 @@
         now_ms: Millis,
         rng: &mut fastrand::Rng,
     ) -> Decision {
-        let Candidate { group, who, booking, wait_ms, full, .. } = candidate;
+        let Candidate { group, who, reservation, wait_ms, full, .. } = candidate;
         let Who::Peer(peer) = who else {
             return self.place_here(group, None, request, now_ms, rng);
         };
@@ -192,7 +192,7 @@
         if wait_ms > request.max_wait_ms || wait_ms >= request.remaining_ms {
             return Decision::Refuse(Refusal::too_late(wait_ms));
         }
-        self.hand_over(group, peer, booking, now_ms)
+        self.hand_over(group, peer, reservation, now_ms)
     }
 
     fn place_here(
@@ -209,8 +209,8 @@
         if self.groups[group].queue.is_empty() {
             // Who handed it over has looked at the link; what is held here counts
             // all the same.
-            let booking = self.link_room(group, request, now_ms).flatten();
-            if let Some(slot) = self.take_slot(group, booking, now_ms, rng) {
+            let reservation = self.check_link(group, request, now_ms).flatten();
+            if let Some(slot) = self.take_slot(group, reservation, now_ms, rng) {
                 return Decision::Serve(Slot { from, ..slot });
             }
         }
@@ -240,31 +240,31 @@
     pub(super) fn take_slot(
         &mut self,
         index: usize,
-        booking: Option<Booking>,
+        reservation: Option<Reservation>,
         now_ms: Millis,
         rng: &mut fastrand::Rng,
     ) -> Option<Slot> {
         let group = &mut self.groups[index];
         let key = group.router.acquire(now_ms, rng)?;
         group.drain.take(now_ms);
-        if let Some(booking) = booking {
-            self.links.book(booking);
+        if let Some(reservation) = reservation {
+            self.links.reserve(reservation);
         }
-        Some(Slot { group: index, key, booking, from: None })
+        Some(Slot { group: index, key, reservation, from: None })
     }
 
     fn hand_over(
         &mut self,
         group: usize,
         peer: usize,
-        booking: Option<Booking>,
+        reservation: Option<Reservation>,
         now_ms: Millis,
     ) -> Decision {
         self.peers.send(peer, now_ms);
         self.groups[group].known.send();
-        if let Some(booking) = booking {
-            self.links.book(booking);
+        if let Some(reservation) = reservation {
+            self.links.reserve(reservation);
         }
-        Decision::HandOver(HandOver { group, peer, booking })
+        Decision::HandOver(HandOver { group, peer, reservation })
     }
 }
--- a/crates/azuregate-core/src/route/link.rs
+++ b/crates/azuregate-core/src/route/link.rs
@@ -9,27 +9,27 @@
 
 /// Bytes a second in one megabit a second.
 const BYTES_PER_MBIT: u64 = 125_000;
-/// The window over which bytes are counted, in parts of [`PART_MS`].
-const PARTS: usize = 10;
+/// The window over which bytes are counted, in parts of [`BUCKET_MS`].
+const BUCKETS: usize = 10;
 /// The length of one part.
-const PART_MS: u64 = 100;
+const BUCKET_MS: u64 = 100;
 /// One request books no more than one in so many of the share: a body larger
 /// than a second's share would otherwise never go.
-const LARGEST_BOOKING: u64 = 4;
+const MAX_RESERVATION_DIVISOR: u64 = 4;
 /// Taken for the size of an answer until some have been measured, in bytes.
-const FIRST_ANSWER_BYTES: u64 = 4_096;
+const DEFAULT_RESPONSE_BYTES: u64 = 4_096;
 /// After so many answers the older half of what was measured is forgotten.
-const MEASURED_LIMIT: u64 = 512;
+const HALVE_AFTER_RESPONSES: u64 = 512;
 
 /// The links from this instance's region to each other region.
 #[derive(Debug, Default)]
-pub struct Links {
-    links: Vec<Link>,
+pub struct RegionLinks {
+    links: Vec<RegionLink>,
 }
 
 /// What a request in progress holds of a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Booking {
+pub struct Reservation {
     /// The link, as an index.
     pub link: usize,
     up_bytes: u64,
@@ -37,59 +37,59 @@
 }
 
 #[derive(Debug)]
-struct Link {
+struct RegionLink {
     region: RegionName,
     share_bytes_per_s: u64,
-    up: Way,
-    down: Way,
-    answers: u64,
-    answer_bytes: u64,
+    up: Direction,
+    down: Direction,
+    responses: u64,
+    response_bytes: u64,
 }
 
 /// One way of a link: bytes of the last second and bytes that are booked.
 #[derive(Debug, Default)]
-struct Way {
+struct Direction {
     total_bytes: u64,
-    parts: [u64; PARTS],
+    buckets: [u64; BUCKETS],
     newest: u64,
-    booked_bytes: u64,
+    reserved_bytes: u64,
 }
 
-impl Way {
+impl Direction {
     fn count(&mut self, bytes: u64, now_ms: Millis) {
-        self.pass(now_ms);
-        self.parts[self.newest as usize % PARTS] += bytes;
+        self.advance(now_ms);
+        self.buckets[self.newest as usize % BUCKETS] += bytes;
     }
 
-    fn pass(&mut self, now_ms: Millis) {
-        let part = now_ms.0 / PART_MS;
-        let passed = part.saturating_sub(self.newest).min(PARTS as u64);
+    fn advance(&mut self, now_ms: Millis) {
+        let bucket = now_ms.0 / BUCKET_MS;
+        let passed = bucket.saturating_sub(self.newest).min(BUCKETS as u64);
         for offset in 0..passed {
-            self.parts[(part - offset) as usize % PARTS] = 0;
+            self.buckets[(bucket - offset) as usize % BUCKETS] = 0;
         }
-        self.newest = self.newest.max(part);
+        self.newest = self.newest.max(bucket);
     }
 
-    fn has_room(&mut self, bytes: u64, share_bytes_per_s: u64, now_ms: Millis) -> bool {
-        self.pass(now_ms);
-        let used = self.parts.iter().sum::<u64>() + self.booked_bytes;
+    fn fits(&mut self, bytes: u64, share_bytes_per_s: u64, now_ms: Millis) -> bool {
+        self.advance(now_ms);
+        let used = self.buckets.iter().sum::<u64>() + self.reserved_bytes;
         used + bytes <= share_bytes_per_s
     }
 }
 
-impl Link {
-    fn answer_bytes(&self) -> u64 {
-        self.answer_bytes.checked_div(self.answers).unwrap_or(FIRST_ANSWER_BYTES)
+impl RegionLink {
+    fn response_bytes(&self) -> u64 {
+        self.response_bytes.checked_div(self.responses).unwrap_or(DEFAULT_RESPONSE_BYTES)
     }
 }
 
-impl Links {
+impl RegionLinks {
     /// Takes in the regions and the live instances.
     ///
     /// Both ends of a link send on it both ways, and no instance knows what the
     /// others send: each keeps to its even share, so that all together stay
     /// within the link.
-    pub fn set(&mut self, topology: &Topology, here: &RegionName, instances: &[Instance]) {
+    pub fn update(&mut self, topology: &Topology, here: &RegionName, instances: &[Instance]) {
         let live = |region: &RegionName| {
             let mut count = 0;
             for instance in instances {
@@ -100,66 +100,71 @@
         };
         let link_bytes_per_s = topology.link_mbit_per_s * BYTES_PER_MBIT;
         for region in topology.regions.iter().filter(|region| region.name != *here) {
-            let sharers = live(here).max(1) + live(&region.name);
-            let share_bytes_per_s = link_bytes_per_s / sharers;
+            let instances_sharing = live(here).max(1) + live(&region.name);
+            let share_bytes_per_s = link_bytes_per_s / instances_sharing;
             match self.links.iter_mut().find(|link| link.region == region.name) {
                 Some(link) => link.share_bytes_per_s = share_bytes_per_s,
-                None => self.links.push(Link {
+                None => self.links.push(RegionLink {
                     region: region.name.clone(),
                     share_bytes_per_s,
-                    up: Way::default(),
-                    down: Way::default(),
-                    answers: 0,
-                    answer_bytes: 0,
+                    up: Direction::default(),
+                    down: Direction::default(),
+                    responses: 0,
+                    response_bytes: 0,
                 }),
             }
         }
     }
 
     /// The link to a region; `None` for this instance's own.
-    pub fn to(&self, region: &RegionName) -> Option<usize> {
+    pub fn link_to(&self, region: &RegionName) -> Option<usize> {
         self.links.iter().position(|link| link.region == *region)
     }
 
     /// Whether a request with a body of `up_bytes` has room on a link, and what
     /// it would hold of it.
-    pub fn room(&mut self, link: usize, up_bytes: u64, now_ms: Millis) -> Option<Booking> {
-        let known = &mut self.links[link];
-        let share = known.share_bytes_per_s;
-        let largest = share / LARGEST_BOOKING;
-        let up_bytes = up_bytes.min(largest);
-        let down_bytes = known.answer_bytes().min(largest);
-        let room = known.up.has_room(up_bytes, share, now_ms)
-            && known.down.has_room(down_bytes, share, now_ms);
-        room.then_some(Booking { link, up_bytes, down_bytes })
+    pub fn plan_reservation(
+        &mut self,
+        link: usize,
+        up_bytes: u64,
+        now_ms: Millis,
+    ) -> Option<Reservation> {
+        let state = &mut self.links[link];
+        let share = state.share_bytes_per_s;
+        let max_bytes = share / MAX_RESERVATION_DIVISOR;
+        let up_bytes = up_bytes.min(max_bytes);
+        let down_bytes = state.response_bytes().min(max_bytes);
+        let fits =
+            state.up.fits(up_bytes, share, now_ms) && state.down.fits(down_bytes, share, now_ms);
+        fits.then_some(Reservation { link, up_bytes, down_bytes })
     }
 
     /// Holds what a request in progress needs.
-    pub fn book(&mut self, booking: Booking) {
-        let link = &mut self.links[booking.link];
-        link.up.booked_bytes += booking.up_bytes;
-        link.down.booked_bytes += booking.down_bytes;
+    pub fn reserve(&mut self, reservation: Reservation) {
+        let link = &mut self.links[reservation.link];
+        link.up.reserved_bytes += reservation.up_bytes;
+        link.down.reserved_bytes += reservation.down_bytes;
     }
 
     /// Gives back what a request held.
-    pub fn release(&mut self, booking: Booking) {
-        let link = &mut self.links[booking.link];
-        link.up.booked_bytes = link.up.booked_bytes.saturating_sub(booking.up_bytes);
-        link.down.booked_bytes = link.down.booked_bytes.saturating_sub(booking.down_bytes);
-        link.answers += 1;
-        if link.answers >= MEASURED_LIMIT {
-            link.answers /= 2;
-            link.answer_bytes /= 2;
+    pub fn release(&mut self, reservation: Reservation) {
+        let link = &mut self.links[reservation.link];
+        link.up.reserved_bytes = link.up.reserved_bytes.saturating_sub(reservation.up_bytes);
+        link.down.reserved_bytes = link.down.reserved_bytes.saturating_sub(reservation.down_bytes);
+        link.responses += 1;
+        if link.responses >= HALVE_AFTER_RESPONSES {
+            link.responses /= 2;
+            link.response_bytes /= 2;
         }
     }
 
     /// Takes in how many bytes have passed since the start, each way.
-    pub fn passed(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
+    pub fn record_totals(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
         let link = &mut self.links[link];
         link.up.count(up_bytes.saturating_sub(link.up.total_bytes), now_ms);
-        let answered = down_bytes.saturating_sub(link.down.total_bytes);
-        link.down.count(answered, now_ms);
-        link.answer_bytes += answered;
+        let received = down_bytes.saturating_sub(link.down.total_bytes);
+        link.down.count(received, now_ms);
+        link.response_bytes += received;
         link.up.total_bytes = up_bytes;
         link.down.total_bytes = down_bytes;
     }
--- a/crates/azuregate-core/tests/routing/links.rs
+++ b/crates/azuregate-core/tests/routing/links.rs
@@ -5,7 +5,7 @@
     names::RegionName,
     route::{
         dispatch::{Decision, DispatchRequest},
-        link::Links,
+        link::RegionLinks,
     },
     snapshot::{InstanceList, Snapshot},
     time::Millis,
@@ -15,39 +15,40 @@
 
 const SECOND_MS: Millis = Millis(1_000);
 
-fn links(mbit_per_s: u64) -> (Links, usize) {
+fn links(mbit_per_s: u64) -> (RegionLinks, usize) {
     let instances = [instance("entry-1", "sofia-a"), instance("entry-2", "varna-a")];
-    let mut links = Links::default();
-    links.set(&topology(mbit_per_s), &RegionName::new("sofia"), &instances);
-    let link = links.to(&RegionName::new("varna")).unwrap();
+    let mut links = RegionLinks::default();
+    links.update(&topology(mbit_per_s), &RegionName::new("sofia"), &instances);
+    let link = links.link_to(&RegionName::new("varna")).unwrap();
     (links, link)
 }
 
 #[test]
 fn there_is_no_link_to_the_own_region() {
     let (links, _) = links(8);
-    assert_eq!(links.to(&RegionName::new("sofia")), None);
+    assert_eq!(links.link_to(&RegionName::new("sofia")), None);
 }
 
 // 8 Mbit/s are 1,000,000 bytes a second; two instances share them.
 #[test]
 fn bytes_of_the_last_second_and_bytes_in_progress_count() {
     let (mut links, link) = links(8);
-    links.passed(link, 400_000, 0, Millis(0));
-    let booking = links.room(link, 90_000, Millis(0)).expect("490,000 of 500,000 bytes");
-    links.book(booking);
-    assert_eq!(links.room(link, 90_000, Millis(0)), None);
-    links.release(booking);
-    assert!(links.room(link, 90_000, Millis(0)).is_some());
-    assert_eq!(links.room(link, 110_000, Millis(900)), None);
-    assert!(links.room(link, 110_000, SECOND_MS).is_some());
+    links.record_totals(link, 400_000, 0, Millis(0));
+    let reservation =
+        links.plan_reservation(link, 90_000, Millis(0)).expect("490,000 of 500,000 bytes");
+    links.reserve(reservation);
+    assert_eq!(links.plan_reservation(link, 90_000, Millis(0)), None);
+    links.release(reservation);
+    assert!(links.plan_reservation(link, 90_000, Millis(0)).is_some());
+    assert_eq!(links.plan_reservation(link, 110_000, Millis(900)), None);
+    assert!(links.plan_reservation(link, 110_000, SECOND_MS).is_some());
 }
 
 #[test]
 fn answers_count_the_other_way() {
     let (mut links, link) = links(8);
-    links.passed(link, 0, 499_000, Millis(0));
-    assert_eq!(links.room(link, 0, Millis(0)), None);
+    links.record_totals(link, 0, 499_000, Millis(0));
+    assert_eq!(links.plan_reservation(link, 0, Millis(0)), None);
 }
 
 // No instance knows what the others send. Whatever each of them sends at once,
@@ -58,13 +59,13 @@
         let near = (0..here).map(|nth| instance(&format!("n{nth}"), "sofia-a"));
         let far = (0..there).map(|nth| instance(&format!("f{nth}"), "varna-a"));
         let instances: Vec<_> = near.chain(far).collect();
-        let mut links = Links::default();
-        links.set(&topology(4_000), &RegionName::new("sofia"), &instances);
-        let link = links.to(&RegionName::new("varna")).unwrap();
+        let mut links = RegionLinks::default();
+        links.update(&topology(4_000), &RegionName::new("sofia"), &instances);
+        let link = links.link_to(&RegionName::new("varna")).unwrap();
         let mut sent_bytes = 0;
-        while links.room(link, 10_000, Millis(0)).is_some() {
+        while links.plan_reservation(link, 10_000, Millis(0)).is_some() {
             sent_bytes += 10_000;
-            links.passed(link, sent_bytes, 0, Millis(0));
+            links.record_totals(link, sent_bytes, 0, Millis(0));
         }
         let all_bytes = sent_bytes * (here + there);
         assert!(all_bytes <= 500_000_000, "{all_bytes} bytes a second of {here} and {there}");
@@ -77,12 +78,12 @@
 fn a_large_body_books_no_more_than_a_quarter() {
     let (mut links, link) = links(8);
     for _ in 0..3 {
-        let booking = links.room(link, 50_000_000, Millis(0)).unwrap();
-        links.book(booking);
+        let reservation = links.plan_reservation(link, 50_000_000, Millis(0)).unwrap();
+        links.reserve(reservation);
     }
-    assert!(links.room(link, 50_000_000, Millis(0)).is_some());
-    links.passed(link, 200_000, 0, Millis(0));
-    assert_eq!(links.room(link, 50_000_000, Millis(0)), None);
+    assert!(links.plan_reservation(link, 50_000_000, Millis(0)).is_some());
+    links.record_totals(link, 200_000, 0, Millis(0));
+    assert_eq!(links.plan_reservation(link, 50_000_000, Millis(0)), None);
 }
 
 // The slots of this region are taken, those of the other are free, and the link
@@ -95,7 +96,7 @@
     snapshot.set_list(InstanceList { instances, backends });
     let mut node = Node::new("no_room", "entry-1", "sofia-a", &snapshot);
     let slot = node.serve(&["varna-a"]);
-    let link = slot.booking.expect("it crosses a link").link;
+    let link = slot.reservation.expect("it crosses a link").link;
     node.dispatch.record_link_bytes(link, 999_999, 0, node.now_ms);
     let plan = [zone("varna-a")];
     let request = DispatchRequest { body_bytes: 2, ..node.request(&plan) };
--- a/crates/azuregate/src/selector/reply.rs
+++ b/crates/azuregate/src/selector/reply.rs
@@ -37,7 +37,7 @@
             ending: Completion::Cancelled,
             sender,
         };
-        lease.meter = slot.booking.map(|booking| self.meter(booking.link));
+        lease.meter = slot.reservation.map(|reservation| self.meter(reservation.link));
         let _ = reply.send(Ok(lease));
     }
 
@@ -60,7 +60,7 @@
         let delay_ms = self.topology.delay_ms(distance);
         let (lose, lost) = oneshot::channel();
         self.out.insert(ticket, Out { peer: hand_over.peer, lost: lose });
-        let meter = hand_over.booking.map(|booking| self.meter(booking.link));
+        let meter = hand_over.reservation.map(|reservation| self.meter(reservation.link));
         let lease = Lease {
             backend,
             start: StartNumber::default(),
