--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -38,7 +38,7 @@
 
 /// Plans the requests of one service on one instance, within the cap.
 #[derive(Clone, Debug)]
-pub struct Capped {
+pub struct CappedSteer {
     service: ServiceName,
     instance: InstanceId,
     from: ZoneName,
@@ -65,10 +65,10 @@
     credit: f64,
 }
 
-impl Capped {
+impl CappedSteer {
     /// Plans requests for `service` on `instance`, which is in zone `from`.
-    pub fn new(service: &ServiceName, instance: &InstanceId, from: &ZoneName) -> Capped {
-        Capped {
+    pub fn new(service: &ServiceName, instance: &InstanceId, from: &ZoneName) -> CappedSteer {
+        CappedSteer {
             service: service.clone(),
             instance: instance.clone(),
             from: from.clone(),
@@ -271,7 +271,7 @@
     }
 }
 
-impl Steer for Capped {
+impl Steer for CappedSteer {
     fn set_snapshot(&mut self, snapshot: &Snapshot) {
         self.policy = snapshot.policies.get(&self.service).cloned();
         self.add_zones(&snapshot.topology);
@@ -313,7 +313,7 @@
         ZonePlan { zones, cap_reached: false }
     }
 
-    fn went(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis) {
+    fn record_placement(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis) {
         let Some(policy) = &self.policy else { return };
         if plan.zones.len() < 2 || by_nearness(policy) {
             return;
--- a/crates/azuregate-core/src/steer/mod.rs
+++ b/crates/azuregate-core/src/steer/mod.rs
@@ -7,7 +7,7 @@
 mod capped;
 mod overflow;
 
-pub use capped::Capped;
+pub use capped::CappedSteer;
 
 use crate::{
     names::ZoneName,
@@ -38,7 +38,7 @@
 
     /// Counts where a planned request went, or that it went nowhere. Each plan
     /// is followed by one call.
-    fn went(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis);
+    fn record_placement(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis);
 }
 /// All availability zones, nearest to `from` first.
 pub fn nearest_zones(topology: &Topology, from: &ZoneName) -> Vec<ZoneName> {
@@ -49,19 +49,19 @@
 
 /// Steers by nearness alone, whatever the shares say.
 #[derive(Clone, Debug)]
-pub struct ByNearness {
+pub struct NearestSteer {
     from: ZoneName,
     zones: Vec<ZoneName>,
 }
 
-impl ByNearness {
+impl NearestSteer {
     /// Plans for an instance in `from`.
-    pub fn new(from: &ZoneName) -> ByNearness {
-        ByNearness { from: from.clone(), zones: Vec::new() }
+    pub fn new(from: &ZoneName) -> NearestSteer {
+        NearestSteer { from: from.clone(), zones: Vec::new() }
     }
 }
 
-impl Steer for ByNearness {
+impl Steer for NearestSteer {
     fn set_snapshot(&mut self, snapshot: &Snapshot) {
         let serves = |zone: &ZoneName| {
             let mut servers = snapshot.backends.values().flat_map(|servers| servers.iter());
@@ -75,5 +75,5 @@
         ZonePlan { zones: self.zones.clone(), cap_reached: false }
     }
 
-    fn went(&mut self, _plan: &ZonePlan, _zone: Option<&ZoneName>, _now_ms: Millis) {}
+    fn record_placement(&mut self, _plan: &ZonePlan, _zone: Option<&ZoneName>, _now_ms: Millis) {}
 }
--- a/crates/azuregate-core/tests/shift.rs
+++ b/crates/azuregate-core/tests/shift.rs
@@ -8,7 +8,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     policy::{Cap, ChangeErrorKind, Policy, Shares, WHOLE_PPM},
     snapshot::{BackendServer, InstanceList, Liveness, Snapshot},
-    steer::{Capped, Steer},
+    steer::{CappedSteer, Steer},
     time::Millis,
     topology::{Region, Topology},
 };
@@ -69,14 +69,14 @@
     snapshot
 }
 
-fn start(index: usize, snapshot: &Snapshot) -> Capped {
+fn start(index: usize, snapshot: &Snapshot) -> CappedSteer {
     let instance = InstanceId::new(&format!("entry-{index}"));
-    let mut steer = Capped::new(&ServiceName::new("desk"), &instance, &ZoneName::new("a"));
+    let mut steer = CappedSteer::new(&ServiceName::new("desk"), &instance, &ZoneName::new("a"));
     steer.set_snapshot(snapshot);
     steer
 }
 
-fn shares_now(steer: &Capped) -> [f64; 3] {
+fn shares_now(steer: &CappedSteer) -> [f64; 3] {
     let by_zone: BTreeMap<_, _> = steer.shares().collect();
     ZONES.map(|zone| by_zone[&ZoneName::new(zone)])
 }
@@ -182,8 +182,8 @@
                     *off += now[zone] - f64::from(plan.zones[0].as_str() == ZONES[zone]);
                     seen.off_by = seen.off_by.max(off.abs());
                 }
-                let went = plan.zones[0].clone();
-                steers[index].went(&plan, Some(&went), Millis(now_ms));
+                let placed = plan.zones[0].clone();
+                steers[index].record_placement(&plan, Some(&placed), Millis(now_ms));
                 requests += 1;
             }
         }
@@ -295,7 +295,7 @@
             _ => {}
         }
         let plan = steer.plan(Millis(epoch_ms), Millis(now_ms));
-        steer.went(&plan, plan.zones.first(), Millis(now_ms));
+        steer.record_placement(&plan, plan.zones.first(), Millis(now_ms));
         seen.push(Some(shares_now(&steer)));
     }
     seen
@@ -343,7 +343,7 @@
             let plan = steer.plan(now_ms, now_ms);
             assert_eq!(plan.cap_reached, plan.zones.is_empty());
             empty += u32::from(plan.cap_reached);
-            steer.went(&plan, plan.zones.first(), now_ms);
+            steer.record_placement(&plan, plan.zones.first(), now_ms);
         }
         refused.push(empty);
     }
@@ -367,7 +367,7 @@
         let plan = steer.plan(now_ms, now_ms);
         let away = plan.zones.first().is_some_and(|zone| zone.as_str() != "a");
         assert!(!away || step >= 100, "nothing has failed yet");
-        steer.went(&plan, plan.zones.first(), now_ms);
+        steer.record_placement(&plan, plan.zones.first(), now_ms);
         seen.push(Some(shares_now(&steer)));
     }
     let largest = largest_move(&seen);
@@ -382,7 +382,7 @@
     let policy = policy([500_000, 500_000, 0], 100_000);
     let mut steer = start(0, &snapshot(&policy, &[]));
     let mut waiting = std::collections::VecDeque::new();
-    let mut went = Vec::new();
+    let mut overflowed = Vec::new();
     for request in 0..1_000_u64 {
         let now_ms = Millis(COMMIT_MS + request * 10);
         let plan = steer.plan(now_ms, now_ms);
@@ -390,11 +390,11 @@
         // Fifty requests are on their way at any time.
         if waiting.len() > 50 {
             let plan = waiting.pop_front().unwrap();
-            went.push(plan.zones.len() > 1);
-            steer.went(&plan, plan.zones.last(), now_ms);
+            overflowed.push(plan.zones.len() > 1);
+            steer.record_placement(&plan, plan.zones.last(), now_ms);
         }
     }
-    let windows = went.windows(100).map(|window| window.iter().filter(|&&over| over).count());
+    let windows = overflowed.windows(100).map(|window| window.iter().filter(|&&over| over).count());
     let most = windows.max().unwrap();
     assert!((4..=5).contains(&most), "{most}");
 }
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -19,7 +19,7 @@
         dispatch::{Config, Dispatch, Grouping},
         group::{GroupId, GroupLoad},
     },
-    steer::{Capped, Steer},
+    steer::{CappedSteer, Steer},
 };
 use tokio::{
     sync::{mpsc, oneshot},
@@ -109,7 +109,7 @@
         let (config, steer): (Config, Option<Box<dyn Steer>>) = match &parts.rule {
             Rule::Dispatch => {
                 let make_router = Box::new(|| Box::new(SlotTable::default()) as _);
-                let steer = Box::new(Capped::new(service, &parts.instance, &parts.zone));
+                let steer = Box::new(CappedSteer::new(service, &parts.instance, &parts.zone));
                 (config(Grouping::PerZone, make_router), Some(steer))
             }
             Rule::Alone(make_router) => {
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -266,7 +266,7 @@
         };
         let plan = steer.plan(self.clock.epoch(), now_ms);
         if plan.cap_reached {
-            steer.went(&plan, None, now_ms);
+            steer.record_placement(&plan, None, now_ms);
             return Decision::Refuse(Refusal::cap_reached());
         }
         let ask = DispatchRequest {
@@ -285,7 +285,7 @@
             Decision::Refuse(_) => None,
         };
         let zone = group.map(|group| &self.dispatch.group_id(group).zone);
-        steer.went(&plan, zone, now_ms);
+        steer.record_placement(&plan, zone, now_ms);
         step
     }
 
