--- a/crates/azuregate-core/src/shift.rs
+++ b/crates/azuregate-core/src/shift.rs
@@ -2,7 +2,7 @@
 How far a shift has come, and what bounds the movement of one instance.
 
 The position of a shift follows from its row and the time alone, so an instance
-that starts in the middle starts where the others are. [`Limiter`] bounds what
+that starts in the middle starts where the others are. [`MovementLimiter`] bounds what
 one instance moves, whatever becomes of rows, clocks and backend servers.
 */
 
@@ -17,12 +17,12 @@
 ///
 /// The rest is room for the difference between the instances' clocks, up to one
 /// sixtieth of the window, and for requests that overflow.
-pub const RAMP_PPM: u64 = 920_000;
+pub const RAMP_CAP_USE_PPM: u64 = 920_000;
 
 /// How many parts a window is counted in. What is counted reaches back over one
 /// part and one gap between requests more than the window; with few parts the
 /// ramp itself would meet the bound.
-const PARTS: u64 = 64;
+const BUCKETS: u64 = 64;
 
 impl Shift {
     /// The share of traffic that the whole shift moves, in parts per million.
@@ -41,7 +41,7 @@
     /// When it ends, in milliseconds since the Unix epoch.
     pub fn end_at_ms(&self) -> Millis {
         let span = u128::from(self.distance_ppm()) * u128::from(self.cap.window_ms);
-        let rate = u128::from(self.cap.share_ppm) * u128::from(RAMP_PPM);
+        let rate = u128::from(self.cap.share_ppm) * u128::from(RAMP_CAP_USE_PPM);
         let span_ms = (span * u128::from(WHOLE_PPM)).div_ceil(rate.max(1));
         self.start_at_ms + Millis(u64::try_from(span_ms).unwrap_or(u64::MAX))
     }
@@ -91,29 +91,29 @@
 /// If each instance keeps this bound, so does the whole, which is the mean of
 /// its instances weighted by their traffic.
 #[derive(Clone, Debug, Default)]
-pub struct Limiter {
-    moves: VecDeque<Move>,
-    asked_at_ms: Millis,
-    asked_before_ms: Millis,
+pub struct MovementLimiter {
+    buckets: VecDeque<Bucket>,
+    last_request_at_ms: Millis,
+    previous_request_at_ms: Millis,
 }
 
 /// Movements of one part of a window.
 #[derive(Clone, Copy, Debug)]
-struct Move {
+struct Bucket {
     /// When a request last saw the shares from before the first of them.
-    seen_at_ms: Millis,
+    started_at_ms: Millis,
     share: f64,
 }
 
-impl Limiter {
+impl MovementLimiter {
     /// Starts to count at `now_ms` of monotonic time.
     pub fn start(&mut self, now_ms: Millis) {
-        self.asked_at_ms = now_ms;
+        self.last_request_at_ms = now_ms;
     }
 
     /// What the last window has seen moved, as of the last budget.
     pub fn used(&self) -> f64 {
-        self.moves.iter().map(|m| m.share).sum()
+        self.buckets.iter().map(|bucket| bucket.share).sum()
     }
 
     /// What may move at `now_ms` of monotonic time, as a share of the whole.
@@ -121,35 +121,41 @@
     /// An instance that had nothing to do for more than a window gets what it
     /// might have used meanwhile: no request of its own fell into that time.
     pub fn budget(&mut self, cap: Cap, now_ms: Millis) -> f64 {
-        let whole = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
-        self.asked_before_ms = std::mem::replace(&mut self.asked_at_ms, now_ms);
-        let idle_ms = now_ms.since(self.asked_before_ms).0;
+        let cap_share = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
+        self.previous_request_at_ms = std::mem::replace(&mut self.last_request_at_ms, now_ms);
+        let idle_ms = now_ms.since(self.previous_request_at_ms).0;
         if idle_ms > cap.window_ms {
-            self.moves.clear();
-            return whole * idle_ms as f64 / cap.window_ms as f64;
+            self.buckets.clear();
+            return cap_share * idle_ms as f64 / cap.window_ms as f64;
         }
-        let oldest_ms = cap.window_ms + part_ms(cap);
-        while self.moves.front().is_some_and(|m| now_ms.since(m.seen_at_ms).0 >= oldest_ms) {
-            self.moves.pop_front();
+        let oldest_ms = cap.window_ms + bucket_ms(cap);
+        while self
+            .buckets
+            .front()
+            .is_some_and(|bucket| now_ms.since(bucket.started_at_ms).0 >= oldest_ms)
+        {
+            self.buckets.pop_front();
         }
-        (whole - self.used()).max(0.0)
+        (cap_share - self.used()).max(0.0)
     }
 
     /// Notes that `share` was moved out of the last budget.
     pub fn spend(&mut self, cap: Cap, share: f64) {
         // What moves between two requests counts from the first of them: it was
         // the last to see the shares from before.
-        let seen_at_ms = self.asked_before_ms;
-        if self.asked_at_ms.since(seen_at_ms).0 > cap.window_ms {
+        let started_at_ms = self.previous_request_at_ms;
+        if self.last_request_at_ms.since(started_at_ms).0 > cap.window_ms {
             return;
         }
-        match self.moves.back_mut() {
-            Some(last) if seen_at_ms.since(last.seen_at_ms).0 < part_ms(cap) => last.share += share,
-            _ => self.moves.push_back(Move { seen_at_ms, share }),
+        match self.buckets.back_mut() {
+            Some(last) if started_at_ms.since(last.started_at_ms).0 < bucket_ms(cap) => {
+                last.share += share
+            }
+            _ => self.buckets.push_back(Bucket { started_at_ms, share }),
         }
     }
 }
 
-fn part_ms(cap: Cap) -> u64 {
-    cap.window_ms.div_ceil(PARTS)
+fn bucket_ms(cap: Cap) -> u64 {
+    cap.window_ms.div_ceil(BUCKETS)
 }
--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -17,7 +17,7 @@
     names::{InstanceId, RegionName, ServiceName, ZoneName},
     policy::{Cap, Policy, Shares, Shift, WHOLE_PPM},
     route::hash,
-    shift::Limiter,
+    shift::MovementLimiter,
     snapshot::Snapshot,
     steer::{
         Steer, ZonePlan,
@@ -46,7 +46,7 @@
     zones: Vec<Zone>,
     started: bool,
     reached: Option<(Shift, u32)>,
-    limiter: Limiter,
+    limiter: MovementLimiter,
     overflow: Overflow,
 }
 
@@ -76,7 +76,7 @@
             zones: Vec::new(),
             started: false,
             reached: None,
-            limiter: Limiter::default(),
+            limiter: MovementLimiter::default(),
             overflow: Overflow::default(),
         }
     }
