--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -59,8 +59,8 @@
         self.peers.finish(hand_over.peer);
         let failed = completion == Completion::Failed;
         let group = &mut self.groups[hand_over.group];
-        if group.known_of == Some(hand_over.peer) {
-            group.known.finish(!failed);
+        if group.remote_peer == Some(hand_over.peer) {
+            group.remote.finish(!failed);
         }
         if failed {
             self.peers.fail(hand_over.peer, now_ms);
--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -20,10 +20,10 @@
     }
 
     /// Another dispatcher's updates do not count for this one.
-    pub(super) fn know(&mut self, peer: usize) {
-        if self.known_of != Some(peer) {
-            self.known_of = Some(peer);
-            self.known.forget();
+    pub(super) fn set_remote_peer(&mut self, peer: usize) {
+        if self.remote_peer != Some(peer) {
+            self.remote_peer = Some(peer);
+            self.remote.reset();
         }
     }
 
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -8,8 +8,8 @@
         Locality, ServerStatus,
         dispatch::{Dispatch, Group, Grouping, Refusal, Who},
         group::{self, GroupId},
-        known::Known,
         queue::{Drain, Queue, Waiting},
+        remote_load::RemoteLoad,
     },
     snapshot::{Instance, Liveness, Snapshot},
 };
@@ -83,8 +83,8 @@
             order: Vec::new(),
             queue: Queue::default(),
             drain: Drain::default(),
-            known: Known::default(),
-            known_of: None,
+            remote: RemoteLoad::default(),
+            remote_peer: None,
             handers: Vec::new(),
         });
         self.by_id.insert(id.clone(), self.groups.len() - 1);
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -47,10 +47,10 @@
     route::{
         Router,
         group::{GroupId, GroupLoad},
-        known::Known,
         link::{RegionLinks, Reservation},
         peers::Peers,
         queue::{Drain, Queue},
+        remote_load::RemoteLoad,
     },
     snapshot::BackendServer,
     time::Millis,
@@ -186,8 +186,8 @@
     order: Vec<Who>,
     queue: Queue,
     drain: Drain,
-    known: Known,
-    known_of: Option<usize>,
+    remote: RemoteLoad,
+    remote_peer: Option<usize>,
     handers: Vec<Hander>,
 }
 
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -162,11 +162,11 @@
         let (free, wait_ms, queued) = match who {
             Who::Me => (group.free(), group.wait_ms(), group.queue.len()),
             Who::Peer(peer) => {
-                group.know(peer);
+                group.set_remote_peer(peer);
                 let slots = group.listed_slots;
-                let free = group.known.free(slots.div_ceil(self.instances), now_ms);
-                let wait_ms = if free > 0 { 0 } else { group.known.wait_ms(slots) };
-                (free, wait_ms, group.known.queued(now_ms))
+                let free = group.remote.estimated_free(slots.div_ceil(self.instances), now_ms);
+                let wait_ms = if free > 0 { 0 } else { group.remote.estimated_wait_ms(slots) };
+                (free, wait_ms, group.remote.estimated_queued(now_ms))
             }
         };
         let full = queued >= queue::limit(group.listed_slots);
@@ -261,7 +261,7 @@
         now_ms: Millis,
     ) -> Decision {
         self.peers.send(peer, now_ms);
-        self.groups[group].known.send();
+        self.groups[group].remote.hand_over();
         if let Some(reservation) = reservation {
             self.links.reserve(reservation);
         }
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -93,8 +93,8 @@
             return;
         };
         let group = &mut self.groups[index];
-        if group.known_of == Some(peer) {
-            group.known.hear(load, now_ms);
+        if group.remote_peer == Some(peer) {
+            group.remote.update(load, now_ms);
         }
     }
 }
--- a/crates/azuregate-core/src/route/mod.rs
+++ b/crates/azuregate-core/src/route/mod.rs
@@ -6,12 +6,12 @@
 pub mod dispatch;
 pub mod group;
 pub mod hash;
-pub mod known;
 pub mod limit;
 pub mod link;
 mod nearest;
 mod peers;
 pub mod queue;
+pub mod remote_load;
 mod slots;
 
 pub use nearest::Nearest;
