--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -4,7 +4,7 @@
     route::{
         Completion,
         dispatch::{Dispatch, HandOver, Refusal, Slot},
-        queue::Waiting,
+        queue::QueuedRequest,
     },
     time::Millis,
 };
@@ -17,7 +17,7 @@
         group: usize,
         now_ms: Millis,
         rng: &mut fastrand::Rng,
-    ) -> Option<(Waiting, Slot)> {
+    ) -> Option<(QueuedRequest, Slot)> {
         if self.groups[group].queue.is_empty() {
             return None;
         }
@@ -42,7 +42,7 @@
     pub fn release(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
         let group = &mut self.groups[slot.group];
         group.router.release(slot.key, completion, now_ms);
-        group.drain.finish(matches!(completion, Completion::Responded { .. }), now_ms);
+        group.service_time.release(matches!(completion, Completion::Responded { .. }), now_ms);
         group.leave(slot.from);
         if let Some(reservation) = slot.reservation {
             self.links.release(reservation);
--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -16,7 +16,7 @@
         if self.free() > 0 {
             return 0;
         }
-        self.drain.wait_ms(self.queue.len() + 1, self.router.capacity().total)
+        self.service_time.wait_ms(self.queue.len() + 1, self.router.capacity().total)
     }
 
     /// Another dispatcher's updates do not count for this one.
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/list.rs
@@ -8,7 +8,7 @@
         Locality, ServerStatus,
         dispatch::{Dispatch, Group, Grouping, Refusal, Who},
         group::{self, GroupId},
-        queue::{Drain, Queue, Waiting},
+        queue::{Queue, QueuedRequest, ServiceTime},
         remote_load::RemoteLoad,
     },
     snapshot::{Instance, Liveness, Snapshot},
@@ -19,7 +19,7 @@
     ///
     /// Returns requests that wait for a group without open servers, with their
     /// final answer.
-    pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(Waiting, Refusal)> {
+    pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(QueuedRequest, Refusal)> {
         let zone = &self.config.zone;
         if let Some(region) = snapshot.topology.region_of(zone) {
             self.links.update(&snapshot.topology, region, &snapshot.instances);
@@ -82,7 +82,7 @@
             link: None,
             order: Vec::new(),
             queue: Queue::default(),
-            drain: Drain::default(),
+            service_time: ServiceTime::default(),
             remote: RemoteLoad::default(),
             remote_peer: None,
             handers: Vec::new(),
@@ -146,7 +146,7 @@
         order
     }
 
-    fn refuse_if_closed(&mut self, index: usize) -> Vec<(Waiting, Refusal)> {
+    fn refuse_if_closed(&mut self, index: usize) -> Vec<(QueuedRequest, Refusal)> {
         if self.groups[index].listed_slots > 0 {
             return Vec::new();
         }
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -49,7 +49,7 @@
         group::{GroupId, GroupLoad},
         link::{RegionLinks, Reservation},
         peers::Peers,
-        queue::{Drain, Queue},
+        queue::{Queue, ServiceTime},
         remote_load::RemoteLoad,
     },
     snapshot::BackendServer,
@@ -185,7 +185,7 @@
     /// Who dispatches, the first that answers.
     order: Vec<Who>,
     queue: Queue,
-    drain: Drain,
+    service_time: ServiceTime,
     remote: RemoteLoad,
     remote_peer: Option<usize>,
     handers: Vec<Hander>,
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -8,7 +8,7 @@
         dispatch::{Decision, Dispatch, DispatchRequest, HandOver, Refusal, Slot, Who},
         group::GroupId,
         link::Reservation,
-        queue::{self, Waiting},
+        queue::{self, QueuedRequest},
     },
     time::Millis,
 };
@@ -169,7 +169,7 @@
                 (free, wait_ms, group.remote.estimated_queued(now_ms))
             }
         };
-        let full = queued >= queue::limit(group.listed_slots);
+        let full = queued >= queue::max_len(group.listed_slots);
         Candidate { group: index, who, reservation, free, wait_ms, cost_ms: wait_ms, full }
     }
 
@@ -225,15 +225,15 @@
     ) -> Decision {
         let group = &mut self.groups[index];
         let wait_ms = group.wait_ms();
-        if group.queue.len() >= queue::limit(group.listed_slots) {
+        if group.queue.len() >= queue::max_len(group.listed_slots) {
             return Decision::Refuse(Refusal::queue_full(wait_ms));
         }
         let in_time = wait_ms <= request.max_wait_ms
-            && wait_ms + group.drain.hold_ms() <= request.remaining_ms;
+            && wait_ms + group.service_time.mean_ms() <= request.remaining_ms;
         if !in_time {
             return Decision::Refuse(Refusal::too_late(wait_ms));
         }
-        group.queue.push(Waiting { ticket: request.ticket, from });
+        group.queue.push(QueuedRequest { ticket: request.ticket, from });
         Decision::Wait { group: index }
     }
 
@@ -246,7 +246,7 @@
     ) -> Option<Slot> {
         let group = &mut self.groups[index];
         let key = group.router.acquire(now_ms, rng)?;
-        group.drain.take(now_ms);
+        group.service_time.acquire(now_ms);
         if let Some(reservation) = reservation {
             self.links.reserve(reservation);
         }
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -107,7 +107,7 @@
             free: u32::try_from(self.free()).unwrap_or(u32::MAX),
             queued: u32::try_from(self.queue.len()).unwrap_or(u32::MAX),
             slots: capacity.total,
-            service_ms: u32::try_from(self.drain.hold_ms()).unwrap_or(u32::MAX),
+            service_ms: u32::try_from(self.service_time.mean_ms()).unwrap_or(u32::MAX),
             seen: 0,
         }
     }
--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -3,7 +3,7 @@
 use azuregate_core::{
     names::StartNumber,
     retry::RetryBudget,
-    route::{limit::Limit, queue::Drain},
+    route::{limit::Limit, queue::ServiceTime},
     time::Millis,
 };
 
@@ -68,15 +68,15 @@
 
 #[test]
 fn the_drain_is_time_in_slots_over_requests() {
-    let mut drain = Drain::default();
+    let mut service_time = ServiceTime::default();
     for _ in 0..3 {
-        drain.take(Millis(0));
+        service_time.acquire(Millis(0));
     }
-    drain.finish(true, Millis(30));
-    drain.finish(true, Millis(60));
-    drain.finish(true, Millis(90));
-    assert_eq!(drain.hold_ms(), 60);
-    assert_eq!(drain.wait_ms(6, 3), 120);
+    service_time.release(true, Millis(30));
+    service_time.release(true, Millis(60));
+    service_time.release(true, Millis(90));
+    assert_eq!(service_time.mean_ms(), 60);
+    assert_eq!(service_time.wait_ms(6, 3), 120);
 }
 
 // Every request fails and each failure would be tried again: without a budget
