--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -7,7 +7,9 @@
 
 use crate::{
     names::BackendId,
-    route::{Capacity, Completion, LoadReport, Locality, Router, ServerStatus, limit::Limit},
+    route::{
+        Capacity, Completion, LoadReport, Locality, Router, ServerStatus, limit::ConcurrencyLimit,
+    },
     time::Millis,
 };
 
@@ -38,7 +40,7 @@
 #[derive(Debug)]
 struct Server {
     id: BackendId,
-    limit: Limit,
+    limit: ConcurrencyLimit,
     open: bool,
     in_use: u32,
     bucket: usize,
@@ -104,7 +106,7 @@
         }
     }
 
-    fn add(&mut self, id: &BackendId, limit: Limit) -> usize {
+    fn add(&mut self, id: &BackendId, limit: ConcurrencyLimit) -> usize {
         let key = self.servers.len();
         self.servers.push(Server {
             id: id.clone(),
@@ -132,7 +134,7 @@
                 return;
             }
             self.resting.pop();
-            self.update(key, |server| server.limit.try_again(now_ms));
+            self.update(key, |server| server.limit.reopen(now_ms));
         }
     }
 
@@ -145,7 +147,7 @@
     fn rest_if_closed(&mut self, key: usize) {
         let limit = &self.servers[key].limit;
         if limit.get() == 0 {
-            self.resting.push(Reverse((limit.raise_at_ms(), key)));
+            self.resting.push(Reverse((limit.next_increase_at_ms(), key)));
         }
     }
 }
@@ -159,12 +161,12 @@
         // dispatcher that took them for cold would refuse what they can take.
         let first = self.servers.is_empty();
         for ServerStatus { server, available } in servers {
-            let make = if first { Limit::warm } else { Limit::cold };
+            let make = if first { ConcurrencyLimit::warm } else { ConcurrencyLimit::cold };
             let known = self.by_id.get(&server.id).copied();
             let key =
                 known.unwrap_or_else(|| self.add(&server.id, make(server.start, server.slots)));
             self.update(key, |known| {
-                known.limit.set_server(server.start, server.slots);
+                known.limit.update_server(server.start, server.slots);
                 known.open = *available;
             });
         }
@@ -177,7 +179,7 @@
         let key = self.buckets[bucket][nth];
         self.update(key, |server| {
             if server.in_use == 0 {
-                server.limit.wake(now_ms);
+                server.limit.reset_if_idle(now_ms);
             }
             server.in_use += 1;
         });
@@ -198,10 +200,10 @@
             server.in_use = server.in_use.saturating_sub(1);
             match completion {
                 Completion::Responded { latency_ms } => {
-                    server.limit.answered(latency_ms, usual_ms, now_ms);
+                    server.limit.record_response(latency_ms, usual_ms, now_ms);
                 }
                 Completion::Refused | Completion::Failed => {
-                    server.limit.refused(server.in_use, now_ms)
+                    server.limit.record_refusal(server.in_use, now_ms)
                 }
                 Completion::Cancelled => {}
             }
--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -3,7 +3,7 @@
 use azuregate_core::{
     names::StartNumber,
     retry::RetryBudget,
-    route::{limit::Limit, queue::ServiceTime},
+    route::{limit::ConcurrencyLimit, queue::ServiceTime},
     time::Millis,
 };
 
@@ -32,14 +32,14 @@
         &[(0, Slow, 2), (10, Slow, 2), (100, Slow, 1), (100, Slow, 1), (100, Slow, 1)],
     ];
     for (case, events) in warm.iter().enumerate() {
-        let mut limit = Limit::warm(START, 3);
+        let mut limit = ConcurrencyLimit::warm(START, 3);
         let mut now_ms = Millis(0);
         for (step, (after_ms, event, expected)) in events.iter().enumerate() {
             now_ms = now_ms + Millis(*after_ms);
             match event {
-                Good => limit.answered(20, 20.0, now_ms),
-                Slow => limit.answered(120, 20.0, now_ms),
-                Refused(in_use) => limit.refused(*in_use, now_ms),
+                Good => limit.record_response(20, 20.0, now_ms),
+                Slow => limit.record_response(120, 20.0, now_ms),
+                Refused(in_use) => limit.record_refusal(*in_use, now_ms),
             }
             assert_eq!(limit.get(), *expected, "case {case}, step {step}");
         }
@@ -48,21 +48,21 @@
 
 #[test]
 fn a_limit_of_zero_is_tried_again_with_one() {
-    let mut limit = Limit::warm(START, 3);
-    limit.refused(0, Millis(0));
-    limit.try_again(Millis(99));
+    let mut limit = ConcurrencyLimit::warm(START, 3);
+    limit.record_refusal(0, Millis(0));
+    limit.reopen(Millis(99));
     assert_eq!(limit.get(), 0);
-    limit.try_again(Millis(100));
+    limit.reopen(Millis(100));
     assert_eq!(limit.get(), 1);
 }
 
 #[test]
 fn a_server_that_was_idle_for_a_minute_is_cold() {
-    let mut limit = Limit::warm(START, 3);
-    limit.answered(20, 20.0, Millis(0));
-    limit.wake(Millis(60_000));
+    let mut limit = ConcurrencyLimit::warm(START, 3);
+    limit.record_response(20, 20.0, Millis(0));
+    limit.reset_if_idle(Millis(60_000));
     assert_eq!(limit.get(), 3);
-    limit.wake(Millis(60_001));
+    limit.reset_if_idle(Millis(60_001));
     assert_eq!(limit.get(), 1);
 }
 
