--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -14,9 +14,9 @@
 };
 
 /// Servers with this many free slots or more are not told apart.
-const FREE_LIMIT: usize = 63;
+const MAX_BUCKET: usize = 63;
 /// Weight of one answer in the mean latency of the group.
-const WEIGHT: f64 = 1.0 / 64.0;
+const EWMA_WEIGHT: f64 = 1.0 / 64.0;
 
 /// Chooses the server with the most free slots, any of them when several have.
 ///
@@ -30,10 +30,10 @@
     /// Keys of servers by free slots.
     buckets: Vec<Vec<usize>>,
     /// Which buckets hold servers; bucket 0 is never marked.
-    filled: u64,
+    nonempty: u64,
     /// Servers with a limit of zero, by when they may be tried again.
-    resting: BinaryHeap<Reverse<(Millis, usize)>>,
-    usual_ms: f64,
+    closed: BinaryHeap<Reverse<(Millis, usize)>>,
+    mean_latency_ms: f64,
     capacity: Capacity,
 }
 
@@ -41,19 +41,19 @@
 struct Server {
     id: BackendId,
     limit: ConcurrencyLimit,
-    open: bool,
+    available: bool,
     in_use: u32,
     bucket: usize,
     position: usize,
 }
 
 impl Server {
-    fn free(&self) -> u32 {
-        if self.open { self.limit.get().saturating_sub(self.in_use) } else { 0 }
+    fn free_slots(&self) -> u32 {
+        if self.available { self.limit.get().saturating_sub(self.in_use) } else { 0 }
     }
 
-    fn slots(&self) -> u32 {
-        if self.open { self.limit.get() } else { 0 }
+    fn total_slots(&self) -> u32 {
+        if self.available { self.limit.get() } else { 0 }
     }
 }
 
@@ -62,10 +62,10 @@
         SlotTable {
             servers: Vec::new(),
             by_id: HashMap::new(),
-            buckets: vec![Vec::new(); FREE_LIMIT + 1],
-            filled: 0,
-            resting: BinaryHeap::new(),
-            usual_ms: 0.0,
+            buckets: vec![Vec::new(); MAX_BUCKET + 1],
+            nonempty: 0,
+            closed: BinaryHeap::new(),
+            mean_latency_ms: 0.0,
             capacity: Capacity::default(),
         }
     }
@@ -75,34 +75,34 @@
     /// Changes a server and keeps the buckets and the totals right.
     fn update(&mut self, key: usize, change: impl FnOnce(&mut Server)) {
         let server = &mut self.servers[key];
-        let (free, slots) = (server.free(), server.slots());
+        let (free, total) = (server.free_slots(), server.total_slots());
         change(server);
-        self.capacity.free = self.capacity.free - free + server.free();
-        self.capacity.total = self.capacity.total - slots + server.slots();
-        let bucket = (server.free() as usize).min(FREE_LIMIT);
+        self.capacity.free = self.capacity.free - free + server.free_slots();
+        self.capacity.total = self.capacity.total - total + server.total_slots();
+        let bucket = (server.free_slots() as usize).min(MAX_BUCKET);
         if bucket != server.bucket {
-            self.take_out(key);
-            self.put_in(key, bucket);
+            self.remove_from_bucket(key);
+            self.insert_into_bucket(key, bucket);
         }
     }
 
-    fn take_out(&mut self, key: usize) {
+    fn remove_from_bucket(&mut self, key: usize) {
         let Server { bucket, position, .. } = self.servers[key];
         self.buckets[bucket].swap_remove(position);
         if let Some(&moved) = self.buckets[bucket].get(position) {
             self.servers[moved].position = position;
         }
         if self.buckets[bucket].is_empty() {
-            self.filled &= !(1 << bucket);
+            self.nonempty &= !(1 << bucket);
         }
     }
 
-    fn put_in(&mut self, key: usize, bucket: usize) {
+    fn insert_into_bucket(&mut self, key: usize, bucket: usize) {
         self.servers[key].bucket = bucket;
         self.servers[key].position = self.buckets[bucket].len();
         self.buckets[bucket].push(key);
         if bucket > 0 {
-            self.filled |= 1 << bucket;
+            self.nonempty |= 1 << bucket;
         }
     }
 
@@ -111,43 +111,43 @@
         self.servers.push(Server {
             id: id.clone(),
             limit,
-            open: false,
+            available: false,
             in_use: 0,
             bucket: 0,
             position: 0,
         });
         self.by_id.insert(id.clone(), key);
-        self.put_in(key, 0);
+        self.insert_into_bucket(key, 0);
         // A push to any bucket must find the room there: the choice is not to
         // allocate.
         let count = self.servers.len();
         for bucket in &mut self.buckets {
             bucket.reserve(count - bucket.len());
         }
-        self.resting.reserve(count * 2);
+        self.closed.reserve(count * 2);
         key
     }
 
-    fn wake_rested(&mut self, now_ms: Millis) {
-        while let Some(&Reverse((at_ms, key))) = self.resting.peek() {
+    fn reopen_due(&mut self, now_ms: Millis) {
+        while let Some(&Reverse((at_ms, key))) = self.closed.peek() {
             if at_ms > now_ms {
                 return;
             }
-            self.resting.pop();
+            self.closed.pop();
             self.update(key, |server| server.limit.reopen(now_ms));
         }
     }
 
     /// The first answer sets what is usual: against nothing, all are slow.
-    fn learn_usual(&mut self, latency_ms: f64) {
-        let weight = if self.usual_ms == 0.0 { 1.0 } else { WEIGHT };
-        self.usual_ms += weight * (latency_ms - self.usual_ms);
+    fn record_latency(&mut self, latency_ms: f64) {
+        let weight = if self.mean_latency_ms == 0.0 { 1.0 } else { EWMA_WEIGHT };
+        self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
     }
 
-    fn rest_if_closed(&mut self, key: usize) {
+    fn schedule_reopen(&mut self, key: usize) {
         let limit = &self.servers[key].limit;
         if limit.get() == 0 {
-            self.resting.push(Reverse((limit.next_increase_at_ms(), key)));
+            self.closed.push(Reverse((limit.next_increase_at_ms(), key)));
         }
     }
 }
@@ -155,26 +155,27 @@
 impl Router for SlotTable {
     fn set_servers(&mut self, _locality: Locality<'_>, servers: &[ServerStatus]) {
         for key in 0..self.servers.len() {
-            self.update(key, |server| server.open = false);
+            self.update(key, |server| server.available = false);
         }
         // Servers of the first list served before this instance looked: a new
         // dispatcher that took them for cold would refuse what they can take.
-        let first = self.servers.is_empty();
+        let first_list = self.servers.is_empty();
         for ServerStatus { server, available } in servers {
-            let make = if first { ConcurrencyLimit::warm } else { ConcurrencyLimit::cold };
+            let new_limit =
+                if first_list { ConcurrencyLimit::warm } else { ConcurrencyLimit::cold };
             let known = self.by_id.get(&server.id).copied();
-            let key =
-                known.unwrap_or_else(|| self.add(&server.id, make(server.start, server.slots)));
+            let key = known
+                .unwrap_or_else(|| self.add(&server.id, new_limit(server.start, server.slots)));
             self.update(key, |known| {
                 known.limit.update_server(server.start, server.slots);
-                known.open = *available;
+                known.available = *available;
             });
         }
     }
 
     fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
-        self.wake_rested(now_ms);
-        let bucket = self.filled.checked_ilog2()? as usize;
+        self.reopen_due(now_ms);
+        let bucket = self.nonempty.checked_ilog2()? as usize;
         let nth = rng.usize(..self.buckets[bucket].len());
         let key = self.buckets[bucket][nth];
         self.update(key, |server| {
@@ -192,15 +193,15 @@
 
     fn release(&mut self, key: usize, completion: Completion, now_ms: Millis) {
         if let Completion::Responded { latency_ms } = completion {
-            self.learn_usual(latency_ms as f64);
+            self.record_latency(latency_ms as f64);
         }
-        let usual_ms = self.usual_ms;
+        let mean_latency_ms = self.mean_latency_ms;
         self.update(key, |server| {
             debug_assert!(server.in_use > 0, "a slot is given back once");
             server.in_use = server.in_use.saturating_sub(1);
             match completion {
                 Completion::Responded { latency_ms } => {
-                    server.limit.record_response(latency_ms, usual_ms, now_ms);
+                    server.limit.record_response(latency_ms, mean_latency_ms, now_ms);
                 }
                 Completion::Refused | Completion::Failed => {
                     server.limit.record_refusal(server.in_use, now_ms)
@@ -208,7 +209,7 @@
                 Completion::Cancelled => {}
             }
         });
-        self.rest_if_closed(key);
+        self.schedule_reopen(key);
     }
 
     /// Changes nothing: the slots taken here are counted exactly, and a report
