--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/end.rs
@@ -56,14 +56,14 @@
         completion: Completion,
         now_ms: Millis,
     ) {
-        self.peers.finish(hand_over.peer);
+        self.peers.finish_hand_over(hand_over.peer);
         let failed = completion == Completion::Failed;
         let group = &mut self.groups[hand_over.group];
         if group.remote_peer == Some(hand_over.peer) {
             group.remote.finish(!failed);
         }
         if failed {
-            self.peers.fail(hand_over.peer, now_ms);
+            self.peers.record_failure(hand_over.peer, now_ms);
         }
         if let Some(reservation) = hand_over.reservation {
             self.links.release(reservation);
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -131,7 +131,7 @@
     fn dispatcher(&self, group: usize, idempotent: bool, now_ms: Millis) -> Who {
         let usable = |who: &Who| match *who {
             Who::Me => true,
-            Who::Peer(peer) => self.peers.usable(peer, idempotent, now_ms),
+            Who::Peer(peer) => self.peers.is_usable(peer, idempotent, now_ms),
         };
         self.groups[group].order.iter().copied().find(usable).unwrap_or(Who::Me)
     }
@@ -260,7 +260,7 @@
         reservation: Option<Reservation>,
         now_ms: Millis,
     ) -> Decision {
-        self.peers.send(peer, now_ms);
+        self.peers.start_hand_over(peer, now_ms);
         self.groups[group].remote.hand_over();
         if let Some(reservation) = reservation {
             self.links.reserve(reservation);
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -59,7 +59,7 @@
     /// one; as indexes.
     pub fn away_peers_with_requests(&self, snapshot: &Snapshot) -> Vec<usize> {
         let known = snapshot.away.iter().filter_map(|id| self.peers.find(id));
-        known.filter(|&peer| self.peers.holds_any(peer)).collect()
+        known.filter(|&peer| self.peers.has_requests(peer)).collect()
     }
 
     /// The update that goes back with an answer to `to`.
@@ -88,7 +88,7 @@
         let Some(peer) = self.peers.find(from) else {
             return;
         };
-        self.peers.hear(peer, by_frame, now_ms);
+        self.peers.record_update(peer, by_frame, now_ms);
         let Some(&index) = self.by_id.get(group) else {
             return;
         };
