--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -1,7 +1,7 @@
 //! What one group holds, as its dispatcher counts it.
 
 use crate::{
-    route::dispatch::{Group, Hander},
+    route::dispatch::{Group, Sender},
     time::Millis,
 };
 
@@ -28,29 +28,29 @@
     }
 
     /// Counts a request that another instance handed over.
-    pub(super) fn enter(&mut self, peer: usize, now_ms: Millis) {
-        if !self.handers.iter().any(|hander| hander.peer == peer) {
-            let heard_at_ms = now_ms;
-            self.handers.push(Hander {
+    pub(super) fn add_request(&mut self, peer: usize, now_ms: Millis) {
+        if !self.senders.iter().any(|sender| sender.peer == peer) {
+            let last_request_at_ms = now_ms;
+            self.senders.push(Sender {
                 peer,
-                seen: 0,
-                active: 0,
-                heard_at_ms,
-                said: None,
-                framed_at_ms: None,
+                received: 0,
+                in_flight: 0,
+                last_request_at_ms,
+                last_update: None,
+                last_frame_at_ms: None,
             });
         }
-        for hander in self.handers.iter_mut().filter(|hander| hander.peer == peer) {
-            hander.seen += 1;
-            hander.active += 1;
-            hander.heard_at_ms = now_ms;
+        for sender in self.senders.iter_mut().filter(|sender| sender.peer == peer) {
+            sender.received += 1;
+            sender.in_flight += 1;
+            sender.last_request_at_ms = now_ms;
         }
     }
 
     /// Counts the end of a request that another instance handed over.
-    pub(super) fn leave(&mut self, peer: Option<usize>) {
-        for hander in self.handers.iter_mut().filter(|hander| Some(hander.peer) == peer) {
-            hander.active = hander.active.saturating_sub(1);
+    pub(super) fn remove_request(&mut self, peer: Option<usize>) {
+        for sender in self.senders.iter_mut().filter(|sender| Some(sender.peer) == peer) {
+            sender.in_flight = sender.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -32,11 +32,11 @@
 //! assert!(matches!(decision, Decision::Refuse(_)));
 //! ```
 
-mod end;
 mod group_state;
-mod list;
 mod place;
 mod refusal;
+mod release;
+mod servers;
 mod updates;
 
 use std::{collections::HashMap, fmt, ops::Range};
@@ -157,19 +157,19 @@
     groups: Vec<Group>,
     by_id: HashMap<GroupId, usize>,
     /// Groups with open servers, those of one zone beside each other.
-    open: Vec<usize>,
+    available_groups: Vec<usize>,
     /// Which of them are a zone's.
     by_zone: HashMap<ZoneName, Range<usize>>,
     peers: Peers,
     links: RegionLinks,
     /// Live instances, this one included.
-    instances: u32,
+    live_instances: u32,
 }
 
 /// Who dispatches for a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Who {
-    Me,
+enum Dispatcher {
+    Local,
     Peer(usize),
 }
 
@@ -183,23 +183,23 @@
     round_trip_ms: u64,
     link: Option<usize>,
     /// Who dispatches, the first that answers.
-    order: Vec<Who>,
+    dispatchers: Vec<Dispatcher>,
     queue: Queue,
     service_time: ServiceTime,
     remote: RemoteLoad,
     remote_peer: Option<usize>,
-    handers: Vec<Hander>,
+    senders: Vec<Sender>,
 }
 
 /// An instance that hands over requests of a group.
 #[derive(Debug)]
-struct Hander {
+struct Sender {
     peer: usize,
-    seen: u64,
-    active: u32,
-    heard_at_ms: Millis,
-    said: Option<(GroupLoad, Millis)>,
-    framed_at_ms: Option<Millis>,
+    received: u64,
+    in_flight: u32,
+    last_request_at_ms: Millis,
+    last_update: Option<(GroupLoad, Millis)>,
+    last_frame_at_ms: Option<Millis>,
 }
 
 impl fmt::Debug for Dispatch {
@@ -216,11 +216,11 @@
             config,
             groups: Vec::new(),
             by_id: HashMap::new(),
-            open: Vec::new(),
+            available_groups: Vec::new(),
             by_zone: HashMap::new(),
             peers: Peers::default(),
             links: RegionLinks::default(),
-            instances: 1,
+            live_instances: 1,
         }
     }
 
--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -5,7 +5,7 @@
 use crate::{
     names::InstanceId,
     route::{
-        dispatch::{Decision, Dispatch, DispatchRequest, HandOver, Refusal, Slot, Who},
+        dispatch::{Decision, Dispatch, DispatchRequest, Dispatcher, HandOver, Refusal, Slot},
         group::GroupId,
         link::Reservation,
         queue::{self, QueuedRequest},
@@ -17,7 +17,7 @@
 #[derive(Clone, Copy)]
 struct Candidate {
     group: usize,
-    who: Who,
+    dispatcher: Dispatcher,
     reservation: Option<Reservation>,
     free: u64,
     /// Until it would start there, without the way.
@@ -29,11 +29,11 @@
 }
 
 /// A zone later in a plan than the first has to save as much at least.
-const MOVE_MS: u64 = 4;
+const MIN_DETOUR_COST_MS: u64 = 4;
 
 impl Candidate {
     /// Less is better: room in the queue, the earlier start, more free slots.
-    fn order(&self) -> (bool, u64, Reverse<u64>) {
+    fn sort_key(&self) -> (bool, u64, Reverse<u64>) {
         (self.full, self.cost_ms, Reverse(self.free))
     }
 }
@@ -52,24 +52,24 @@
         rng: &mut fastrand::Rng,
     ) -> Decision {
         let mut best: Option<Candidate> = None;
-        let mut crowded = false;
-        let mut first_trip_ms = None;
+        let mut link_full = false;
+        let mut first_rtt_ms = None;
         for zone in request.zones {
             let Some(groups) = self.by_zone.get(zone).cloned() else {
                 continue;
             };
-            let round_trip_ms = self.groups[self.open[groups.start]].round_trip_ms;
-            let detour_ms = match first_trip_ms {
+            let round_trip_ms = self.groups[self.available_groups[groups.start]].round_trip_ms;
+            let detour_ms = match first_rtt_ms {
                 None => 0,
-                Some(first_ms) => round_trip_ms.abs_diff(first_ms).max(MOVE_MS),
+                Some(first_rtt_ms) => round_trip_ms.abs_diff(first_rtt_ms).max(MIN_DETOUR_COST_MS),
             };
-            first_trip_ms.get_or_insert(round_trip_ms);
-            let Some(mut candidate) = self.best_of(groups, request, now_ms) else {
-                crowded = true;
+            first_rtt_ms.get_or_insert(round_trip_ms);
+            let Some(mut candidate) = self.best_in_zone(groups, request, now_ms) else {
+                link_full = true;
                 continue;
             };
             candidate.cost_ms += detour_ms;
-            if best.is_none_or(|best| candidate.order() < best.order()) {
+            if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
                 best = Some(candidate);
             }
             // Nothing later in the plan can be better than a free slot here.
@@ -82,7 +82,7 @@
             None if request.zones.is_empty() && !self.by_zone.is_empty() => {
                 Decision::Refuse(Refusal::cap_reached())
             }
-            None if crowded => Decision::Refuse(Refusal::no_link()),
+            None if link_full => Decision::Refuse(Refusal::link_full()),
             None => Decision::Refuse(Refusal::no_backend()),
         }
     }
@@ -101,26 +101,27 @@
             return Decision::Refuse(Refusal::no_backend());
         };
         let peer = self.peers.index(from);
-        self.groups[index].enter(peer, now_ms);
+        self.groups[index].add_request(peer, now_ms);
         let decision = self.place_here(index, Some(peer), request, now_ms, rng);
         if matches!(decision, Decision::Refuse(_)) {
-            self.groups[index].leave(Some(peer));
+            self.groups[index].remove_request(Some(peer));
         }
         decision
     }
 
     /// The best of one zone's groups; `None` when the link there has no room.
-    fn best_of(
+    fn best_in_zone(
         &mut self,
         groups: Range<usize>,
         request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Option<Candidate> {
-        let reservation = self.check_link(self.open[groups.start], request, now_ms)?;
+        let reservation = self.check_link(self.available_groups[groups.start], request, now_ms)?;
         let mut best: Option<Candidate> = None;
         for nth in groups {
-            let candidate = self.candidate(self.open[nth], reservation, request, now_ms);
-            if best.is_none_or(|best| candidate.order() < best.order()) {
+            let candidate =
+                self.candidate(self.available_groups[nth], reservation, request, now_ms);
+            if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
                 best = Some(candidate);
             }
         }
@@ -128,12 +129,12 @@
     }
 
     /// Who dispatches for a group: the first in its order that answers.
-    fn dispatcher(&self, group: usize, idempotent: bool, now_ms: Millis) -> Who {
-        let usable = |who: &Who| match *who {
-            Who::Me => true,
-            Who::Peer(peer) => self.peers.is_usable(peer, idempotent, now_ms),
+    fn dispatcher(&self, group: usize, idempotent: bool, now_ms: Millis) -> Dispatcher {
+        let usable = |dispatcher: &Dispatcher| match *dispatcher {
+            Dispatcher::Local => true,
+            Dispatcher::Peer(peer) => self.peers.is_usable(peer, idempotent, now_ms),
         };
-        self.groups[group].order.iter().copied().find(usable).unwrap_or(Who::Me)
+        self.groups[group].dispatchers.iter().copied().find(usable).unwrap_or(Dispatcher::Local)
     }
 
     /// What a request would hold of the link to a group, if it crosses one;
@@ -157,20 +158,20 @@
         request: &DispatchRequest<'_>,
         now_ms: Millis,
     ) -> Candidate {
-        let who = self.dispatcher(index, request.idempotent, now_ms);
+        let dispatcher = self.dispatcher(index, request.idempotent, now_ms);
         let group = &mut self.groups[index];
-        let (free, wait_ms, queued) = match who {
-            Who::Me => (group.free(), group.wait_ms(), group.queue.len()),
-            Who::Peer(peer) => {
+        let (free, wait_ms, queued) = match dispatcher {
+            Dispatcher::Local => (group.free(), group.wait_ms(), group.queue.len()),
+            Dispatcher::Peer(peer) => {
                 group.set_remote_peer(peer);
                 let slots = group.listed_slots;
-                let free = group.remote.estimated_free(slots.div_ceil(self.instances), now_ms);
+                let free = group.remote.estimated_free(slots.div_ceil(self.live_instances), now_ms);
                 let wait_ms = if free > 0 { 0 } else { group.remote.estimated_wait_ms(slots) };
                 (free, wait_ms, group.remote.estimated_queued(now_ms))
             }
         };
         let full = queued >= queue::max_len(group.listed_slots);
-        Candidate { group: index, who, reservation, free, wait_ms, cost_ms: wait_ms, full }
+        Candidate { group: index, dispatcher, reservation, free, wait_ms, cost_ms: wait_ms, full }
     }
 
     fn send(
@@ -180,8 +181,8 @@
         now_ms: Millis,
         rng: &mut fastrand::Rng,
     ) -> Decision {
-        let Candidate { group, who, reservation, wait_ms, full, .. } = candidate;
-        let Who::Peer(peer) = who else {
+        let Candidate { group, dispatcher, reservation, wait_ms, full, .. } = candidate;
+        let Dispatcher::Peer(peer) = dispatcher else {
             return self.place_here(group, None, request, now_ms, rng);
         };
         // The dispatcher would only say the same, a round trip later.
--- a/crates/azuregate-core/src/route/dispatch/refusal.rs
+++ b/crates/azuregate-core/src/route/dispatch/refusal.rs
@@ -15,7 +15,7 @@
         Refusal { kind: ErrorKind::CapReached, reason, retry_after_ms: 1_000 }
     }
 
-    pub(super) fn no_link() -> Refusal {
+    pub(super) fn link_full() -> Refusal {
         let reason = "the links to the regions with free slots have no room";
         Refusal { kind: ErrorKind::QueueFull, reason, retry_after_ms: 1_000 }
     }
--- a/crates/azuregate-core/src/route/dispatch/end.rs
+++ b/crates/azuregate-core/src/route/dispatch/release.rs
@@ -31,7 +31,7 @@
     pub fn cancel_waiting(&mut self, ticket: u64) -> Option<Refusal> {
         for group in &mut self.groups {
             if let Some(waiting) = group.queue.remove(ticket) {
-                group.leave(waiting.from);
+                group.remove_request(waiting.from);
                 return Some(Refusal::too_late(group.wait_ms()));
             }
         }
@@ -43,7 +43,7 @@
         let group = &mut self.groups[slot.group];
         group.router.release(slot.key, completion, now_ms);
         group.service_time.release(matches!(completion, Completion::Responded { .. }), now_ms);
-        group.leave(slot.from);
+        group.remove_request(slot.from);
         if let Some(reservation) = slot.reservation {
             self.links.release(reservation);
         }
--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/servers.rs
@@ -6,7 +6,7 @@
     names::ZoneName,
     route::{
         Locality, ServerStatus,
-        dispatch::{Dispatch, Group, Grouping, Refusal, Who},
+        dispatch::{Dispatch, Dispatcher, Group, Grouping, Refusal},
         group::{self, GroupId},
         queue::{Queue, QueuedRequest, ServiceTime},
         remote_load::RemoteLoad,
@@ -31,25 +31,25 @@
             .collect();
         let others =
             instances.iter().filter(|instance| instance.id != self.config.instance).count();
-        self.instances = 1 + others as u32;
-        let mut by_group = self.split(snapshot);
+        self.live_instances = 1 + others as u32;
+        let mut by_group = self.servers_by_group(snapshot);
         // Groups that are no longer listed stay, closed, for the requests that
         // are still in progress.
         for group in &self.groups {
             by_group.entry(group.id.clone()).or_default();
         }
-        self.open.clear();
+        self.available_groups.clear();
         self.by_zone.clear();
         let mut refused = Vec::new();
         for (id, servers) in by_group {
             let index = self.group_index(&id);
             self.set_group(index, snapshot, &mut instances, &servers);
-            refused.extend(self.refuse_if_closed(index));
+            refused.extend(self.refuse_if_unavailable(index));
         }
         refused
     }
 
-    fn split(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<ServerStatus>> {
+    fn servers_by_group(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<ServerStatus>> {
         let servers = snapshot.route_servers(&self.config.service);
         let mut by_group: BTreeMap<GroupId, Vec<ServerStatus>> = BTreeMap::new();
         if self.config.grouping == Grouping::WholeService {
@@ -80,12 +80,12 @@
             listed_slots: 0,
             round_trip_ms: 0,
             link: None,
-            order: Vec::new(),
+            dispatchers: Vec::new(),
             queue: Queue::default(),
             service_time: ServiceTime::default(),
             remote: RemoteLoad::default(),
             remote_peer: None,
-            handers: Vec::new(),
+            senders: Vec::new(),
         });
         self.by_id.insert(id.clone(), self.groups.len() - 1);
         self.groups.len() - 1
@@ -98,7 +98,7 @@
         instances: &mut [&Instance],
         servers: &[ServerStatus],
     ) {
-        let order = self.order(index, snapshot, instances);
+        let dispatchers = self.dispatcher_order(index, snapshot, instances);
         let here = &self.config.zone;
         let group = &mut self.groups[index];
         let topology = &snapshot.topology;
@@ -108,11 +108,11 @@
         group.round_trip_ms = 2 * topology.delay_ms(topology.distance(here, &group.id.zone));
         let region = topology.region_of(&group.id.zone);
         group.link = region.and_then(|region| self.links.link_to(region));
-        group.order = order;
+        group.dispatchers = dispatchers;
         if group.listed_slots > 0 {
             // Groups come in the order of their names, so a zone's are together.
-            let nth = self.open.len();
-            self.open.push(index);
+            let nth = self.available_groups.len();
+            self.available_groups.push(index);
             let range = self.by_zone.entry(group.id.zone.clone()).or_insert(nth..nth);
             range.end = nth + 1;
         }
@@ -120,14 +120,14 @@
 
     /// Who dispatches for a group. This instance is always among them: one that
     /// reaches no other has to dispatch itself.
-    fn order(
+    fn dispatcher_order(
         &mut self,
         index: usize,
         snapshot: &Snapshot,
         instances: &mut [&Instance],
-    ) -> Vec<Who> {
+    ) -> Vec<Dispatcher> {
         if self.config.grouping == Grouping::WholeService {
-            return vec![Who::Me];
+            return vec![Dispatcher::Local];
         }
         let service = self.config.service.as_str();
         let id = &self.groups[index].id;
@@ -135,24 +135,24 @@
         let mut order = Vec::with_capacity(instances.len() + 1);
         for instance in instances {
             if instance.id == self.config.instance {
-                order.push(Who::Me);
+                order.push(Dispatcher::Local);
                 break;
             }
-            order.push(Who::Peer(self.peers.index(&instance.id)));
+            order.push(Dispatcher::Peer(self.peers.index(&instance.id)));
         }
-        if order.last() != Some(&Who::Me) {
-            order.push(Who::Me);
+        if order.last() != Some(&Dispatcher::Local) {
+            order.push(Dispatcher::Local);
         }
         order
     }
 
-    fn refuse_if_closed(&mut self, index: usize) -> Vec<(QueuedRequest, Refusal)> {
+    fn refuse_if_unavailable(&mut self, index: usize) -> Vec<(QueuedRequest, Refusal)> {
         if self.groups[index].listed_slots > 0 {
             return Vec::new();
         }
         let mut refused = Vec::new();
         while let Some(waiting) = self.groups[index].queue.pop() {
-            self.groups[index].leave(waiting.from);
+            self.groups[index].remove_request(waiting.from);
             refused.push((waiting, Refusal::no_backend()));
         }
         refused
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -3,7 +3,7 @@
 use crate::{
     names::InstanceId,
     route::{
-        dispatch::{Dispatch, Group, Hander},
+        dispatch::{Dispatch, Group, Sender},
         group::{GroupId, GroupLoad},
     },
     snapshot::Snapshot,
@@ -11,20 +11,20 @@
 };
 
 /// The shortest time between two updates to one instance.
-const SAY_MS: Millis = Millis(50);
+const MIN_UPDATE_INTERVAL_MS: Millis = Millis(50);
 /// The longest time between two updates to an instance whose requests are held:
 /// its silence would be taken for a freeze.
-const ALIVE_MS: Millis = Millis(200);
+const HEARTBEAT_INTERVAL_MS: Millis = Millis(200);
 /// The longest time between two frames to an instance that hands over.
 ///
 /// While answers carry all updates, no frame is due. The other instance would then
 /// not know that this one speaks by frames, and would take no silence for a
 /// freeze.
-const FRAME_MS: Millis = Millis(500);
+const MAX_FRAME_INTERVAL_MS: Millis = Millis(500);
 /// An instance that handed nothing over for so long hears nothing more.
-const OVERFLOW_MS: Millis = Millis(5_000);
+const SENDER_EXPIRY_MS: Millis = Millis(5_000);
 /// Changes smaller than one in so many of the slots are not worth an update.
-const NEWS: u32 = 8;
+const SIGNIFICANT_SLOTS_DIVISOR: u32 = 8;
 
 /// An update to an instance that hands requests of a group over.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -45,9 +45,9 @@
         let mut updates = Vec::new();
         for group in &mut self.groups {
             let load = group.load(self.config.start);
-            for hander in &mut group.handers {
-                if let Some(load) = hander.due(load, now_ms) {
-                    let (to, group) = (self.peers.id(hander.peer).clone(), group.id.clone());
+            for sender in &mut group.senders {
+                if let Some(load) = sender.due_update(load, now_ms) {
+                    let (to, group) = (self.peers.id(sender.peer).clone(), group.id.clone());
                     updates.push(LoadUpdate { to, group, load });
                 }
             }
@@ -72,8 +72,8 @@
         let peer = self.peers.find(to)?;
         let group = &mut self.groups[*self.by_id.get(group)?];
         let load = group.load(self.config.start);
-        let hander = group.handers.iter_mut().find(|hander| hander.peer == peer)?;
-        Some(hander.say(load, now_ms))
+        let sender = group.senders.iter_mut().find(|sender| sender.peer == peer)?;
+        Some(sender.record_update(load, now_ms))
     }
 
     /// Takes in an update of a dispatcher.
@@ -113,34 +113,37 @@
     }
 }
 
-impl Hander {
-    fn say(&mut self, load: GroupLoad, now_ms: Millis) -> GroupLoad {
-        let load = GroupLoad { seen: self.seen, ..load };
-        self.said = Some((load, now_ms));
+impl Sender {
+    fn record_update(&mut self, load: GroupLoad, now_ms: Millis) -> GroupLoad {
+        let load = GroupLoad { seen: self.received, ..load };
+        self.last_update = Some((load, now_ms));
         load
     }
 
-    fn due(&mut self, load: GroupLoad, now_ms: Millis) -> Option<GroupLoad> {
-        let overflows = now_ms.since(self.heard_at_ms) <= OVERFLOW_MS;
-        if !overflows && self.active == 0 {
+    fn due_update(&mut self, load: GroupLoad, now_ms: Millis) -> Option<GroupLoad> {
+        let is_sending = now_ms.since(self.last_request_at_ms) <= SENDER_EXPIRY_MS;
+        if !is_sending && self.in_flight == 0 {
             return None;
         }
-        let due = self.said.is_none_or(|(said, at_ms)| {
+        let due = self.last_update.is_none_or(|(last, at_ms)| {
             let passed_ms = now_ms.since(at_ms);
-            let alive = self.active > 0 && passed_ms >= ALIVE_MS;
-            alive || (passed_ms >= SAY_MS && is_news(&said, &load))
+            let heartbeat_due = self.in_flight > 0 && passed_ms >= HEARTBEAT_INTERVAL_MS;
+            heartbeat_due || (passed_ms >= MIN_UPDATE_INTERVAL_MS && is_significant(&last, &load))
         });
-        let framed = self.framed_at_ms.is_some_and(|at_ms| now_ms.since(at_ms) < FRAME_MS);
-        if framed && !due {
+        let frame_recent =
+            self.last_frame_at_ms.is_some_and(|at_ms| now_ms.since(at_ms) < MAX_FRAME_INTERVAL_MS);
+        if frame_recent && !due {
             return None;
         }
-        self.framed_at_ms = Some(now_ms);
-        Some(self.say(load, now_ms))
+        self.last_frame_at_ms = Some(now_ms);
+        Some(self.record_update(load, now_ms))
     }
 }
 
-fn is_news(said: &GroupLoad, load: &GroupLoad) -> bool {
-    let step = (load.slots / NEWS).max(1);
-    let turned = (said.free == 0) != (load.free == 0);
-    turned || said.free.abs_diff(load.free) >= step || said.queued.abs_diff(load.queued) >= step
+fn is_significant(last: &GroupLoad, load: &GroupLoad) -> bool {
+    let step = (load.slots / SIGNIFICANT_SLOTS_DIVISOR).max(1);
+    let exhaustion_changed = (last.free == 0) != (load.free == 0);
+    exhaustion_changed
+        || last.free.abs_diff(load.free) >= step
+        || last.queued.abs_diff(load.queued) >= step
 }
