--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -21,20 +21,20 @@
     snapshot::Snapshot,
     steer::{
         Steer, ZonePlan,
-        overflow::{Allowed, Overflow},
+        overflow::{OverflowBudget, OverflowLimit},
     },
     time::Millis,
     topology::Topology,
 };
 
 /// The part of the cap that movements of shares may use.
-const SHARES_PART: f64 = 0.95;
+const SHIFT_CAP_FRACTION: f64 = 0.95;
 /// The part of the cap that requests without room in their zone may always use.
-const OVERFLOW_PART: f64 = 1.0 - SHARES_PART;
+const OVERFLOW_CAP_FRACTION: f64 = 1.0 - SHIFT_CAP_FRACTION;
 /// The part of the cap that overflowing requests may use while shares stand.
-const STEADY_OVERFLOW_PART: f64 = 0.5;
-/// Shares closer than this to their goal have reached it.
-const NEAR: f64 = 1e-9;
+const STEADY_OVERFLOW_CAP_FRACTION: f64 = 0.5;
+/// Shares closer than this to their target have reached it.
+const SHARE_EPSILON: f64 = 1e-9;
 
 /// Plans the requests of one service on one instance, within the cap.
 #[derive(Clone, Debug)]
@@ -44,10 +44,10 @@
     from: ZoneName,
     policy: Option<Arc<Policy>>,
     zones: Vec<Zone>,
-    started: bool,
-    reached: Option<(Shift, u32)>,
+    initialized: bool,
+    last_progress: Option<(Shift, u32)>,
     limiter: MovementLimiter,
-    overflow: Overflow,
+    overflow: OverflowBudget,
 }
 
 /// A zone; kept in the order of preference of this instance.
@@ -58,10 +58,10 @@
     /// Whether any backend server of the service is listed there.
     listed: bool,
     /// Whether one of them takes new work.
-    open: bool,
+    available: bool,
     share: f64,
     /// The share that it is to have when nothing bounds the way there.
-    goal: f64,
+    target: f64,
     credit: f64,
 }
 
@@ -74,10 +74,10 @@
             from: from.clone(),
             policy: None,
             zones: Vec::new(),
-            started: false,
-            reached: None,
+            initialized: false,
+            last_progress: None,
             limiter: MovementLimiter::default(),
-            overflow: Overflow::default(),
+            overflow: OverflowBudget::default(),
         }
     }
 
@@ -104,9 +104,9 @@
                 name: name.clone(),
                 region: topology.region_of(name).cloned(),
                 listed: false,
-                open: false,
+                available: false,
                 share: 0.0,
-                goal: 0.0,
+                target: 0.0,
                 credit: phase - 0.5,
             });
         }
@@ -119,19 +119,23 @@
     }
 
     /// Where nearness alone sends requests: the home region while it is open.
-    fn nearest(&self, open_only: bool) -> Option<usize> {
+    fn nearest(&self, available_only: bool) -> Option<usize> {
         let home = self.zones.iter().position(|zone| zone.listed)?;
         let region = &self.zones[home].region;
-        let at_home = |zone: &Zone| zone.open && zone.region == *region;
-        let open_at_home = self.zones.iter().position(at_home);
-        let open_anywhere = || self.zones.iter().position(|zone| zone.open);
-        if open_only { open_at_home.or_else(open_anywhere) } else { open_at_home.or(Some(home)) }
+        let at_home = |zone: &Zone| zone.available && zone.region == *region;
+        let available_at_home = self.zones.iter().position(at_home);
+        let available_anywhere = || self.zones.iter().position(|zone| zone.available);
+        if available_only {
+            available_at_home.or_else(available_anywhere)
+        } else {
+            available_at_home.or(Some(home))
+        }
     }
 
     /// The shares that a table gives, as parts of 1.
-    fn shares_of(&self, shares: &Shares, open_only: bool) -> Vec<f64> {
+    fn shares_of(&self, shares: &Shares, available_only: bool) -> Vec<f64> {
         if shares.is_empty() {
-            let nearest = self.nearest(open_only);
+            let nearest = self.nearest(available_only);
             return (0..self.zones.len()).map(|i| f64::from(Some(i) == nearest)).collect();
         }
         let share = |zone: &Zone| {
@@ -142,43 +146,48 @@
     }
 
     /// The shares that the policy wants, failed zones included.
-    fn wanted(&mut self, policy: &Policy, epoch_ms: Millis, open_only: bool) -> Vec<f64> {
+    fn target_shares(
+        &mut self,
+        policy: &Policy,
+        epoch_ms: Millis,
+        available_only: bool,
+    ) -> Vec<f64> {
         let Some(shift) = &policy.shift else {
-            self.reached = None;
-            return self.shares_of(&policy.zone_share_ppm, open_only);
+            self.last_progress = None;
+            return self.shares_of(&policy.zone_share_ppm, available_only);
         };
         let mut progress = shift.progress_ppm(epoch_ms);
-        if let Some((reached, before)) = &self.reached
-            && reached == shift
+        if let Some((last_shift, last)) = &self.last_progress
+            && last_shift == shift
         {
             // A clock that jumps back does not send traffic back.
-            progress = progress.max(*before);
+            progress = progress.max(*last);
         }
-        self.reached = Some((shift.clone(), progress));
+        self.last_progress = Some((shift.clone(), progress));
         let progress = f64::from(progress) / f64::from(WHOLE_PPM);
-        let from = self.shares_of(&shift.from_share_ppm, open_only);
-        let to = self.shares_of(&shift.to_share_ppm, open_only);
+        let from = self.shares_of(&shift.from_share_ppm, available_only);
+        let to = self.shares_of(&shift.to_share_ppm, available_only);
         from.iter().zip(&to).map(|(a, b)| a + (b - a) * progress).collect()
     }
 
     /// Gives the shares of zones without an open server to the others.
-    fn fail_over(&self, wanted: &mut [f64]) {
-        let open = |(zone, share): (&Zone, &f64)| if zone.open { *share } else { 0.0 };
-        let left: f64 = self.zones.iter().zip(&*wanted).map(open).sum();
-        if left < NEAR {
+    fn fail_over(&self, targets: &mut [f64]) {
+        let available = |(zone, share): (&Zone, &f64)| if zone.available { *share } else { 0.0 };
+        let available_share: f64 = self.zones.iter().zip(&*targets).map(available).sum();
+        if available_share < SHARE_EPSILON {
             return;
         }
-        for (zone, share) in self.zones.iter().zip(wanted) {
-            *share = if zone.open { *share / left } else { 0.0 };
+        for (zone, share) in self.zones.iter().zip(targets) {
+            *share = if zone.available { *share / available_share } else { 0.0 };
         }
     }
 
     /// While nearness decides, requests move freely within a region.
-    fn gather_in_regions(&mut self) {
+    fn consolidate_regions(&mut self) {
         for index in 0..self.zones.len() {
             let region = self.zones[index].region.clone();
             let same = |zone: &Zone| zone.region == region;
-            let first = self.zones.iter().position(|zone| same(zone) && zone.open);
+            let first = self.zones.iter().position(|zone| same(zone) && zone.available);
             let Some(first) = first.filter(|&first| first != index) else {
                 continue;
             };
@@ -187,50 +196,56 @@
     }
 
     /// Moves the shares towards what is wanted; returns what may overflow.
-    fn advance(&mut self, policy: &Policy, epoch_ms: Millis, now_ms: Millis) -> Allowed {
+    fn advance(&mut self, policy: &Policy, epoch_ms: Millis, now_ms: Millis) -> OverflowLimit {
         let cap = cap_of(policy);
-        let whole = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
-        if !self.started {
+        let cap_share = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
+        if !self.initialized {
             // An instance that starts is where the row says, never at the goal;
             // what has failed moves from there.
-            let shares = self.wanted(policy, epoch_ms, false);
+            let shares = self.target_shares(policy, epoch_ms, false);
             self.set_shares(&shares);
-            self.started = shares.iter().any(|&share| share > NEAR);
+            self.initialized = shares.iter().any(|&share| share > SHARE_EPSILON);
             self.limiter.start(now_ms);
         }
-        if by_nearness(policy) {
-            self.gather_in_regions();
+        if by_proximity(policy) {
+            self.consolidate_regions();
         }
-        let mut wanted = self.wanted(policy, epoch_ms, true);
-        self.fail_over(&mut wanted);
-        for (zone, goal) in self.zones.iter_mut().zip(&wanted) {
-            zone.goal = *goal;
+        let mut targets = self.target_shares(policy, epoch_ms, true);
+        self.fail_over(&mut targets);
+        for (zone, target) in self.zones.iter_mut().zip(&targets) {
+            zone.target = *target;
         }
         let overflow = self.overflow.share(cap.window_ms, now_ms);
-        let taken = if overflow > whole * OVERFLOW_PART { overflow } else { 0.0 };
-        let budget = self.limiter.budget(scaled(cap, SHARES_PART), now_ms) - taken;
-        let way: f64 = self.way(&wanted);
-        if way < NEAR && !is_due(policy, epoch_ms) {
+        let overflow_used =
+            if overflow > cap_share * OVERFLOW_CAP_FRACTION { overflow } else { 0.0 };
+        let budget =
+            self.limiter.budget(scale_cap(cap, SHIFT_CAP_FRACTION), now_ms) - overflow_used;
+        let remaining: f64 = self.remaining_movement(&targets);
+        if remaining < SHARE_EPSILON && !shift_is_due(policy, epoch_ms) {
             let used = self.limiter.used();
-            let left = (whole * SHARES_PART - used).min(whole * STEADY_OVERFLOW_PART);
+            let left = (cap_share * SHIFT_CAP_FRACTION - used)
+                .min(cap_share * STEADY_OVERFLOW_CAP_FRACTION);
             // At low rates no request ever could, if not one in a window.
-            return Allowed { share: left.max(whole * OVERFLOW_PART), at_least: 1.0 };
+            return OverflowLimit {
+                share: left.max(cap_share * OVERFLOW_CAP_FRACTION),
+                min_requests: 1.0,
+            };
         }
-        let moved = way.min(budget.max(0.0));
-        if moved > NEAR {
-            let part = moved / way;
+        let moved = remaining.min(budget.max(0.0));
+        if moved > SHARE_EPSILON {
+            let fraction = moved / remaining;
             let shares: Vec<f64> = self
                 .zones
                 .iter()
-                .zip(&wanted)
-                .map(|(zone, goal)| zone.share + (goal - zone.share) * part)
+                .zip(&targets)
+                .map(|(zone, target)| zone.share + (target - zone.share) * fraction)
                 .collect();
             self.set_shares(&shares);
-            self.limiter.spend(scaled(cap, SHARES_PART), moved);
+            self.limiter.spend(scale_cap(cap, SHIFT_CAP_FRACTION), moved);
         }
         // One request of few is a larger share than this; the movement would have
         // to wait for it.
-        Allowed { share: whole * OVERFLOW_PART, at_least: 0.0 }
+        OverflowLimit { share: cap_share * OVERFLOW_CAP_FRACTION, min_requests: 0.0 }
     }
 
     fn set_shares(&mut self, shares: &[f64]) {
@@ -240,8 +255,9 @@
     }
 
     /// The share of requests that separates the shares from `wanted`.
-    fn way(&self, wanted: &[f64]) -> f64 {
-        let gains = self.zones.iter().zip(wanted).map(|(zone, goal)| (goal - zone.share).max(0.0));
+    fn remaining_movement(&self, targets: &[f64]) -> f64 {
+        let gains =
+            self.zones.iter().zip(targets).map(|(zone, target)| (target - zone.share).max(0.0));
         gains.sum()
     }
 
@@ -250,7 +266,7 @@
         for zone in &mut self.zones {
             zone.credit += zone.share;
         }
-        let has_share = |&index: &usize| self.zones[index].share > NEAR;
+        let has_share = |&index: &usize| self.zones[index].share > SHARE_EPSILON;
         let next = (0..self.zones.len())
             .filter(has_share)
             .max_by(|&a, &b| self.zones[a].credit.total_cmp(&self.zones[b].credit))?;
@@ -260,11 +276,11 @@
 
     /// Open zones in the order of nearness to this instance, those of `first`'s
     /// region before the others.
-    fn open_zones(&self, first: usize, by_nearness: bool) -> Vec<ZoneName> {
+    fn available_zones(&self, first: usize, by_proximity: bool) -> Vec<ZoneName> {
         let region = &self.zones[first].region;
         let mut others: Vec<_> = (0..self.zones.len())
-            .filter(|&index| index != first && self.zones[index].open)
-            .filter(|&index| by_nearness || self.zones[index].share > NEAR)
+            .filter(|&index| index != first && self.zones[index].available)
+            .filter(|&index| by_proximity || self.zones[index].share > SHARE_EPSILON)
             .collect();
         others.sort_by_key(|&index| self.zones[index].region != *region);
         others.into_iter().map(|index| self.zones[index].name.clone()).collect()
@@ -276,13 +292,13 @@
         self.policy = snapshot.policies.get(&self.service).cloned();
         self.add_zones(&snapshot.topology);
         for zone in &mut self.zones {
-            (zone.listed, zone.open) = (false, false);
+            (zone.listed, zone.available) = (false, false);
         }
         for server in snapshot.route_servers(&self.service) {
             let zone = self.zones.iter_mut().find(|zone| zone.name == server.server.zone);
             let Some(zone) = zone else { continue };
             zone.listed = true;
-            zone.open |= server.available;
+            zone.available |= server.available;
         }
     }
 
@@ -291,23 +307,23 @@
         let Some(policy) = self.policy.clone() else {
             return none(false);
         };
-        let may_overflow = self.advance(&policy, epoch_ms, now_ms);
+        let overflow_limit = self.advance(&policy, epoch_ms, now_ms);
         let Some(next) = self.next_zone() else {
             return none(false);
         };
-        let takes_over = |zone: &Zone| zone.open && zone.goal > NEAR;
-        if !self.zones[next].open && self.zones.iter().any(takes_over) {
+        let takes_over = |zone: &Zone| zone.available && zone.target > SHARE_EPSILON;
+        if !self.zones[next].available && self.zones.iter().any(takes_over) {
             return none(true);
         }
         let mut zones = vec![self.zones[next].name.clone()];
-        if by_nearness(&policy) {
-            zones.extend(self.open_zones(next, true));
+        if by_proximity(&policy) {
+            zones.extend(self.available_zones(next, true));
             return ZonePlan { zones, cap_reached: false };
         }
         let window_ms = cap_of(&policy).window_ms;
         self.overflow.count(window_ms, now_ms);
-        let others = self.open_zones(next, false);
-        if !others.is_empty() && self.overflow.reserve(may_overflow, window_ms, now_ms) {
+        let others = self.available_zones(next, false);
+        if !others.is_empty() && self.overflow.reserve(overflow_limit, window_ms, now_ms) {
             zones.extend(others);
         }
         ZonePlan { zones, cap_reached: false }
@@ -315,7 +331,7 @@
 
     fn record_placement(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis) {
         let Some(policy) = &self.policy else { return };
-        if plan.zones.len() < 2 || by_nearness(policy) {
+        if plan.zones.len() < 2 || by_proximity(policy) {
             return;
         }
         let elsewhere = zone.is_some_and(|zone| *zone != plan.zones[0]);
@@ -323,13 +339,13 @@
     }
 }
 
-fn by_nearness(policy: &Policy) -> bool {
+fn by_proximity(policy: &Policy) -> bool {
     policy.shift.is_none() && policy.zone_share_ppm.is_empty()
 }
 
 /// Whether a shift starts within two windows, or runs. What overflowed then would
 /// be taken off what may move.
-fn is_due(policy: &Policy, epoch_ms: Millis) -> bool {
+fn shift_is_due(policy: &Policy, epoch_ms: Millis) -> bool {
     policy.shift.as_ref().is_some_and(|shift| {
         let soon = epoch_ms + Millis(2 * shift.cap.window_ms);
         soon >= shift.start_at_ms && epoch_ms < shift.end_at_ms()
@@ -340,7 +356,7 @@
     policy.shift.as_ref().map_or(policy.cap, |shift| shift.cap)
 }
 
-fn scaled(cap: Cap, part: f64) -> Cap {
-    let share_ppm = (f64::from(cap.share_ppm) * part) as u32;
+fn scale_cap(cap: Cap, fraction: f64) -> Cap {
+    let share_ppm = (f64::from(cap.share_ppm) * fraction) as u32;
     Cap { share_ppm, ..cap }
 }
--- a/crates/azuregate-core/src/steer/overflow.rs
+++ b/crates/azuregate-core/src/steer/overflow.rs
@@ -5,47 +5,47 @@
 use crate::time::Millis;
 
 /// How many parts a window is counted in.
-const PARTS: u64 = 16;
+const BUCKETS: u64 = 16;
 
 /// Requests of the last two windows.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Overflow {
-    parts: VecDeque<Part>,
+pub(super) struct OverflowBudget {
+    buckets: VecDeque<Bucket>,
     reserved: u64,
 }
 
 /// What may overflow in a window.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Allowed {
+pub(super) struct OverflowLimit {
     /// As a share of the requests.
     pub(super) share: f64,
     /// So many requests in any case.
-    pub(super) at_least: f64,
+    pub(super) min_requests: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
+struct Bucket {
     at_ms: Millis,
     requests: u64,
     overflowed: u64,
 }
 
-impl Overflow {
+impl OverflowBudget {
     /// Counts a planned request.
     pub(super) fn count(&mut self, window_ms: u64, now_ms: Millis) {
-        self.part(window_ms, now_ms).requests += 1;
+        self.current_bucket(window_ms, now_ms).requests += 1;
     }
 
-    /// Keeps room for one request to overflow, if `allowed` of the requests in
+    /// Keeps room for one request to overflow, if `limit` of the requests in
     /// the last window leaves any.
     ///
     /// Room is kept from the plan on: requests that are planned together would
     /// otherwise all take the same room.
-    pub(super) fn reserve(&mut self, allowed: Allowed, window_ms: u64, now_ms: Millis) -> bool {
-        let last = |part: &&Part| now_ms.since(part.at_ms).0 < window_ms;
-        let (requests, overflowed) = sums(self.parts.iter().filter(last));
-        let room = (allowed.share * requests as f64).max(allowed.at_least);
-        let fits = (overflowed + self.reserved + 1) as f64 <= room;
+    pub(super) fn reserve(&mut self, limit: OverflowLimit, window_ms: u64, now_ms: Millis) -> bool {
+        let last = |bucket: &&Bucket| now_ms.since(bucket.at_ms).0 < window_ms;
+        let (requests, overflowed) = sums(self.buckets.iter().filter(last));
+        let allowed = (limit.share * requests as f64).max(limit.min_requests);
+        let fits = (overflowed + self.reserved + 1) as f64 <= allowed;
         self.reserved += u64::from(fits);
         fits
     }
@@ -53,34 +53,39 @@
     /// Gives kept room back; `overflowed` says whether it was used.
     pub(super) fn release(&mut self, overflowed: bool, window_ms: u64, now_ms: Millis) {
         self.reserved = self.reserved.saturating_sub(1);
-        self.part(window_ms, now_ms).overflowed += u64::from(overflowed);
+        self.current_bucket(window_ms, now_ms).overflowed += u64::from(overflowed);
     }
 
     /// The larger share of the last two windows that overflowed.
     pub(super) fn share(&self, window_ms: u64, now_ms: Millis) -> f64 {
-        let is_last = |part: &&Part| now_ms.since(part.at_ms).0 < window_ms;
-        let last = sums(self.parts.iter().filter(is_last));
-        let before = sums(self.parts.iter().filter(|part| !is_last(part)));
+        let is_last = |bucket: &&Bucket| now_ms.since(bucket.at_ms).0 < window_ms;
+        let last = sums(self.buckets.iter().filter(is_last));
+        let before = sums(self.buckets.iter().filter(|bucket| !is_last(bucket)));
         let share = |(requests, overflowed): (u64, u64)| overflowed as f64 / requests.max(1) as f64;
         share(last).max(share(before))
     }
 
-    fn part(&mut self, window_ms: u64, now_ms: Millis) -> &mut Part {
-        while self.parts.front().is_some_and(|p| now_ms.since(p.at_ms).0 >= 2 * window_ms) {
-            self.parts.pop_front();
+    fn current_bucket(&mut self, window_ms: u64, now_ms: Millis) -> &mut Bucket {
+        while self
+            .buckets
+            .front()
+            .is_some_and(|bucket| now_ms.since(bucket.at_ms).0 >= 2 * window_ms)
+        {
+            self.buckets.pop_front();
         }
-        let part_ms = window_ms.div_ceil(PARTS);
-        let stale = self.parts.back().is_none_or(|p| now_ms.since(p.at_ms).0 >= part_ms);
+        let bucket_ms = window_ms.div_ceil(BUCKETS);
+        let stale =
+            self.buckets.back().is_none_or(|bucket| now_ms.since(bucket.at_ms).0 >= bucket_ms);
         if stale {
-            self.parts.push_back(Part { at_ms: now_ms, requests: 0, overflowed: 0 });
+            self.buckets.push_back(Bucket { at_ms: now_ms, requests: 0, overflowed: 0 });
         }
-        let last = self.parts.len() - 1;
-        &mut self.parts[last]
+        let last = self.buckets.len() - 1;
+        &mut self.buckets[last]
     }
 }
 
-fn sums<'a>(parts: impl Iterator<Item = &'a Part>) -> (u64, u64) {
-    parts.fold((0, 0), |(requests, overflowed), part| {
-        (requests + part.requests, overflowed + part.overflowed)
+fn sums<'a>(buckets: impl Iterator<Item = &'a Bucket>) -> (u64, u64) {
+    buckets.fold((0, 0), |(requests, overflowed), bucket| {
+        (requests + bucket.requests, overflowed + bucket.overflowed)
     })
 }
