--- a/crates/azuregate-core/tests/routing/dispatch.rs
+++ b/crates/azuregate-core/tests/routing/dispatch.rs
@@ -10,12 +10,12 @@
     time::Millis,
 };
 
-use crate::world::{Node, instance, server, snapshot, zone};
+use crate::fixture::{Node, instance, server, snapshot, zone};
 
 const ALL: [&str; 4] = ["sofia-a", "sofia-b", "varna-a", "varna-b"];
 
 /// One instance, and one server in each availability zone.
-fn alone(test: &str) -> (Node, Snapshot) {
+fn single_instance(test: &str) -> (Node, Snapshot) {
     let servers = ALL.map(|zone_name| server(&format!("s-{zone_name}"), zone_name, 1));
     let snapshot = snapshot(&[instance("entry-1", "sofia-a")], &servers);
     (Node::new(test, "entry-1", "sofia-a", &snapshot), snapshot)
@@ -30,8 +30,8 @@
 // The next zone is 8 ms there and back, the other region 40: a short wait here is
 // better than a long way, and a long way better than a longer wait.
 #[test]
-fn a_request_goes_where_it_starts_first() {
-    let (mut node, _) = alone("starts_first");
+fn places_requests_where_they_start_first() {
+    let (mut node, _) = single_instance("starts_first");
     let zone_of = |node: &Node, group| node.dispatch.group_id(group).zone.to_string();
     let mut decisions = Vec::new();
     for _ in 0..21 {
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn zones_outside_the_plan_get_nothing() {
-    let (mut node, _) = alone("outside_the_plan");
+fn zones_outside_the_plan_receive_no_requests() {
+    let (mut node, _) = single_instance("outside_the_plan");
     assert_eq!(node.fill(&["varna-b"]).len(), 3);
     let refused = refusal(node.place(&["nowhere"]));
     assert_eq!(refused.kind, ErrorKind::NoBackend);
@@ -63,8 +63,8 @@
 // waits gets its answer at once, and is told when a slot is likely to be free;
 // one with more time waits.
 #[test]
-fn a_request_that_would_wait_too_long_is_refused_at_once() {
-    let (mut node, _) = alone("wait_too_long");
+fn request_is_refused_when_its_estimated_wait_is_too_long() {
+    let (mut node, _) = single_instance("wait_too_long");
     let slots = node.fill(&["sofia-a"]);
     // Each request holds a slot for 90 ms: three slots give one every 30 ms.
     node.now_ms = node.now_ms + Millis(90);
@@ -94,8 +94,8 @@
 }
 
 #[test]
-fn the_queue_is_bounded() {
-    let (mut node, _) = alone("bounded");
+fn queue_is_bounded() {
+    let (mut node, _) = single_instance("bounded");
     node.fill(&["sofia-a"]);
     let mut waiting = 0;
     let plan = [zone("sofia-a")];
@@ -116,8 +116,8 @@
 // All servers of a zone leave while requests wait for them. The requests get
 // their final answer with the list that says so, not at their deadline.
 #[test]
-fn requests_that_wait_for_a_zone_that_closes_are_refused_at_once() {
-    let (mut node, snapshot) = alone("zone_closes");
+fn queued_requests_are_refused_when_their_zone_closes() {
+    let (mut node, snapshot) = single_instance("zone_closes");
     node.fill(&["sofia-a"]);
     assert!(matches!(node.place(&["sofia-a"]), Decision::Wait { .. }));
     let leaving: Vec<_> = snapshot
@@ -126,7 +126,7 @@
         .flat_map(|servers| servers.iter().cloned())
         .map(|server| BackendServer { liveness: Liveness::Leaving, ..server })
         .collect();
-    let refused = node.dispatch.set_snapshot(&crate::world::snapshot(&[], &leaving));
+    let refused = node.dispatch.set_snapshot(&crate::fixture::snapshot(&[], &leaving));
     assert_eq!(refused.len(), 1);
     assert!(refused.iter().all(|(_, refusal)| refusal.kind == ErrorKind::NoBackend));
     assert_eq!(refusal(node.place(&ALL)).kind, ErrorKind::NoBackend);
@@ -135,12 +135,12 @@
 // A server starts again with empty caches. Sent all it can hold, it would answer
 // all of it slowly; it gets one request, and more as it answers.
 #[test]
-fn a_server_that_started_again_is_loaded_slowly() {
-    let (mut node, snapshot) = alone("started_again");
+fn restarted_server_ramps_up_slowly() {
+    let (mut node, snapshot) = single_instance("started_again");
     let instances = [instance("entry-1", "sofia-a")];
     let again = [server("s-sofia-a", "sofia-a", 2)];
     assert_eq!(snapshot.instances.len(), 1);
-    node.dispatch.set_snapshot(&crate::world::snapshot(&instances, &again));
+    node.dispatch.set_snapshot(&crate::fixture::snapshot(&instances, &again));
     let mut held = Vec::new();
     for expected in [1, 2, 3] {
         held.extend(node.fill(&["sofia-a"]));
--- a/crates/azuregate-core/tests/routing/groups.rs
+++ b/crates/azuregate-core/tests/routing/groups.rs
@@ -8,7 +8,7 @@
     snapshot::Instance,
 };
 
-use crate::world::{SERVICE, instance, topology, zone};
+use crate::fixture::{SERVICE, instance, topology, zone};
 
 fn first(instances: &[Instance], group: &GroupId) -> String {
     let mut order: Vec<_> = instances.iter().collect();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn the_death_of_an_instance_moves_only_its_own_groups() {
+fn losing_an_instance_moves_only_its_groups() {
     let instances: Vec<_> =
         (0..9).map(|nth| instance(&format!("entry-{nth}"), "sofia-a")).collect();
     let groups = (0..200).map(|part| GroupId { zone: zone("sofia-a"), part });
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn instances_near_the_group_come_first() {
+fn nearer_instances_are_preferred() {
     let instances = [
         instance("entry-1", "varna-a"),
         instance("entry-2", "sofia-b"),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_large_zone_is_split_and_grows_by_moving_few() {
+fn adding_a_partition_moves_few_servers() {
     let cases = [(0, 1), (1, 1), (64, 1), (65, 2), (1_000, 16)];
     for (servers, parts) in cases {
         assert_eq!(group::partition_count(servers), parts, "{servers} servers");
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn names_and_loads_are_read_as_they_are_written() {
+fn group_ids_and_loads_round_trip() {
     let group = GroupId { zone: zone("sofia-a"), part: 3 };
     assert_eq!(group.to_string().parse(), Ok(group));
     let load =
--- a/crates/azuregate-core/tests/routing/handing_over.rs
+++ b/crates/azuregate-core/tests/routing/hand_over.rs
@@ -14,7 +14,7 @@
     time::Millis,
 };
 
-use crate::world::{Node, instance, server, snapshot, zone};
+use crate::fixture::{Node, instance, server, snapshot, zone};
 
 /// Two instances in two availability zones, each with one server.
 fn pair() -> Snapshot {
@@ -31,7 +31,7 @@
 }
 
 /// Hands a request of `from` over to `to`, as the wire would.
-fn arrive(from: &str, to: &mut Node, zone_name: &str) -> Decision {
+fn receive_hand_over(from: &str, to: &mut Node, zone_name: &str) -> Decision {
     let request = to.request(&[]);
     let (now_ms, rng) = (to.now_ms, &mut to.rng);
     to.dispatch.place_handed_over(&id(from), &group(zone_name), &request, now_ms, rng)
@@ -39,7 +39,7 @@
 
 /// Brings back the update of `from` about its group, where requests take 100 ms:
 /// waiting there is longer than going elsewhere.
-fn answer(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
+fn deliver_load(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
     let load = from.dispatch.load_for(&id(to_id), &group(zone_name), from.now_ms).unwrap();
     let load = GroupLoad { service_ms: 100, ..load };
     to.dispatch.receive_load(&id(from_id), &group(zone_name), load, false, to.now_ms);
@@ -58,13 +58,13 @@
 // Without counting what was sent since, all requests of that while would go
 // there and wait, and the other zone's slots would stay idle.
 #[test]
-fn what_was_sent_since_the_last_update_is_taken_off() {
+fn requests_sent_since_the_last_update_are_deducted() {
     let snapshot = pair();
     let mut first = Node::new("sent_since", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("sent_since_2", "entry-2", "sofia-b", &snapshot);
     first.hand_over(&["sofia-b"]);
-    assert!(matches!(arrive("entry-1", &mut second, "sofia-b"), Decision::Serve(_)));
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    assert!(matches!(receive_hand_over("entry-1", &mut second, "sofia-b"), Decision::Serve(_)));
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
     }
@@ -74,17 +74,17 @@
 // An update that is old says nothing of free slots any more: it may lower what is
 // sent, but never lets through more than this instance's even share.
 #[test]
-fn an_old_update_only_lowers_what_is_sent() {
+fn stale_update_cannot_raise_the_estimate() {
     let snapshot = pair();
     let mut first = Node::new("old_update", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("old_update_2", "entry-2", "sofia-b", &snapshot);
     let probe = first.hand_over(&["sofia-b"]);
-    let Decision::Serve(slot) = arrive("entry-1", &mut second, "sofia-b") else {
+    let Decision::Serve(slot) = receive_hand_over("entry-1", &mut second, "sofia-b") else {
         panic!("refused")
     };
     let completion = Completion::Responded { latency_ms: 20 };
     second.dispatch.release(&slot, completion, second.now_ms);
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     first.dispatch.finish_hand_over(&probe, completion, first.now_ms);
     first.now_ms = first.now_ms + Millis(1_000);
     // The update says that all three are free; two are an even share.
@@ -98,13 +98,13 @@
 // group that another dispatches here. Passing the request on could lead it back,
 // and round for ever; it is served here or refused.
 #[test]
-fn a_request_that_was_handed_over_goes_no_further() {
+fn handed_over_request_is_not_handed_over_again() {
     let snapshot = pair();
     let mut first = Node::new("second_hop", "entry-1", "sofia-a", &snapshot);
     assert!(matches!(first.place(&["sofia-b"]), Decision::HandOver(_)));
     let mut decisions = Vec::new();
     for _ in 0..40 {
-        decisions.push(arrive("entry-2", &mut first, "sofia-b"));
+        decisions.push(receive_hand_over("entry-2", &mut first, "sofia-b"));
     }
     let handed_on =
         decisions.iter().filter(|decision| matches!(decision, Decision::HandOver(_))).count();
@@ -119,7 +119,7 @@
 // goes to the next in order at once. Later one request alone asks whether the
 // dispatcher is back; when that is answered, all go there again.
 #[test]
-fn a_dispatcher_that_does_not_answer_is_passed_over_and_tried_again() {
+fn failed_dispatcher_is_ejected_and_probed() {
     let snapshot = pair();
     let mut first = Node::new("passed_over", "entry-1", "sofia-a", &snapshot);
     let failed = first.hand_over(&["sofia-b"]);
@@ -131,14 +131,14 @@
     let probe = first.hand_over(&["sofia-b"]);
     first.serve(&["sofia-b"]);
     let mut second = Node::new("passed_over_2", "entry-2", "sofia-b", &snapshot);
-    arrive("entry-1", &mut second, "sofia-b");
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    receive_hand_over("entry-1", &mut second, "sofia-b");
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     first.dispatch.finish_hand_over(&probe, Completion::Responded { latency_ms: 9 }, first.now_ms);
     first.hand_over(&["sofia-b"]);
 }
 
 /// Lets time pass in ticks; returns whether any dispatcher was found silent.
-fn pass(node: &mut Node, ms: u64) -> bool {
+fn advance(node: &mut Node, ms: u64) -> bool {
     let mut silent = false;
     for _ in 0..ms / 50 {
         node.now_ms = node.now_ms + Millis(50);
@@ -151,13 +151,13 @@
 // spoken by frames, which come every 200 ms while it holds requests, so after
 // 500 ms of silence it is passed over; its requests are told.
 #[test]
-fn a_dispatcher_that_goes_silent_is_passed_over() {
+fn silent_dispatcher_is_ejected() {
     let snapshot = pair();
     let mut first = Node::new("silent", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("silent_2", "entry-2", "sofia-b", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    arrive("entry-1", &mut second, "sofia-b");
+    receive_hand_over("entry-1", &mut second, "sofia-b");
     for _ in 0..20 {
         second.now_ms = second.now_ms + Millis(50);
         for update in second.dispatch.tick(second.now_ms).0 {
@@ -169,9 +169,9 @@
                 first.now_ms,
             );
         }
-        assert!(!pass(&mut first, 50), "it speaks while it holds the request");
+        assert!(!advance(&mut first, 50), "it speaks while it holds the request");
     }
-    assert!(pass(&mut first, 600));
+    assert!(advance(&mut first, 600));
     first.serve(&["sofia-b"]);
 }
 
@@ -179,11 +179,11 @@
 // news. Without one the other instance would not know that this one speaks by
 // frames, and would take its silence for that of an instance that never does.
 #[test]
-fn a_busy_dispatcher_speaks_by_frames_as_well() {
+fn busy_dispatcher_still_sends_frames() {
     let mut second = Node::new("busy", "entry-2", "sofia-b", &pair());
     let mut frames = 0;
     for _ in 0..400 {
-        arrive("entry-1", &mut second, "sofia-b");
+        receive_hand_over("entry-1", &mut second, "sofia-b");
         second.dispatch.load_for(&id("entry-1"), &group("sofia-b"), second.now_ms).unwrap();
         second.now_ms = second.now_ms + Millis(10);
         frames += second.dispatch.tick(second.now_ms).0.len();
@@ -194,13 +194,13 @@
 // This process was paused. On waking, all others look silent, since what they
 // said is still unread; passing them over would make it dispatch for everybody.
 #[test]
-fn a_pause_of_this_process_is_not_taken_for_the_silence_of_others() {
+fn own_pause_ejects_no_dispatcher() {
     let snapshot = pair();
     let mut first = Node::new("own_pause", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("own_pause_2", "entry-2", "sofia-b", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    arrive("entry-1", &mut second, "sofia-b");
+    receive_hand_over("entry-1", &mut second, "sofia-b");
     let load = second.dispatch.load_for(&id("entry-1"), &group("sofia-b"), second.now_ms).unwrap();
     first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     first.now_ms = first.now_ms + Millis(30_000);
@@ -211,7 +211,7 @@
 // The dispatcher said that its queue is full. Handing more over would only bring
 // back the same answer a round trip later; the caller gets it at once.
 #[test]
-fn nothing_is_handed_over_to_a_full_queue() {
+fn no_hand_over_to_a_full_queue() {
     let snapshot = pair();
     let mut first = Node::new("full_queue", "entry-1", "sofia-a", &snapshot);
     first.hand_over(&["sofia-b"]);
@@ -226,7 +226,7 @@
 // The dispatcher is replaced by a new start that has seen none of what was sent
 // to the old one. Comparing the counts would make it look full for ever.
 #[test]
-fn a_dispatcher_that_started_again_does_not_look_full() {
+fn restarted_dispatcher_does_not_look_full() {
     let snapshot = pair();
     let mut first = Node::new("new_start", "entry-1", "sofia-a", &snapshot);
     let mut held = Vec::new();
@@ -253,10 +253,10 @@
 // The probe of a frozen dispatcher is lost as well: it is told after 500 ms, not
 // left to its deadline. A request that may not be sent twice does not ask.
 #[test]
-fn a_probe_of_a_frozen_dispatcher_is_told_of_its_silence() {
+fn probe_of_a_frozen_dispatcher_is_reported_silent() {
     let snapshot = pair();
     let mut first = Node::new("probe", "entry-1", "sofia-a", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
     first.dispatch.receive_load(
         &id("entry-2"),
@@ -265,14 +265,14 @@
         true,
         first.now_ms,
     );
-    assert!(pass(&mut first, 600));
-    assert!(!pass(&mut first, 1_000), "it is told once");
+    assert!(advance(&mut first, 600));
+    assert!(!advance(&mut first, 1_000), "it is told once");
     let plan = [zone("sofia-b")];
     let order = DispatchRequest { idempotent: false, ..first.request(&plan) };
     let decision = first.dispatch.place(&order, first.now_ms, &mut first.rng);
     assert!(matches!(decision, Decision::Serve(_)), "{decision:?}");
     first.hand_over(&["sofia-b"]);
-    assert!(pass(&mut first, 600));
+    assert!(advance(&mut first, 600));
 }
 
 /// A backend server of three slots that refuses what does not fit.
@@ -286,7 +286,7 @@
 // Each counts only its own requests, so the server refuses some; the refusals
 // lower both limits, and no request runs that does not fit.
 #[test]
-fn two_dispatchers_for_one_group_are_held_by_the_refusals() {
+fn refusals_limit_two_dispatchers_of_one_group() {
     let server = [server("s1", "sofia-a", 1)];
     let list = |me: &str| snapshot(&[instance(me, "sofia-a")], &server);
     let mut nodes = [
--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_limit_of_zero_is_tried_again_with_one() {
+fn limit_of_zero_reopens_with_one_request() {
     let mut limit = ConcurrencyLimit::warm(START, 3);
     limit.record_refusal(0, Millis(0));
     limit.reopen(Millis(99));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_server_that_was_idle_for_a_minute_is_cold() {
+fn server_idle_for_a_minute_is_cold() {
     let mut limit = ConcurrencyLimit::warm(START, 3);
     limit.record_response(20, 20.0, Millis(0));
     limit.reset_if_idle(Millis(60_000));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_drain_is_time_in_slots_over_requests() {
+fn service_time_is_busy_time_over_requests() {
     let mut service_time = ServiceTime::default();
     for _ in 0..3 {
         service_time.acquire(Millis(0));
@@ -82,7 +82,7 @@
 // Every request fails and each failure would be tried again: without a budget
 // the load doubles just when there is least room for it.
 #[test]
-fn retries_are_a_tenth_of_the_requests_at_the_most() {
+fn retries_are_at_most_a_tenth_of_requests() {
     let budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
--- a/crates/azuregate-core/tests/routing/links.rs
+++ b/crates/azuregate-core/tests/routing/links.rs
@@ -11,7 +11,7 @@
     time::Millis,
 };
 
-use crate::world::{Node, instance, server, topology, zone};
+use crate::fixture::{Node, instance, server, topology, zone};
 
 const SECOND_MS: Millis = Millis(1_000);
 
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn there_is_no_link_to_the_own_region() {
+fn no_link_to_the_local_region() {
     let (links, _) = links(8);
     assert_eq!(links.link_to(&RegionName::new("sofia")), None);
 }
 
 // 8 Mbit/s are 1,000,000 bytes a second; two instances share them.
 #[test]
-fn bytes_of_the_last_second_and_bytes_in_progress_count() {
+fn used_and_reserved_bytes_count() {
     let (mut links, link) = links(8);
     links.record_totals(link, 400_000, 0, Millis(0));
     let reservation =
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn answers_count_the_other_way() {
+fn responses_count_in_the_other_direction() {
     let (mut links, link) = links(8);
     links.record_totals(link, 0, 499_000, Millis(0));
     assert_eq!(links.plan_reservation(link, 0, Millis(0)), None);
@@ -54,7 +54,7 @@
 // No instance knows what the others send. Whatever each of them sends at once,
 // all together stay within the link.
 #[test]
-fn the_shares_of_all_instances_fit_into_the_link() {
+fn instance_shares_fit_into_the_link() {
     for (here, there) in [(1, 1), (3, 2), (5, 4), (130, 140)] {
         let near = (0..here).map(|nth| instance(&format!("n{nth}"), "sofia-a"));
         let far = (0..there).map(|nth| instance(&format!("f{nth}"), "varna-a"));
@@ -75,7 +75,7 @@
 
 // A body larger than a second's share would never find room.
 #[test]
-fn a_large_body_books_no_more_than_a_quarter() {
+fn large_body_reserves_at_most_a_quarter() {
     let (mut links, link) = links(8);
     for _ in 0..3 {
         let reservation = links.plan_reservation(link, 50_000_000, Millis(0)).unwrap();
@@ -89,7 +89,7 @@
 // The slots of this region are taken, those of the other are free, and the link
 // is full. The request is told when to come back; it does not cross.
 #[test]
-fn nothing_crosses_a_link_without_room() {
+fn full_link_is_not_crossed() {
     let instances = vec![instance("entry-1", "sofia-a")];
     let mut snapshot = Snapshot::empty(std::sync::Arc::new(topology(8)));
     let backends = vec![server("s1", "varna-a", 1)];
--- a/crates/azuregate-core/tests/routing/main.rs
+++ b/crates/azuregate-core/tests/routing/main.rs
@@ -3,9 +3,9 @@
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 mod dispatch;
+mod fixture;
 mod groups;
-mod handing_over;
+mod hand_over;
 mod limits;
 mod links;
 mod slots;
-mod world;
--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -13,7 +13,7 @@
 };
 use proptest::prelude::*;
 
-use crate::world::{Node, instance, server, snapshot};
+use crate::fixture::{Node, instance, server, snapshot};
 
 const ZONE: &str = "sofia-a";
 
@@ -21,8 +21,8 @@
 enum Op {
     Acquire,
     Finish(usize, Completion),
-    GiveUp(usize),
-    Pass(u64),
+    Cancel(usize),
+    Advance(u64),
     /// Which of the four servers are live, and which are listed at all.
     List([bool; 4], [bool; 4]),
     /// A server starts again.
@@ -39,8 +39,8 @@
     prop_oneof![
         6 => Just(Op::Acquire),
         4 => (any::<usize>(), completion).prop_map(|(nth, completion)| Op::Finish(nth, completion)),
-        1 => any::<usize>().prop_map(Op::GiveUp),
-        2 => (0..300_u64).prop_map(Op::Pass),
+        1 => any::<usize>().prop_map(Op::Cancel),
+        2 => (0..300_u64).prop_map(Op::Advance),
         1 => (any::<[bool; 4]>(), any::<[bool; 4]>()).prop_map(|(live, listed)| Op::List(live, listed)),
         1 => (0..4_usize).prop_map(Op::Restart),
     ]
@@ -78,8 +78,8 @@
         match op {
             Op::Acquire => self.acquire(),
             Op::Finish(nth, completion) => self.finish(nth, completion),
-            Op::GiveUp(nth) => self.give_up(nth),
-            Op::Pass(ms) => {
+            Op::Cancel(nth) => self.cancel(nth),
+            Op::Advance(ms) => {
                 // A server may be rested now; whoever asks next must not overtake
                 // those that wait for it.
                 self.node.now_ms = self.node.now_ms + Millis(ms);
@@ -130,7 +130,7 @@
         self.node.dispatch.release(&slot, completion, self.node.now_ms);
     }
 
-    fn give_up(&mut self, nth: usize) {
+    fn cancel(&mut self, nth: usize) {
         if self.waiting.is_empty() {
             return;
         }
@@ -204,7 +204,7 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn slots_and_queue_keep_their_order(ops in prop::collection::vec(op(), 1..200)) {
+    fn slots_and_queue_match_the_model(ops in prop::collection::vec(op(), 1..200)) {
         let mut model = Model::new();
         for op in ops {
             model.apply(op);
