--- a/crates/azuregate-core/src/route/mod.rs
+++ b/crates/azuregate-core/src/route/mod.rs
@@ -1,7 +1,7 @@
-//! Choosing a backend server for one request.
+//! Selection of a backend server for a request.
 //!
-//! [`Router`] is the border: the shipped rule and the baselines that it is
-//! measured against implement it.
+//! [`Router`] is the interface of load balancing algorithms: [`SlotTable`], the
+//! default, and the baselines used in benchmarks implement it.
 
 pub mod dispatch;
 pub mod group;
@@ -24,87 +24,87 @@
     topology::Topology,
 };
 
-/// How a request ended at a backend server, as far as limits care.
+/// How a request to a backend server completed, as concurrency limits see it.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Completion {
-    /// It answered.
+    /// The server sent a response.
     Responded {
-        /// From sending to the head of the answer.
+        /// Time from sending the request to receiving the response head.
         latency_ms: u64,
     },
-    /// It refused, and said that it did not run the request.
+    /// The server refused the request and stated that it did not run it.
     Refused,
-    /// No connection, or the connection broke.
+    /// The connection could not be established, or broke.
     Failed,
-    /// The caller left, or the deadline passed.
+    /// The client disconnected, or the deadline passed.
     Cancelled,
 }
 
-/// What a backend server says of itself; it lags, and may be wrong.
+/// The load that a backend server reported; it lags and may be wrong.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests in progress there.
+    /// Requests in progress on the server.
     pub in_use: u32,
-    /// Requests that it takes at once.
+    /// Number of requests that the server runs concurrently.
     pub slots: u32,
-    /// When the report arrived, on the monotonic clock.
+    /// Arrival time of the report on the monotonic clock.
     pub at_ms: Millis,
 }
 
-/// The inputs of a choice that the router does not own.
+/// The location that a router selects servers for.
 #[derive(Clone, Copy, Debug)]
 pub struct Locality<'a> {
     /// Regions and availability zones.
     pub topology: &'a Topology,
-    /// The availability zone that chooses.
+    /// The availability zone of this instance.
     pub zone: &'a ZoneName,
 }
 
-/// A rule that chooses among the backend servers of one service.
+/// A load balancing algorithm over the backend servers of one service.
 ///
-/// A server keeps its key for as long as the router lives, also when the list
-/// changes while requests are in progress. Implementations count what they have
-/// sent; they hold no sockets or clocks.
+/// A server keeps its key for the lifetime of the router, even if the server
+/// list changes while requests are in progress. Implementations track the
+/// requests that they have sent, and own no sockets or clocks.
 pub trait Router: Send {
-    /// Replaces the list of servers; counts of servers that stay are kept, and
-    /// servers that are no longer listed get no new work.
+    /// Replaces the server list. Servers that remain keep their state; servers
+    /// that are no longer listed receive no new requests.
     fn set_servers(&mut self, locality: Locality<'_>, servers: &[ServerStatus]);
 
-    /// Chooses a server and takes one of its slots, or `None` when all that may
-    /// serve are full.
+    /// Selects a server, acquires one of its slots and returns the server's
+    /// key, or `None` if no available server has a free slot.
     fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize>;
 
-    /// The name of the server with this key.
+    /// Returns the name of the server with this key.
     ///
     /// # Panics
     ///
-    /// When `key` did not come from [`Router::acquire`].
+    /// Panics if `key` was not returned by [`Router::acquire`].
     fn id(&self, key: usize) -> &BackendId;
 
-    /// Gives the slot back, with what was learnt.
+    /// Releases a slot and records how its request completed.
     fn release(&mut self, key: usize, completion: Completion, now_ms: Millis);
 
-    /// Takes in what a server said of its load.
+    /// Records the load that a server reported.
     fn record_load(&mut self, key: usize, report: LoadReport);
 
-    /// What it has to give.
+    /// Returns the slots of all available servers.
     fn capacity(&self) -> Capacity;
 }
 
-/// The slots of a router, as far as its learnt limits allow.
+/// The slots of a router within its learnt concurrency limits.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Capacity {
-    /// Slots that are free.
+    /// Number of free slots.
     pub free: u32,
-    /// Slots in all.
+    /// Number of slots, free and in use.
     pub total: u32,
 }
 
-/// A backend server with what the instance knows of it beyond the list.
+/// A listed backend server and whether it may receive new requests.
 #[derive(Clone, Debug)]
 pub struct ServerStatus {
-    /// The server as listed.
+    /// The server, as listed.
     pub server: BackendServer,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests.
     pub available: bool,
 }
