--- a/crates/azuregate-core/src/route/limit.rs
+++ b/crates/azuregate-core/src/route/limit.rs
@@ -1,31 +1,32 @@
-//! How many requests one backend server takes at once, as learnt.
+//! The adaptive concurrency limit of one backend server.
 
 use crate::{names::StartNumber, time::Millis};
 
-/// How long a limit stays where a refusal put it, at first.
+/// Time without an increase after a first refusal.
 const MIN_BACKOFF_MS: Millis = Millis(100);
-/// How long it stays there at the most, after refusals in a row.
+/// Upper bound of that time, which doubles with each consecutive refusal.
 const MAX_BACKOFF_MS: Millis = Millis(1_600);
-/// A server that has answered nothing for so long has cold caches.
+/// A server that has sent no response for this long is assumed to have cold
+/// caches.
 const IDLE_RESET_MS: Millis = Millis(60_000);
-/// A server is slow when it takes so many times what is usual in its group.
+/// A server is slow if its mean latency exceeds that of its group by this factor.
 const SLOW_RATIO: f64 = 2.5;
-/// Differences below this are noise of clocks and scheduling.
+/// Latency differences below this are attributed to clocks and scheduling.
 const LATENCY_TOLERANCE_MS: f64 = 5.0;
-/// Weight of one answer in a server's mean latency.
+/// Weight of a new sample in a server's mean latency.
 const EWMA_WEIGHT: f64 = 0.125;
 
-/// The learnt concurrency limit of one backend server.
+/// The adaptive concurrency limit of one backend server.
 ///
-/// A cold server starts at one and grows with good answers, so that it is not
-/// swamped; the limit falls at once with a refusal, since then somebody else
-/// holds the slots.
+/// The limit of a cold server starts at one and grows with successful responses
+/// (slow start). A refusal lowers it at once, since other instances then hold
+/// the remaining slots.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     start: StartNumber,
     slots: u32,
     limit: u32,
-    /// Good answers since the limit last changed.
+    /// Successful responses since the limit last changed.
     successes: u32,
     backoff_ms: Millis,
     next_increase_at_ms: Millis,
@@ -34,12 +35,13 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of a server that has just started, or was idle for long.
+    /// Creates the limit of a server that has just started or was idle for long.
     pub fn cold(start: StartNumber, slots: u32) -> ConcurrencyLimit {
         ConcurrencyLimit { limit: slots.min(1), ..ConcurrencyLimit::warm(start, slots) }
     }
 
-    /// The limit of a server that served before this instance knew of it.
+    /// Creates the limit of a server that was in service before this instance
+    /// learnt of it.
     pub fn warm(start: StartNumber, slots: u32) -> ConcurrencyLimit {
         ConcurrencyLimit {
             start,
@@ -53,17 +55,17 @@
         }
     }
 
-    /// How many requests may be in progress there.
+    /// Returns the number of requests that may be in progress on the server.
     pub fn get(&self) -> u32 {
         self.limit
     }
 
-    /// When a limit of zero may be tried again.
+    /// Returns when the limit may increase again, on the monotonic clock.
     pub fn next_increase_at_ms(&self) -> Millis {
         self.next_increase_at_ms
     }
 
-    /// Takes in the list; a new start begins anew.
+    /// Applies the listed start number and slots; a new start resets the limit.
     pub fn update_server(&mut self, start: StartNumber, slots: u32) {
         if start != self.start {
             *self = ConcurrencyLimit::cold(start, slots);
@@ -73,8 +75,8 @@
         self.limit = self.limit.min(slots);
     }
 
-    /// Takes in that a request is about to go to a server with nothing in
-    /// progress.
+    /// Resets the limit if the server has been idle for too long. Called before
+    /// a request is sent to a server with none in progress.
     pub fn reset_if_idle(&mut self, now_ms: Millis) {
         let idle =
             self.last_response_at_ms.is_some_and(|at_ms| now_ms.since(at_ms) > IDLE_RESET_MS);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Lets a server whose limit is zero be tried with one request.
+    /// Raises a limit of zero to one once its backoff has passed.
     pub fn reopen(&mut self, now_ms: Millis) {
         if self.limit == 0 && self.next_increase_at_ms <= now_ms {
             self.limit = self.slots.min(1);
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Takes in an answer; `group_mean_ms` is the mean latency in its group.
+    /// Records a response; `group_mean_ms` is the mean latency of the server's
+    /// group.
     pub fn record_response(&mut self, latency_ms: u64, group_mean_ms: f64, now_ms: Millis) {
         let latency_ms = latency_ms as f64;
         self.mean_latency_ms = match self.last_response_at_ms {
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Takes in a refusal or a broken connection, with `in_use` requests still
-    /// in progress there.
+    /// Records a refusal or a broken connection, with `in_use` requests still
+    /// in progress on the server.
     pub fn record_refusal(&mut self, in_use: u32, now_ms: Millis) {
         self.limit = self.limit.min(in_use);
         self.successes = 0;
