--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one group of backend servers, counted exactly.
+//! Least-loaded selection by free slots.
 
 use std::{
     cmp::Reverse,
@@ -13,25 +13,24 @@
     time::Millis,
 };
 
-/// Servers with this many free slots or more are not told apart.
+/// The last bucket, which holds all servers with at least this many free slots.
 const MAX_BUCKET: usize = 63;
-/// Weight of one answer in the mean latency of the group.
+/// Weight of a new sample in the mean latency of the group.
 const EWMA_WEIGHT: f64 = 1.0 / 64.0;
 
-/// Chooses the server with the most free slots, any of them when several have.
+/// Selects the server with the most free slots; ties are broken at random.
 ///
-/// Servers are kept in buckets by free slots, with a bit for each bucket that
-/// is not empty: a choice costs the same for one server and for a thousand, and
-/// allocates nothing.
+/// Servers are kept in buckets by their number of free slots, with a bitmap of
+/// the nonempty buckets, so selection takes constant time and does not allocate.
 #[derive(Debug)]
 pub struct SlotTable {
     servers: Vec<Server>,
     by_id: HashMap<BackendId, usize>,
-    /// Keys of servers by free slots.
+    /// Keys of servers, indexed by free slots.
     buckets: Vec<Vec<usize>>,
-    /// Which buckets hold servers; bucket 0 is never marked.
+    /// Bitmap of nonempty buckets; the bit of bucket 0 is never set.
     nonempty: u64,
-    /// Servers with a limit of zero, by when they may be tried again.
+    /// Servers with a limit of zero, ordered by when they may be tried again.
     closed: BinaryHeap<Reverse<(Millis, usize)>>,
     mean_latency_ms: f64,
     capacity: Capacity,
@@ -72,7 +71,7 @@
 }
 
 impl SlotTable {
-    /// Changes a server and keeps the buckets and the totals right.
+    /// Changes a server and updates its bucket and the capacity.
     fn update(&mut self, key: usize, change: impl FnOnce(&mut Server)) {
         let server = &mut self.servers[key];
         let (free, total) = (server.free_slots(), server.total_slots());
@@ -118,8 +117,8 @@
         });
         self.by_id.insert(id.clone(), key);
         self.insert_into_bucket(key, 0);
-        // A push to any bucket must find the room there: the choice is not to
-        // allocate.
+        // Any bucket may hold all servers; reserved here, so that selection does
+        // not allocate.
         let count = self.servers.len();
         for bucket in &mut self.buckets {
             bucket.reserve(count - bucket.len());
@@ -138,7 +137,8 @@
         }
     }
 
-    /// The first answer sets what is usual: against nothing, all are slow.
+    /// Updates the mean latency of the group. The first sample sets it, since
+    /// any latency would be slow compared with zero.
     fn record_latency(&mut self, latency_ms: f64) {
         let weight = if self.mean_latency_ms == 0.0 { 1.0 } else { EWMA_WEIGHT };
         self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
@@ -157,8 +157,8 @@
         for key in 0..self.servers.len() {
             self.update(key, |server| server.available = false);
         }
-        // Servers of the first list served before this instance looked: a new
-        // dispatcher that took them for cold would refuse what they can take.
+        // Servers of the first list were in service before this instance
+        // started. Treating them as cold would refuse requests that they can take.
         let first_list = self.servers.is_empty();
         for ServerStatus { server, available } in servers {
             let new_limit =
@@ -197,7 +197,7 @@
         }
         let mean_latency_ms = self.mean_latency_ms;
         self.update(key, |server| {
-            debug_assert!(server.in_use > 0, "a slot is given back once");
+            debug_assert!(server.in_use > 0, "slot released twice");
             server.in_use = server.in_use.saturating_sub(1);
             match completion {
                 Completion::Responded { latency_ms } => {
@@ -212,9 +212,8 @@
         self.schedule_reopen(key);
     }
 
-    /// Changes nothing: the slots taken here are counted exactly, and a report
-    /// that lags by a second says "full" of servers that have long been free.
-    /// Requests that others sent show in refusals at once.
+    /// Ignores the report: slots in use are counted exactly here, while reports
+    /// lag. Requests from other instances show up as refusals.
     fn record_load(&mut self, _key: usize, _report: LoadReport) {}
 
     fn capacity(&self) -> Capacity {
