--- a/crates/azuregate-core/src/route/queue.rs
+++ b/crates/azuregate-core/src/route/queue.rs
@@ -1,17 +1,18 @@
-//! The bounded queue of one group, and how fast it drains.
+//! The bounded queue of one group, and its estimated waiting time.
 
 use std::collections::VecDeque;
 
 use crate::time::Millis;
 
-/// How many requests wait for each slot at the most.
+/// Maximum number of queued requests per slot.
 const MAX_QUEUED_PER_SLOT: usize = 4;
-/// After so many requests the older half of what was measured is forgotten.
+/// The service time sums are halved after this many requests, so that old
+/// samples decay.
 const HALVE_AFTER_REQUESTS: u64 = 512;
-/// Taken for the mean time in a slot until one has been measured.
+/// Mean service time assumed before the first request completes.
 const DEFAULT_SERVICE_MS: u64 = 20;
 
-/// How many requests may wait for one of `slots` slots.
+/// Returns how many requests may wait for one of `slots` slots.
 pub fn max_len(slots: u32) -> usize {
     slots as usize * MAX_QUEUED_PER_SLOT
 }
@@ -19,50 +20,51 @@
 /// A request that waits for a slot.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QueuedRequest {
-    /// Names it.
+    /// Identifies the request.
     pub ticket: u64,
-    /// The instance that handed it over, as an index of its dispatch.
+    /// The peer that handed the request over, as an index of its dispatch;
+    /// `None` for a request of this instance.
     pub from: Option<usize>,
 }
 
-/// Requests that wait for a slot, first come first served.
+/// A FIFO queue of requests that wait for a slot.
 #[derive(Debug, Default)]
 pub struct Queue {
     requests: VecDeque<QueuedRequest>,
 }
 
 impl Queue {
-    /// How many wait.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// Puts a request at the end.
+    /// Appends a request.
     pub fn push(&mut self, request: QueuedRequest) {
         self.requests.push_back(request);
     }
 
-    /// Takes the request that has waited longest.
+    /// Removes and returns the oldest request.
     pub fn pop(&mut self) -> Option<QueuedRequest> {
         self.requests.pop_front()
     }
 
-    /// Takes a request out that gave up.
+    /// Removes a request by its ticket.
     pub fn remove(&mut self, ticket: u64) -> Option<QueuedRequest> {
         let index = self.requests.iter().position(|request| request.ticket == ticket)?;
         self.requests.remove(index)
     }
 }
 
-/// Measures how long requests hold a slot: time in use over requests done.
+/// Estimates the mean service time as slot time in use over completed requests.
 ///
-/// It needs no time stamp for each request, and counts the time in which an
-/// answer streams.
+/// This needs no timestamp per request, and includes the time in which a
+/// response body is streamed.
 #[derive(Debug, Default)]
 pub struct ServiceTime {
     in_use: u32,
@@ -72,13 +74,14 @@
 }
 
 impl ServiceTime {
-    /// Counts a slot that was taken.
+    /// Records that a slot was acquired.
     pub fn acquire(&mut self, now_ms: Millis) {
         self.advance(now_ms);
         self.in_use += 1;
     }
 
-    /// Counts a slot that was given back, and whether it had done work.
+    /// Records that a slot was released; `completed` tells whether its request
+    /// received a response.
     pub fn release(&mut self, completed: bool, now_ms: Millis) {
         self.advance(now_ms);
         self.in_use = self.in_use.saturating_sub(1);
@@ -92,7 +95,7 @@
         }
     }
 
-    /// How long a request holds a slot, on average.
+    /// Returns the mean time that a request holds a slot, in milliseconds.
     pub fn mean_ms(&self) -> u64 {
         if self.completed == 0 {
             return DEFAULT_SERVICE_MS;
@@ -100,7 +103,8 @@
         (self.busy_ms / self.completed).max(1)
     }
 
-    /// How long the last of `waiting` requests waits for one of `slots`.
+    /// Returns how long the last of `queued` requests is expected to wait for
+    /// one of `slots` slots, in milliseconds.
     pub fn wait_ms(&self, queued: usize, slots: u32) -> u64 {
         queued as u64 * self.mean_ms() / u64::from(slots.max(1))
     }
