--- a/crates/azuregate-core/src/route/nearest.rs
+++ b/crates/azuregate-core/src/route/nearest.rs
@@ -1,6 +1,7 @@
-//! Nearest first, with a limit for each server learnt from its refusals.
+//! Nearest-first selection with a concurrency limit per server.
 //!
-//! Each instance chooses alone. It is the baseline for the dispatchers.
+//! Each instance selects independently. This is the baseline that the
+//! dispatchers are compared with.
 
 use crate::{
     names::BackendId,
@@ -9,10 +10,11 @@
     topology::Distance,
 };
 
-/// How long a limit that was lowered by a refusal stays lowered.
+/// Interval between increases of a limit that a refusal lowered.
 const BACKOFF_MS: Millis = Millis(200);
 
-/// Chooses the nearest server with a free slot, the least used first.
+/// Selects the nearest server with a free slot; of several, the one with the
+/// fewest requests in progress.
 #[derive(Debug, Default)]
 pub struct Nearest {
     servers: Vec<Server>,
@@ -70,8 +72,8 @@
                 server.next_increase_at_ms = now_ms + BACKOFF_MS;
             }
         }
-        // Ties are broken by a random start, or all instances would fill the
-        // first server of the list at once.
+        // A random start breaks ties; otherwise all instances would fill the
+        // first listed server at once.
         let count = self.servers.len();
         let start = if count == 0 { 0 } else { rng.usize(..count) };
         let key = (0..count)
