--- a/crates/azuregate-core/src/route/group.rs
+++ b/crates/azuregate-core/src/route/group.rs
@@ -1,4 +1,4 @@
-//! Groups of backend servers, each with one dispatcher.
+//! Groups of backend servers, each with one dispatcher instance.
 
 use std::{fmt, num::ParseIntError, str::FromStr};
 
@@ -11,18 +11,18 @@
     topology::Topology,
 };
 
-/// How many backend servers one group holds at the most, about.
+/// Approximate upper bound of the number of backend servers in a group.
 ///
-/// One instance carries the dispatching of a whole group, so a large service in
-/// one availability zone is split.
+/// One instance dispatches for a whole group, so a large service in one
+/// availability zone is partitioned.
 pub const TARGET_GROUP_SIZE: usize = 64;
 
-/// Names a group of one service's backend servers.
+/// Identifies a group of backend servers of one service.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct GroupId {
-    /// The availability zone of all its servers.
+    /// The availability zone of its servers.
     pub zone: ZoneName,
-    /// Tells the parts of a split zone from each other.
+    /// The partition of the zone, from 0.
     pub part: u16,
 }
 
@@ -41,15 +41,15 @@
     }
 }
 
-/// How many parts a zone with `servers` backend servers is split into.
+/// Returns the number of partitions of a zone with `servers` backend servers.
 pub fn partition_count(servers: usize) -> u16 {
     u16::try_from(servers.div_ceil(TARGET_GROUP_SIZE)).unwrap_or(u16::MAX).max(1)
 }
 
-/// The part that a server belongs to.
+/// Returns the partition that a server belongs to.
 ///
-/// By rendezvous hashing, so that only one server in `parts` moves when a part
-/// is added.
+/// Uses rendezvous hashing, so that adding a partition moves only about one in
+/// `partitions` servers.
 pub fn partition_of(server: &BackendId, partitions: u16) -> u16 {
     if partitions <= 1 {
         return 0;
@@ -58,12 +58,12 @@
     (0..partitions).max_by_key(score).unwrap_or(0)
 }
 
-/// Sorts instances into the order in which they dispatch for a group: those in
-/// the group's availability zone first, then its region, then the rest; by
-/// rendezvous hashing among those that are equally far.
+/// Sorts instances by their preference as the dispatcher of a group: those in
+/// the group's availability zone first, then those in its region, then the
+/// rest; ties are broken by rendezvous hashing.
 ///
-/// All instances with the same list agree on it, and the death of one moves
-/// only its own groups.
+/// All instances with the same list agree on the order, and the failure of one
+/// instance moves only the groups that it dispatched for.
 pub fn sort_by_preference(
     instances: &mut [&Instance],
     topology: &Topology,
@@ -78,21 +78,21 @@
     });
 }
 
-/// What a dispatcher says of its group to one other instance.
+/// The load of a group, as its dispatcher reports it to one other instance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct GroupLoad {
-    /// The dispatcher's start; `seen` counts from it.
+    /// The dispatcher's start number; `seen` counts from that start.
     pub start: StartNumber,
-    /// Slots that are free.
+    /// Number of free slots.
     pub free: u32,
-    /// Requests that wait for a slot.
+    /// Number of requests that wait for a slot.
     pub queued: u32,
-    /// Slots in all, as far as learnt limits allow.
+    /// Number of slots within the learnt concurrency limits.
     pub slots: u32,
-    /// How long a request holds a slot, on average.
+    /// Mean time that a request holds a slot, in milliseconds.
     pub service_ms: u32,
-    /// How many requests it has had from the instance that it speaks to. The
-    /// others that the instance has sent are not in the figures above.
+    /// Number of requests received from the instance that the report is for.
+    /// Requests that were still in transit are not included in the other fields.
     pub seen: u64,
 }
 
