--- a/crates/azuregate-core/src/route/remote_load.rs
+++ b/crates/azuregate-core/src/route/remote_load.rs
@@ -1,30 +1,31 @@
-//! What an instance knows of a group that another instance dispatches for.
+//! The estimated load of a group that another instance dispatches for.
 
 use crate::{names::StartNumber, route::group::GroupLoad, time::Millis};
 
-/// An update older than this says nothing about free slots any more.
+/// Age at which an update is stale.
 const MAX_AGE_MS: Millis = Millis(300);
-/// Taken for the time in a slot until the dispatcher has spoken.
+/// Mean service time assumed before the first update.
 const DEFAULT_SERVICE_MS: u32 = 20;
 
-/// The last update of a group's dispatcher, and what was sent since.
+/// The last update from a group's dispatcher, and the requests sent since.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RemoteLoad {
     last_update: Option<(GroupLoad, Millis)>,
-    /// Handed over to this start of the dispatcher.
+    /// Requests handed over to the current start of the dispatcher.
     sent: u64,
-    /// Handed over and not finished.
+    /// Requests handed over and not finished.
     in_flight: u64,
 }
 
 impl RemoteLoad {
-    /// Counts a hand-over.
+    /// Records the start of a hand-over.
     pub fn hand_over(&mut self) {
         self.sent += 1;
         self.in_flight += 1;
     }
 
-    /// Counts the end of a hand-over; `arrived` unless it failed on the way.
+    /// Records the end of a hand-over; `arrived` is false if it failed before
+    /// the dispatcher received it.
     pub fn finish(&mut self, arrived: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !arrived {
@@ -32,32 +33,33 @@
         }
     }
 
-    /// Takes in an update.
+    /// Applies an update from the dispatcher.
     pub fn update(&mut self, load: GroupLoad, now_ms: Millis) {
         let start = self.last_update.map(|(load, _)| load.start);
-        // Another start counts from zero again; comparing would make it look
-        // full for ever.
+        // A restarted dispatcher counts from zero; comparing its count with the
+        // old one would make it look full forever.
         if start.is_some_and(|start| start != load.start) || load.seen > self.sent {
             self.sent = load.seen;
         }
         self.last_update = Some((load, now_ms));
     }
 
-    /// Forgets the update: another instance dispatches now.
+    /// Discards the update, for a new dispatcher.
     pub fn reset(&mut self) {
         *self = RemoteLoad { in_flight: self.in_flight, ..RemoteLoad::default() };
     }
 
-    /// The dispatcher's start, once it has spoken.
+    /// Returns the dispatcher's start number, or `None` before its first update.
     pub fn start(&self) -> Option<StartNumber> {
         self.last_update.map(|(load, _)| load.start)
     }
 
-    /// How many slots are likely to be free.
+    /// Returns the estimated number of free slots.
     ///
-    /// What was sent since the update is taken off, or all requests of the next
-    /// moments would go to the group that looked idle. An old update, or none,
-    /// counts for no more than `share` slots less what is in progress there.
+    /// Requests sent since the update are deducted; otherwise all requests until
+    /// the next one would go to the group that looked idle. Without an update,
+    /// or with a stale one, the estimate is at most `slot_share` less the
+    /// requests in progress.
     pub fn estimated_free(&self, slot_share: u32, now_ms: Millis) -> u64 {
         let fair_share = u64::from(slot_share).saturating_sub(self.in_flight);
         let Some((load, at_ms)) = self.last_update else {
@@ -67,27 +69,27 @@
         if now_ms.since(at_ms) <= MAX_AGE_MS { reported } else { reported.min(fair_share) }
     }
 
-    /// How long another request is likely to wait there, with `slots` slots
-    /// listed.
+    /// Returns the estimated waiting time of another request in milliseconds,
+    /// with `slots` slots listed.
     pub fn estimated_wait_ms(&self, slots: u32) -> u64 {
-        // Until the dispatcher has spoken, all slots are taken for its own
-        // instance's requests but those that are in flight from here.
+        // Before the first update, all slots are assumed to be in use.
         let assumed = GroupLoad { slots, service_ms: DEFAULT_SERVICE_MS, ..GroupLoad::default() };
         let load = self.last_update.map_or(assumed, |(load, _)| load);
         let ahead = u64::from(load.queued) + self.unseen(&load) + 1;
-        // Never less than one: it is asked only when no slot is likely free.
+        // At least one, since this is called only if no slot is expected free.
         let ahead = ahead.saturating_sub(u64::from(load.free)).max(1);
         ahead * u64::from(load.service_ms) / u64::from(load.slots.max(1))
     }
 
-    /// How many requests are likely to wait there; an old update says nothing of
-    /// that.
+    /// Returns the estimated number of queued requests, or 0 if the update is
+    /// stale.
     pub fn estimated_queued(&self, now_ms: Millis) -> usize {
         let fresh = self.last_update.filter(|&(_, at_ms)| now_ms.since(at_ms) <= MAX_AGE_MS);
         fresh.map_or(0, |(load, _)| load.queued as usize + self.unseen(&load) as usize)
     }
 
-    /// What the dispatcher had not seen when it spoke; all of it is in flight.
+    /// Returns how many requests the dispatcher had not received when it sent
+    /// `load`; all of them are still in flight.
     fn unseen(&self, load: &GroupLoad) -> u64 {
         self.sent.saturating_sub(load.seen).min(self.in_flight)
     }
