--- a/crates/azuregate-core/src/route/link.rs
+++ b/crates/azuregate-core/src/route/link.rs
@@ -1,4 +1,4 @@
-//! How much of the links between regions this instance may use.
+//! Bandwidth reservations on the links between regions.
 
 use crate::{
     names::RegionName,
@@ -7,18 +7,19 @@
     topology::Topology,
 };
 
-/// Bytes a second in one megabit a second.
+/// Bytes per second in one megabit per second.
 const BYTES_PER_MBIT: u64 = 125_000;
-/// The window over which bytes are counted, in parts of [`BUCKET_MS`].
+/// Number of buckets in the sliding window over which bytes are counted.
 const BUCKETS: usize = 10;
-/// The length of one part.
+/// Length of one bucket.
 const BUCKET_MS: u64 = 100;
-/// One request books no more than one in so many of the share: a body larger
-/// than a second's share would otherwise never go.
+/// A request reserves at most this fraction (1/4) of the share; otherwise a body
+/// larger than the share of one second could never be sent.
 const MAX_RESERVATION_DIVISOR: u64 = 4;
-/// Taken for the size of an answer until some have been measured, in bytes.
+/// Response size assumed before the first response.
 const DEFAULT_RESPONSE_BYTES: u64 = 4_096;
-/// After so many answers the older half of what was measured is forgotten.
+/// The response size sums are halved after this many responses, so that old
+/// samples decay.
 const HALVE_AFTER_RESPONSES: u64 = 512;
 
 /// The links from this instance's region to each other region.
@@ -27,7 +28,7 @@
     links: Vec<RegionLink>,
 }
 
-/// What a request in progress holds of a link.
+/// The bandwidth that a request in progress holds on a link.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Reservation {
     /// The link, as an index.
@@ -46,7 +47,7 @@
     response_bytes: u64,
 }
 
-/// One way of a link: bytes of the last second and bytes that are booked.
+/// One direction of a link: bytes of the last second and reserved bytes.
 #[derive(Debug, Default)]
 struct Direction {
     total_bytes: u64,
@@ -84,11 +85,10 @@
 }
 
 impl RegionLinks {
-    /// Takes in the regions and the live instances.
+    /// Sets the share of each link from the regions and the live instances.
     ///
-    /// Both ends of a link send on it both ways, and no instance knows what the
-    /// others send: each keeps to its even share, so that all together stay
-    /// within the link.
+    /// Instances do not know each other's traffic. Each keeps to an equal share
+    /// of a link, so that together they stay within its capacity.
     pub fn update(&mut self, topology: &Topology, here: &RegionName, instances: &[Instance]) {
         let live = |region: &RegionName| {
             let mut count = 0;
@@ -116,13 +116,14 @@
         }
     }
 
-    /// The link to a region; `None` for this instance's own.
+    /// Returns the index of the link to a region, or `None` for the region of
+    /// this instance.
     pub fn link_to(&self, region: &RegionName) -> Option<usize> {
         self.links.iter().position(|link| link.region == *region)
     }
 
-    /// Whether a request with a body of `up_bytes` has room on a link, and what
-    /// it would hold of it.
+    /// Returns the reservation that a request with a body of `up_bytes` needs on
+    /// a link, or `None` if the link lacks capacity. Nothing is reserved yet.
     pub fn plan_reservation(
         &mut self,
         link: usize,
@@ -139,14 +140,14 @@
         fits.then_some(Reservation { link, up_bytes, down_bytes })
     }
 
-    /// Holds what a request in progress needs.
+    /// Reserves the bandwidth for a request.
     pub fn reserve(&mut self, reservation: Reservation) {
         let link = &mut self.links[reservation.link];
         link.up.reserved_bytes += reservation.up_bytes;
         link.down.reserved_bytes += reservation.down_bytes;
     }
 
-    /// Gives back what a request held.
+    /// Releases the reservation of a finished request.
     pub fn release(&mut self, reservation: Reservation) {
         let link = &mut self.links[reservation.link];
         link.up.reserved_bytes = link.up.reserved_bytes.saturating_sub(reservation.up_bytes);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Takes in how many bytes have passed since the start, each way.
+    /// Records the total bytes sent and received on a link since the start.
     pub fn record_totals(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
         let link = &mut self.links[link];
         link.up.count(up_bytes.saturating_sub(link.up.total_bytes), now_ms);
