--- a/crates/azuregate-core/src/route/peers.rs
+++ b/crates/azuregate-core/src/route/peers.rs
@@ -1,17 +1,17 @@
-//! Which other instances answer, as far as hand-overs show.
+//! Failure detection for the instances that requests are handed over to.
 
 use std::collections::HashMap;
 
 use crate::{names::InstanceId, time::Millis};
 
-/// An instance that holds requests and says nothing for so long is taken for
-/// frozen. Dispatchers speak every 200 ms to those whose requests they hold.
+/// An instance that holds requests and sends nothing for this long is considered
+/// frozen. Dispatchers send an update every 200 ms while they hold requests.
 const SILENCE_TIMEOUT_MS: Millis = Millis(500);
-/// How long an instance that did not answer is passed over, at first.
+/// Ejection time after a first failure.
 const BASE_EJECTION_MS: Millis = Millis(1_000);
-/// How long it is passed over at the most.
+/// Upper bound of the ejection time, which doubles with each failure.
 const MAX_EJECTION_MS: Millis = Millis(8_000);
-/// Ticks further apart than this mean that this process was paused itself.
+/// A longer interval between ticks means that this process was paused.
 const SELF_PAUSE_MS: Millis = Millis(300);
 
 /// The other instances, by index.
@@ -26,19 +26,19 @@
 struct Peer {
     id: InstanceId,
     in_flight: u32,
-    /// Whether it was ever heard by frames; silence means nothing of one that
-    /// only ever answers.
+    /// Whether it ever sent an update in a frame of its own. The silence of an
+    /// instance that only responds to requests is not a failure.
     sends_frames: bool,
-    /// Since when its silence counts.
+    /// Start of the current silence.
     last_heard_at_ms: Millis,
-    /// Whether its silence was not told yet.
+    /// Whether its silence has yet to be reported.
     monitored: bool,
     ejected_until_ms: Option<Millis>,
     ejection_ms: Millis,
 }
 
 impl Peers {
-    /// The index of an instance; a new one is added.
+    /// Returns the index of an instance, adding it if it is new.
     pub(super) fn index(&mut self, id: &InstanceId) -> usize {
         if let Some(&index) = self.by_id.get(id) {
             return index;
@@ -64,18 +64,18 @@
         &self.peers[peer].id
     }
 
-    /// Whether a request may be handed over to it.
+    /// Returns whether a request may be handed over to a peer.
     ///
-    /// One that may not be sent twice does not ask whether a frozen instance is
-    /// back: it would wait there for its whole deadline.
+    /// A request that is not idempotent does not probe an ejected peer: if that
+    /// is still frozen, the request would wait for its whole deadline.
     pub(super) fn is_usable(&self, peer: usize, idempotent: bool, now_ms: Millis) -> bool {
         let extra_ms = if idempotent { Millis(0) } else { MAX_EJECTION_MS };
         let until_ms = self.peers[peer].ejected_until_ms;
         until_ms.is_none_or(|until_ms| until_ms + extra_ms <= now_ms)
     }
 
-    /// Counts a hand-over. One that was passed over gets a single request to
-    /// show that it answers again.
+    /// Records the start of a hand-over. An ejected peer receives a single
+    /// request as a probe.
     pub(super) fn start_hand_over(&mut self, peer: usize, now_ms: Millis) {
         let peer = &mut self.peers[peer];
         if peer.in_flight == 0 || !peer.monitored {
@@ -88,18 +88,18 @@
         }
     }
 
-    /// Whether it holds requests of this instance.
+    /// Returns whether a peer holds requests of this instance.
     pub(super) fn has_requests(&self, peer: usize) -> bool {
         self.peers[peer].in_flight > 0
     }
 
-    /// Counts the end of a hand-over.
+    /// Records the end of a hand-over.
     pub(super) fn finish_hand_over(&mut self, peer: usize) {
         let peer = &mut self.peers[peer];
         peer.in_flight = peer.in_flight.saturating_sub(1);
     }
 
-    /// Takes in a sign of life.
+    /// Records an update from a peer, and ends its ejection.
     pub(super) fn record_update(&mut self, peer: usize, by_frame: bool, now_ms: Millis) {
         let peer = &mut self.peers[peer];
         peer.sends_frames |= by_frame;
@@ -109,19 +109,19 @@
         peer.ejection_ms = BASE_EJECTION_MS;
     }
 
-    /// Passes over an instance that did not answer.
+    /// Ejects a peer that did not respond.
     pub(super) fn record_failure(&mut self, peer: usize, now_ms: Millis) {
         self.peers[peer].eject(now_ms);
     }
 
-    /// Passes over those that have gone silent, and returns them.
+    /// Ejects peers that have become silent, and returns their indexes.
     pub(super) fn tick(&mut self, now_ms: Millis) -> Vec<usize> {
         let paused = now_ms.since(self.last_tick_at_ms) > SELF_PAUSE_MS;
         self.last_tick_at_ms = now_ms;
         let mut silent = Vec::new();
         for (index, peer) in self.peers.iter_mut().enumerate() {
-            // After a pause of this process all others look silent, since what
-            // they said is still unread.
+            // After a pause of this process all peers look silent, since their
+            // updates are still unread.
             if paused {
                 peer.last_heard_at_ms = now_ms;
             }
