--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -1,4 +1,4 @@
-//! What dispatchers tell those that hand requests over to them.
+//! Load updates from dispatchers to the instances that hand requests over.
 
 use crate::{
     names::InstanceId,
@@ -10,36 +10,35 @@
     time::Millis,
 };
 
-/// The shortest time between two updates to one instance.
+/// Minimum interval between two updates to an instance.
 const MIN_UPDATE_INTERVAL_MS: Millis = Millis(50);
-/// The longest time between two updates to an instance whose requests are held:
-/// its silence would be taken for a freeze.
+/// Maximum interval between two updates to an instance with requests in
+/// progress, which would otherwise consider this one frozen.
 const HEARTBEAT_INTERVAL_MS: Millis = Millis(200);
-/// The longest time between two frames to an instance that hands over.
+/// Maximum interval between two update frames to an instance that hands over.
 ///
-/// While answers carry all updates, no frame is due. The other instance would then
-/// not know that this one speaks by frames, and would take no silence for a
-/// freeze.
+/// Frames are sent even while responses carry the updates: an instance detects
+/// the silence only of a peer that has sent it frames.
 const MAX_FRAME_INTERVAL_MS: Millis = Millis(500);
-/// An instance that handed nothing over for so long hears nothing more.
+/// Updates to an instance stop if it has handed nothing over for this long.
 const SENDER_EXPIRY_MS: Millis = Millis(5_000);
-/// Changes smaller than one in so many of the slots are not worth an update.
+/// Changes smaller than this fraction (1/8) of the slots cause no update.
 const SIGNIFICANT_SLOTS_DIVISOR: u32 = 8;
 
-/// An update to an instance that hands requests of a group over.
+/// A load update for an instance that hands requests of a group over.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoadUpdate {
-    /// Where it goes.
+    /// The receiving instance.
     pub to: InstanceId,
     /// The group.
     pub group: GroupId,
-    /// Its load.
+    /// The load of the group.
     pub load: GroupLoad,
 }
 
 impl Dispatch {
-    /// The updates that are due, and the dispatchers that have gone silent with
-    /// requests of this instance; as indexes.
+    /// Returns the updates that are due, and the indexes of dispatchers that
+    /// became silent while they hold requests of this instance.
     pub fn tick(&mut self, now_ms: Millis) -> (Vec<LoadUpdate>, Vec<usize>) {
         let silent = self.peers.tick(now_ms);
         let mut updates = Vec::new();
@@ -55,14 +54,15 @@
         (updates, silent)
     }
 
-    /// The instances that the links found away and that hold requests of this
-    /// one; as indexes.
+    /// Returns the indexes of instances that `snapshot` lists as away and that
+    /// hold requests of this instance.
     pub fn away_peers_with_requests(&self, snapshot: &Snapshot) -> Vec<usize> {
         let known = snapshot.away.iter().filter_map(|id| self.peers.find(id));
         known.filter(|&peer| self.peers.has_requests(peer)).collect()
     }
 
-    /// The update that goes back with an answer to `to`.
+    /// Returns the load of a group, to be sent with a response to `to`, or `None`
+    /// if `to` has handed over no request of that group.
     pub fn load_for(
         &mut self,
         to: &InstanceId,
@@ -76,7 +76,8 @@
         Some(sender.record_update(load, now_ms))
     }
 
-    /// Takes in an update of a dispatcher.
+    /// Applies a load update from a dispatcher; `by_frame` tells whether it came
+    /// in a frame of its own rather than with a response.
     pub fn receive_load(
         &mut self,
         from: &InstanceId,
