--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -1,4 +1,4 @@
-//! What one group holds, as its dispatcher counts it.
+//! The state of one group.
 
 use crate::{
     route::dispatch::{Group, Sender},
@@ -6,12 +6,12 @@
 };
 
 impl Group {
-    /// Free slots that nobody waits for.
+    /// Returns the number of free slots, or 0 if requests are queued for them.
     pub(super) fn free(&self) -> u64 {
         if self.queue.is_empty() { u64::from(self.router.capacity().free) } else { 0 }
     }
 
-    /// How long another request would wait here.
+    /// Returns how long another request is expected to wait.
     pub(super) fn wait_ms(&self) -> u64 {
         if self.free() > 0 {
             return 0;
@@ -19,7 +19,7 @@
         self.service_time.wait_ms(self.queue.len() + 1, self.router.capacity().total)
     }
 
-    /// Another dispatcher's updates do not count for this one.
+    /// Sets the dispatcher, and discards the load that another one reported.
     pub(super) fn set_remote_peer(&mut self, peer: usize) {
         if self.remote_peer != Some(peer) {
             self.remote_peer = Some(peer);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Counts a request that another instance handed over.
+    /// Records a request that another instance handed over.
     pub(super) fn add_request(&mut self, peer: usize, now_ms: Millis) {
         if !self.senders.iter().any(|sender| sender.peer == peer) {
             let last_request_at_ms = now_ms;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Counts the end of a request that another instance handed over.
+    /// Records the end of a request that another instance handed over.
     pub(super) fn remove_request(&mut self, peer: Option<usize>) {
         for sender in self.senders.iter_mut().filter(|sender| Some(sender.peer) == peer) {
             sender.in_flight = sender.in_flight.saturating_sub(1);
