--- a/crates/azuregate-core/src/route/dispatch/refusal.rs
+++ b/crates/azuregate-core/src/route/dispatch/refusal.rs
@@ -1,32 +1,32 @@
-//! Why requests go nowhere.
+//! The reasons to refuse a request.
 
 use crate::{error::ErrorKind, route::dispatch::Refusal};
 
 impl Refusal {
-    /// No server of the groups in question takes new work.
     pub(super) fn no_backend() -> Refusal {
-        let reason = "no backend server that may be used takes new work";
+        let reason = "no backend server is available in the permitted zones";
         Refusal { kind: ErrorKind::NoBackend, reason, retry_after_ms: 1_000 }
     }
 
-    /// The cap of a movement leaves no room for the request.
+    /// Returns the refusal of a request that would exceed the policy's cap on
+    /// traffic movement.
     pub fn cap_reached() -> Refusal {
-        let reason = "the cap of the policy leaves no room for this request";
+        let reason = "the policy's cap on traffic movement is reached";
         Refusal { kind: ErrorKind::CapReached, reason, retry_after_ms: 1_000 }
     }
 
     pub(super) fn link_full() -> Refusal {
-        let reason = "the links to the regions with free slots have no room";
+        let reason = "the links to regions with free slots have no bandwidth left";
         Refusal { kind: ErrorKind::QueueFull, reason, retry_after_ms: 1_000 }
     }
 
     pub(super) fn queue_full(retry_after_ms: u64) -> Refusal {
-        let reason = "the queue holds as much as it may";
+        let reason = "the queue is full";
         Refusal { kind: ErrorKind::QueueFull, reason, retry_after_ms }
     }
 
     pub(super) fn too_late(retry_after_ms: u64) -> Refusal {
-        let reason = "no slot would be free in time";
+        let reason = "no slot is expected to be free in time";
         Refusal { kind: ErrorKind::TooLate, reason, retry_after_ms }
     }
 }
