--- a/crates/azuregate-core/src/route/dispatch/release.rs
+++ b/crates/azuregate-core/src/route/dispatch/release.rs
@@ -1,4 +1,4 @@
-//! Takes back what requests held, and serves those that wait.
+//! Releases slots and serves queued requests.
 
 use crate::{
     route::{
@@ -10,8 +10,8 @@
 };
 
 impl Dispatch {
-    /// Gives the next free slot of a group to the request that has waited
-    /// longest.
+    /// Assigns a free slot of a group to its oldest queued request, or returns
+    /// `None` if there is no such slot or request.
     pub fn serve_waiting(
         &mut self,
         group: usize,
@@ -26,8 +26,8 @@
         Some((waiting, Slot { from: waiting.from, ..slot }))
     }
 
-    /// Takes a request out of its queue that has waited as long as it may;
-    /// `None` when it waits no more.
+    /// Removes a request from its queue and returns its refusal, or `None` if it
+    /// is not queued.
     pub fn cancel_waiting(&mut self, ticket: u64) -> Option<Refusal> {
         for group in &mut self.groups {
             if let Some(waiting) = group.queue.remove(ticket) {
@@ -38,7 +38,7 @@
         None
     }
 
-    /// Gives a slot back, with what was learnt.
+    /// Releases a slot and records how its request completed.
     pub fn release(&mut self, slot: &Slot, completion: Completion, now_ms: Millis) {
         let group = &mut self.groups[slot.group];
         group.router.release(slot.key, completion, now_ms);
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Ends a hand-over. A dispatcher that did not answer is passed over.
+    /// Records the end of a hand-over. A dispatcher that failed is ejected.
     pub fn finish_hand_over(
         &mut self,
         hand_over: &HandOver,
