--- a/crates/azuregate-core/src/route/dispatch/servers.rs
+++ b/crates/azuregate-core/src/route/dispatch/servers.rs
@@ -1,4 +1,4 @@
-//! Takes in the lists of instances and backend servers.
+//! Applies the lists of instances and backend servers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,10 +15,10 @@
 };
 
 impl Dispatch {
-    /// Takes in the configuration in force.
+    /// Applies the configuration in force.
     ///
-    /// Returns requests that wait for a group without open servers, with their
-    /// final answer.
+    /// Returns the queued requests of groups that have no available server left,
+    /// with their refusals.
     pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(QueuedRequest, Refusal)> {
         let zone = &self.config.zone;
         if let Some(region) = snapshot.topology.region_of(zone) {
@@ -33,8 +33,8 @@
             instances.iter().filter(|instance| instance.id != self.config.instance).count();
         self.live_instances = 1 + others as u32;
         let mut by_group = self.servers_by_group(snapshot);
-        // Groups that are no longer listed stay, closed, for the requests that
-        // are still in progress.
+        // Groups that are no longer listed are kept without servers, for the
+        // requests that are still in progress.
         for group in &self.groups {
             by_group.entry(group.id.clone()).or_default();
         }
@@ -110,7 +110,7 @@
         group.link = region.and_then(|region| self.links.link_to(region));
         group.dispatchers = dispatchers;
         if group.listed_slots > 0 {
-            // Groups come in the order of their names, so a zone's are together.
+            // Groups are ordered by name, so those of one zone are adjacent.
             let nth = self.available_groups.len();
             self.available_groups.push(index);
             let range = self.by_zone.entry(group.id.zone.clone()).or_insert(nth..nth);
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Who dispatches for a group. This instance is always among them: one that
-    /// reaches no other has to dispatch itself.
+    /// Returns the dispatchers of a group in order of preference. This instance
+    /// is always included, as the fallback if it can reach no other.
     fn dispatcher_order(
         &mut self,
         index: usize,
