--- a/crates/azuregate-core/src/route/dispatch/refusal.rs
+++ b/crates/azuregate-core/src/route/dispatch/refusal.rs
@@ -4,7 +4,7 @@
 
 impl Refusal {
     pub(super) fn no_backend() -> Refusal {
-        let reason = "no backend server is available in the permitted zones";
+        let reason = "no permitted backend server is available";
         Refusal { kind: ErrorKind::NoBackend, reason, retry_after_ms: 1_000 }
     }
 
