--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -1,4 +1,4 @@
-//! Places requests.
+//! Placement of requests.
 
 use std::{cmp::Reverse, ops::Range};
 
@@ -13,38 +13,38 @@
     time::Millis,
 };
 
-/// A group that a request could go to.
+/// A group that a request could be placed in.
 #[derive(Clone, Copy)]
 struct Candidate {
     group: usize,
     dispatcher: Dispatcher,
     reservation: Option<Reservation>,
     free: u64,
-    /// Until it would start there, without the way.
+    /// Expected waiting time for a slot, without network delay.
     wait_ms: u64,
-    /// The wait and the detour.
+    /// Waiting time plus the added round-trip time of a zone other than the first.
     cost_ms: u64,
-    /// Whether its queue takes no more.
+    /// Whether its queue is full.
     full: bool,
 }
 
-/// A zone later in a plan than the first has to save as much at least.
+/// Minimum cost of a zone other than the first of a request.
 const MIN_DETOUR_COST_MS: u64 = 4;
 
 impl Candidate {
-    /// Less is better: room in the queue, the earlier start, more free slots.
+    /// Lower is better: space in the queue, then lower cost, then more free slots.
     fn sort_key(&self) -> (bool, u64, Reverse<u64>) {
         (self.full, self.cost_ms, Reverse(self.free))
     }
 }
 
 impl Dispatch {
-    /// Places a request of a caller of this instance where it is likely to start
-    /// first.
+    /// Places a request from a client of this instance where it is expected to
+    /// start first.
     ///
-    /// A zone later in the plan than the first has to save more than its longer
-    /// way costs: a slot that is free in another region is 40 ms away, and one
-    /// here is often free in 5.
+    /// The cost of a zone other than the first includes the added round-trip
+    /// time, since a short wait nearby is better than a free slot in a distant
+    /// region.
     pub fn place(
         &mut self,
         request: &DispatchRequest<'_>,
@@ -72,7 +72,7 @@
             if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
                 best = Some(candidate);
             }
-            // Nothing later in the plan can be better than a free slot here.
+            // No later zone can be better than a free slot at no cost.
             if candidate.cost_ms == 0 {
                 break;
             }
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Places a request that `from` handed over for a group. It goes no
-    /// further: a second hop could lead back.
+    /// Places a request that `from` handed over for a group. It is not handed
+    /// over again, which could loop.
     pub fn place_handed_over(
         &mut self,
         from: &InstanceId,
@@ -109,7 +109,8 @@
         decision
     }
 
-    /// The best of one zone's groups; `None` when the link there has no room.
+    /// Returns the best group of a zone, or `None` if the link to it lacks
+    /// capacity.
     fn best_in_zone(
         &mut self,
         groups: Range<usize>,
@@ -128,7 +129,7 @@
         best
     }
 
-    /// Who dispatches for a group: the first in its order that answers.
+    /// Returns the dispatcher of a group: the most preferred one that is usable.
     fn dispatcher(&self, group: usize, idempotent: bool, now_ms: Millis) -> Dispatcher {
         let usable = |dispatcher: &Dispatcher| match *dispatcher {
             Dispatcher::Local => true,
@@ -137,8 +138,8 @@
         self.groups[group].dispatchers.iter().copied().find(usable).unwrap_or(Dispatcher::Local)
     }
 
-    /// What a request would hold of the link to a group, if it crosses one;
-    /// `None` when that has no room.
+    /// Returns the reservation that a request needs on the link to a group,
+    /// `Some(None)` if it crosses no link, or `None` if the link lacks capacity.
     fn check_link(
         &mut self,
         group: usize,
@@ -185,7 +186,7 @@
         let Dispatcher::Peer(peer) = dispatcher else {
             return self.place_here(group, None, request, now_ms, rng);
         };
-        // The dispatcher would only say the same, a round trip later.
+        // The dispatcher would refuse the request as well, a round trip later.
         if full {
             return Decision::Refuse(Refusal::queue_full(wait_ms));
         }
@@ -208,8 +209,8 @@
             return Decision::Refuse(Refusal::no_backend());
         }
         if self.groups[group].queue.is_empty() {
-            // Who handed it over has looked at the link; what is held here counts
-            // all the same.
+            // The link does not decide here, since an instance that hands a
+            // request over has checked it; used bandwidth is reserved all the same.
             let reservation = self.check_link(group, request, now_ms).flatten();
             if let Some(slot) = self.take_slot(group, reservation, now_ms, rng) {
                 return Decision::Serve(Slot { from, ..slot });
