--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -1,11 +1,13 @@
-//! Dispatching the requests of one service, as one instance sees it.
+//! Dispatching the requests of one service on one instance.
 //!
 //! For each group of backend servers one instance, the dispatcher, counts slots
-//! and holds the queue; [`Dispatch::place`] tells whether a request goes to a
-//! slot here, to the dispatcher of another group, into the queue or nowhere.
-//! Nothing that must be safe hangs on there being one dispatcher: while
-//! instances disagree two may dispatch, and the refusals of the backend servers
-//! lower the limits of both.
+//! and holds the queue. [`Dispatch::place`] decides whether a request takes a
+//! slot here, is handed over to the dispatcher of another group, is queued or is
+//! refused.
+//!
+//! Safety does not depend on there being a single dispatcher. While instances
+//! disagree, two may dispatch for one group; the refusals of the backend servers
+//! then lower the limits of both.
 //!
 //! ```
 //! use azuregate_core::{
@@ -25,7 +27,7 @@
 //!     grouping: Grouping::PerZone,
 //!     make_router: Box::new(|| Box::new(SlotTable::default())),
 //! });
-//! // No server is listed yet.
+//! // No server is listed yet, so the request is refused.
 //! let plan = [ZoneName::new("sofia-a")];
 //! let request = DispatchRequest { ticket: 1, zones: &plan, max_wait_ms: 100, remaining_ms: 1_000, body_bytes: 0, idempotent: true };
 //! let decision = dispatch.place(&request, Millis(0), &mut fastrand::Rng::with_seed(1));
@@ -58,115 +60,115 @@
 
 pub use updates::LoadUpdate;
 
-/// Which backend servers make a group.
+/// How backend servers are grouped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Grouping {
-    /// Those of one availability zone, split when there are many; one instance
-    /// dispatches for each.
+    /// One group per availability zone, or several for a large one; each group
+    /// has one dispatcher instance.
     PerZone,
-    /// All of the service; this instance chooses alone.
+    /// One group for the whole service; every instance dispatches independently.
     WholeService,
 }
 
-/// What a dispatch is made from.
+/// The configuration of a [`Dispatch`].
 pub struct Config {
     /// The service.
     pub service: ServiceName,
     /// This instance.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// The availability zone of this instance.
     pub zone: ZoneName,
-    /// Its start number.
+    /// The start number of this instance.
     pub start: StartNumber,
-    /// How servers are grouped.
+    /// The grouping of the backend servers.
     pub grouping: Grouping,
-    /// Makes the router of a group.
+    /// Creates the router of a group.
     pub make_router: Box<dyn Fn() -> Box<dyn Router> + Send>,
 }
 
-/// A request that wants a backend server.
+/// A request to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct DispatchRequest<'a> {
-    /// Names the request while it waits.
+    /// Identifies the request while it is queued.
     pub ticket: u64,
-    /// The availability zones that it may go to, the one to prefer first.
+    /// The availability zones that it may be placed in, in order of preference.
     pub zones: &'a [ZoneName],
-    /// How long it may wait for a slot.
+    /// Maximum time to wait for a slot, in milliseconds.
     pub max_wait_ms: u64,
-    /// How long its caller waits for the answer.
+    /// Time until its deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// The length of its body, as far as it is known.
+    /// Length of its body, or 0 if unknown.
     pub body_bytes: u64,
-    /// Whether it may be sent twice.
+    /// Whether it may be sent more than once.
     pub idempotent: bool,
 }
 
-/// What becomes of a request.
+/// Where a request is placed, if anywhere.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It goes to a backend server from here.
+    /// Send the request to a backend server.
     Serve(Slot),
-    /// It goes to the dispatcher of another group.
+    /// Hand the request over to another dispatcher.
     HandOver(HandOver),
-    /// It waits here for a slot of a group.
+    /// The request is queued for a slot of a group.
     Wait {
-        /// The group, as an index.
+        /// The index of the group.
         group: usize,
     },
-    /// It gets its final answer at once.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
 /// A slot that a request holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Slot {
-    /// The group, as an index.
+    /// The index of the group.
     pub group: usize,
-    /// The server, as a key of the group's router.
+    /// The key of the server in the group's router.
     pub key: usize,
-    /// What it holds of a link between regions.
+    /// The bandwidth reserved on a link between regions, if it crosses one.
     pub reservation: Option<Reservation>,
     from: Option<usize>,
 }
 
-/// A request that goes to the dispatcher of another group.
+/// The hand-over of a request to another dispatcher.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HandOver {
-    /// The group, as an index.
+    /// The index of the group.
     pub group: usize,
-    /// The dispatcher, as an index.
+    /// The index of the dispatcher.
     pub peer: usize,
-    /// What it holds of a link between regions.
+    /// The bandwidth reserved on a link between regions, if it crosses one.
     pub reservation: Option<Reservation>,
 }
 
-/// Why a request goes nowhere. It did not run.
+/// Why a request was refused. It was not sent to any backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The row of the table of answers.
+    /// The error kind of the response.
     pub kind: ErrorKind,
-    /// What happened.
+    /// The reason, for people.
     pub reason: &'static str,
-    /// When a slot is likely to be free.
+    /// Time after which a retry is likely to succeed, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// Places the requests of one service.
+/// Places the requests of one service on one instance.
 pub struct Dispatch {
     config: Config,
     groups: Vec<Group>,
     by_id: HashMap<GroupId, usize>,
-    /// Groups with open servers, those of one zone beside each other.
+    /// Indexes of the groups with available servers, ordered by zone.
     available_groups: Vec<usize>,
-    /// Which of them are a zone's.
+    /// The range of each zone in `available_groups`.
     by_zone: HashMap<ZoneName, Range<usize>>,
     peers: Peers,
     links: RegionLinks,
-    /// Live instances, this one included.
+    /// Number of live instances, including this one.
     live_instances: u32,
 }
 
-/// Who dispatches for a group.
+/// An instance that dispatches for a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Dispatcher {
     Local,
@@ -177,12 +179,11 @@
     id: GroupId,
     router: Box<dyn Router>,
     servers: HashMap<BackendId, BackendServer>,
-    /// Slots of the open servers, as listed.
+    /// Slots of the available servers, as listed.
     listed_slots: u32,
-    /// There and back from here.
     round_trip_ms: u64,
     link: Option<usize>,
-    /// Who dispatches, the first that answers.
+    /// Dispatchers in order of preference.
     dispatchers: Vec<Dispatcher>,
     queue: Queue,
     service_time: ServiceTime,
@@ -210,7 +211,7 @@
 }
 
 impl Dispatch {
-    /// Makes a dispatch that knows no servers yet.
+    /// Creates a dispatch without servers.
     pub fn new(config: Config) -> Dispatch {
         Dispatch {
             config,
@@ -224,43 +225,44 @@
         }
     }
 
-    /// How many groups there are; they are never taken away.
+    /// Returns the number of groups; groups are never removed.
     pub fn group_count(&self) -> usize {
         self.groups.len()
     }
 
-    /// The name of a group.
+    /// Returns the name of a group.
     pub fn group_id(&self, group: usize) -> &GroupId {
         &self.groups[group].id
     }
 
-    /// The server of a slot that was just taken.
+    /// Returns the server of a slot, or `None` if it is no longer listed.
     pub fn server(&self, slot: &Slot) -> Option<&BackendServer> {
         let group = &self.groups[slot.group];
         group.servers.get(group.router.id(slot.key))
     }
 
-    /// The name of the server of a slot, listed or not any more.
+    /// Returns the name of the server of a slot, whether it is still listed or
+    /// not.
     pub fn server_id(&self, slot: &Slot) -> &BackendId {
         self.groups[slot.group].router.id(slot.key)
     }
 
-    /// The dispatcher that a request is handed over to.
+    /// Returns the dispatcher that a request is handed over to.
     pub fn dispatcher_id(&self, hand_over: &HandOver) -> &InstanceId {
         self.peers.id(hand_over.peer)
     }
 
-    /// The name of another instance, by the index that [`Dispatch::tick`] gives.
+    /// Returns the name of a peer, by the index that [`Dispatch::tick`] returns.
     pub fn peer_id(&self, peer: usize) -> &InstanceId {
         self.peers.id(peer)
     }
 
-    /// Takes in what a server said of its load.
+    /// Records the load that a server reported.
     pub fn record_load(&mut self, slot: &Slot, report: crate::route::LoadReport) {
         self.groups[slot.group].router.record_load(slot.key, report);
     }
 
-    /// Takes in how many bytes have passed over a link since the start.
+    /// Records the total bytes sent and received on a link since the start.
     pub fn record_link_bytes(
         &mut self,
         link: usize,
