--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -209,8 +209,8 @@
             return Decision::Refuse(Refusal::no_backend());
         }
         if self.groups[group].queue.is_empty() {
-            // The link does not decide here, since an instance that hands a
-            // request over has checked it; used bandwidth is reserved all the same.
+            // The link has been checked before, here or by the instance that
+            // handed the request over; the bandwidth is reserved here as well.
             let reservation = self.check_link(group, request, now_ms).flatten();
             if let Some(slot) = self.take_slot(group, reservation, now_ms, rng) {
                 return Decision::Serve(Slot { from, ..slot });
