--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -97,7 +97,7 @@
     pub max_wait_ms: u64,
     /// Time until its deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// Length of its body, or 0 if unknown.
+    /// Length of its body in bytes, as far as it is known.
     pub body_bytes: u64,
     /// Whether it may be sent more than once.
     pub idempotent: bool,
