--- a/crates/azuregate-core/tests/routing/fixture.rs
+++ b/crates/azuregate-core/tests/routing/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment as plain values.
+//! A small deployment for the routing tests.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
 
 pub(crate) const SERVICE: &str = "starter-desk";
 
-/// A generator whose seed follows from the test's name.
+/// Returns a generator seeded with the name of the test.
 pub(crate) fn rng(test: &str) -> fastrand::Rng {
     fastrand::Rng::with_seed(hash::stable_hash(&[test]))
 }
@@ -25,7 +25,7 @@
     ZoneName::new(name)
 }
 
-/// Two regions with two availability zones each.
+/// Returns a topology of two regions with two availability zones each.
 pub(crate) fn topology(link_mbit_per_s: u64) -> Topology {
     let region = |name: &str| Region {
         name: RegionName::new(name),
@@ -69,7 +69,7 @@
     snapshot
 }
 
-/// The dispatch of one instance, its clock and its randomness.
+/// The dispatch of one instance, with its own clock and random generator.
 pub(crate) struct Node {
     pub(crate) dispatch: Dispatch,
     pub(crate) now_ms: Millis,
@@ -123,13 +123,13 @@
         }
     }
 
-    /// Takes slots until none is free.
+    /// Acquires slots until none is free.
     pub(crate) fn fill(&mut self, zones: &[&str]) -> Vec<Slot> {
         let mut slots = Vec::new();
         while let Decision::Serve(slot) = self.place(zones) {
             slots.push(slot);
         }
-        // The last one found none; it does not wait.
+        // The last request was queued; remove it.
         self.dispatch.cancel_waiting(self.ticket);
         slots
     }
