--- a/crates/azuregate-core/tests/routing/main.rs
+++ b/crates/azuregate-core/tests/routing/main.rs
@@ -1,4 +1,4 @@
-//! Decisions of routing, on a hand-driven clock.
+//! Tests of request routing with a simulated clock.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
