--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -1,4 +1,4 @@
-//! Slots are counted exactly, in whatever order things happen.
+//! A property test of slots and queue against a simple model.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -23,9 +23,9 @@
     Finish(usize, Completion),
     Cancel(usize),
     Advance(u64),
-    /// Which of the four servers are live, and which are listed at all.
+    /// Which of the four servers are live, and which are listed.
     List([bool; 4], [bool; 4]),
-    /// A server starts again.
+    /// A server restarts.
     Restart(usize),
 }
 
@@ -46,7 +46,7 @@
     ]
 }
 
-/// The instance under test and what a simple count says must hold of it.
+/// The instance under test and the expected state.
 struct Model {
     node: Node,
     starts: [u64; 4],
@@ -80,8 +80,8 @@
             Op::Finish(nth, completion) => self.finish(nth, completion),
             Op::Cancel(nth) => self.cancel(nth),
             Op::Advance(ms) => {
-                // A server may be rested now; whoever asks next must not overtake
-                // those that wait for it.
+                // A closed server may be due to reopen. Queued requests are not
+                // served here, to check that a new one does not overtake them.
                 self.node.now_ms = self.node.now_ms + Millis(ms);
                 return;
             }
@@ -101,19 +101,19 @@
         self.tickets += 1;
         match self.node.place(&[ZONE]) {
             Decision::Serve(slot) => {
-                assert!(self.waiting.is_empty(), "nobody overtakes the queue");
+                assert!(self.waiting.is_empty(), "a request overtook the queue");
                 self.take(slot);
             }
             Decision::Wait { .. } => self.waiting.push_back(self.tickets),
             Decision::Refuse(_) => {}
-            Decision::HandOver(_) => panic!("there is nobody to hand over to"),
+            Decision::HandOver(_) => panic!("handed over without a peer"),
         }
     }
 
     fn take(&mut self, slot: Slot) {
         let server = self.node.dispatch.server(&slot).expect("a listed server").clone();
         let nth = nth_of(&server);
-        assert!(self.live[nth] && self.listed[nth], "{} gets nothing new", server.id);
+        assert!(self.live[nth] && self.listed[nth], "{} is not available", server.id);
         let in_use = self.in_use.entry(server.id.clone()).or_default();
         *in_use += 1;
         assert!(*in_use <= server.slots, "{in_use} requests at {}", server.id);
@@ -137,9 +137,9 @@
         let ticket = self.waiting.remove(nth % self.waiting.len()).unwrap();
         assert!(
             self.node.dispatch.cancel_waiting(ticket).is_some(),
-            "its final answer comes at once"
+            "a queued request is refused at once"
         );
-        assert!(self.node.dispatch.cancel_waiting(ticket).is_none(), "and only once");
+        assert!(self.node.dispatch.cancel_waiting(ticket).is_none(), "refused twice");
     }
 
     fn set_list(&mut self) {
@@ -156,12 +156,12 @@
             served.push(next);
         }
         for (waiting, slot) in served {
-            assert_eq!(self.waiting.pop_front(), Some(waiting.ticket), "first come, first served");
+            assert_eq!(self.waiting.pop_front(), Some(waiting.ticket), "the queue is FIFO");
             self.take(slot);
         }
     }
 
-    /// All slots can be taken again once everything is over.
+    /// Checks that all slots can be acquired again once all requests have ended.
     fn check_no_leak(&mut self) {
         (self.live, self.listed) = ([true; 4], [true; 4]);
         self.set_list();
@@ -177,7 +177,7 @@
             }
             self.node.now_ms = self.node.now_ms + Millis(2_000);
         }
-        assert_eq!(self.node.fill(&[ZONE]).len(), 12, "no slot has leaked");
+        assert_eq!(self.node.fill(&[ZONE]).len(), 12, "a slot leaked");
     }
 }
 
