--- a/crates/azuregate-core/tests/routing/dispatch.rs
+++ b/crates/azuregate-core/tests/routing/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where a request goes.
+//! Tests of the placement of requests.
 
 use azuregate_core::{
     error::ErrorKind,
@@ -14,7 +14,8 @@
 
 const ALL: [&str; 4] = ["sofia-a", "sofia-b", "varna-a", "varna-b"];
 
-/// One instance, and one server in each availability zone.
+/// Returns the only instance of a deployment with one server per availability
+/// zone.
 fn single_instance(test: &str) -> (Node, Snapshot) {
     let servers = ALL.map(|zone_name| server(&format!("s-{zone_name}"), zone_name, 1));
     let snapshot = snapshot(&[instance("entry-1", "sofia-a")], &servers);
@@ -26,9 +27,8 @@
     refusal
 }
 
-// A request holds one of three slots for 20 ms, so each that waits adds 6 to 7 ms.
-// The next zone is 8 ms there and back, the other region 40: a short wait here is
-// better than a long way, and a long way better than a longer wait.
+// Each queued request adds 6 to 7 ms of waiting; the round trip to the other zone
+// takes 8 ms, to the other region 40 ms. Requests go where the sum is lowest.
 #[test]
 fn places_requests_where_they_start_first() {
     let (mut node, _) = single_instance("starts_first");
@@ -45,7 +45,8 @@
     let (wait_a, wait_b) = ("wait sofia-a", "wait sofia-b");
     let expected = [
         a, a, a, wait_a, b, b, b, wait_a, wait_b, wait_a, wait_b, wait_a, wait_b, wait_a, wait_b,
-        // The sixth would wait 40 ms. Of zones equally far, the roomier is taken.
+        // The sixth queued request would wait 40 ms. Of zones at the same distance,
+        // the one with more free slots is used.
         far[0], far[1], far[0], far[1], far[0], far[1],
     ];
     assert_eq!(decisions[..expected.len()], expected);
@@ -59,14 +60,13 @@
     assert_eq!(refused.kind, ErrorKind::NoBackend);
 }
 
-// All slots are taken and requests wait. One whose deadline would pass while it
-// waits gets its answer at once, and is told when a slot is likely to be free;
-// one with more time waits.
+// A request whose deadline would pass in the queue is refused at once, with the
+// time after which a slot is expected to be free.
 #[test]
 fn request_is_refused_when_its_estimated_wait_is_too_long() {
     let (mut node, _) = single_instance("wait_too_long");
     let slots = node.fill(&["sofia-a"]);
-    // Each request holds a slot for 90 ms: three slots give one every 30 ms.
+    // With a service time of 90 ms, one of three slots is released every 30 ms.
     node.now_ms = node.now_ms + Millis(90);
     for slot in &slots {
         node.dispatch.release(slot, Completion::Responded { latency_ms: 90 }, node.now_ms);
@@ -74,7 +74,7 @@
     node.fill(&["sofia-a"]);
     let plan = [zone("sofia-a")];
     let cases = [
-        // Wait, time left, what happens.
+        // Maximum wait, remaining time, expected refusal.
         (20, 10_000, Some(ErrorKind::TooLate)),
         (200, 100, Some(ErrorKind::TooLate)),
         (200, 10_000, None),
@@ -113,8 +113,8 @@
     assert_eq!(waiting, 12);
 }
 
-// All servers of a zone leave while requests wait for them. The requests get
-// their final answer with the list that says so, not at their deadline.
+// Requests queued for a zone whose servers all leave are refused when the list
+// changes, not at their deadline.
 #[test]
 fn queued_requests_are_refused_when_their_zone_closes() {
     let (mut node, snapshot) = single_instance("zone_closes");
@@ -132,8 +132,8 @@
     assert_eq!(refusal(node.place(&ALL)).kind, ErrorKind::NoBackend);
 }
 
-// A server starts again with empty caches. Sent all it can hold, it would answer
-// all of it slowly; it gets one request, and more as it answers.
+// A restarted server has cold caches and would be slow at full load. It receives
+// one request at first, and more as it responds.
 #[test]
 fn restarted_server_ramps_up_slowly() {
     let (mut node, snapshot) = single_instance("started_again");
