--- a/crates/azuregate-core/tests/routing/groups.rs
+++ b/crates/azuregate-core/tests/routing/groups.rs
@@ -1,4 +1,4 @@
-//! Groups and their dispatchers.
+//! Tests of groups and the preference of their dispatchers.
 
 use std::collections::BTreeMap;
 
