--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -1,4 +1,4 @@
-//! Learnt limits, known loads, the queue's drain and the retry budget.
+//! Tests of concurrency limits, service times and the retry budget.
 
 use azuregate_core::{
     names::StartNumber,
@@ -18,17 +18,17 @@
 #[test]
 fn limits_follow_refusals_and_latency() {
     use Event::{Good, Refused, Slow};
-    // What happens after how many milliseconds, and the limit after it.
+    // Delay in milliseconds, event, and the expected limit after it.
     let warm: &[&[(u64, Event, u32)]] = &[
-        // Refused with one left in progress: somebody else holds the others.
+        // Refused with one request in progress: other instances hold the other slots.
         &[(0, Refused(1), 1), (10, Good, 1), (100, Good, 2), (10, Good, 2), (10, Good, 3)],
-        // Refused with none left in progress: nothing is sent for a while.
+        // Refused with none in progress: nothing is sent until the backoff has passed.
         &[(0, Refused(0), 0)],
-        // Refusals in a row hold it for longer each time.
+        // Consecutive refusals double the backoff.
         &[(0, Refused(1), 1), (1, Refused(1), 1), (150, Good, 1), (100, Good, 2)],
-        // An answer that is slow once may be chance.
+        // A single slow response does not lower the limit.
         &[(0, Good, 3), (10, Slow, 3)],
-        // A server that stays slow gets less, but always something.
+        // A server that stays slow receives fewer requests, but at least one.
         &[(0, Slow, 2), (10, Slow, 2), (100, Slow, 1), (100, Slow, 1), (100, Slow, 1)],
     ];
     for (case, events) in warm.iter().enumerate() {
@@ -79,8 +79,7 @@
     assert_eq!(service_time.wait_ms(6, 3), 120);
 }
 
-// Every request fails and each failure would be tried again: without a budget
-// the load doubles just when there is least room for it.
+// Without a budget, retries would double the load while all requests fail.
 #[test]
 fn retries_are_at_most_a_tenth_of_requests() {
     let budget = RetryBudget::default();
