--- a/crates/azuregate-core/tests/routing/links.rs
+++ b/crates/azuregate-core/tests/routing/links.rs
@@ -1,4 +1,4 @@
-//! The budget of links between regions.
+//! Tests of bandwidth reservations on links between regions.
 
 use azuregate_core::{
     error::ErrorKind,
@@ -29,7 +29,7 @@
     assert_eq!(links.link_to(&RegionName::new("sofia")), None);
 }
 
-// 8 Mbit/s are 1,000,000 bytes a second; two instances share them.
+// Two instances share 8 Mbit/s, so each may use 500,000 bytes per second.
 #[test]
 fn used_and_reserved_bytes_count() {
     let (mut links, link) = links(8);
@@ -51,8 +51,8 @@
     assert_eq!(links.plan_reservation(link, 0, Millis(0)), None);
 }
 
-// No instance knows what the others send. Whatever each of them sends at once,
-// all together stay within the link.
+// Instances do not know each other's traffic; with all of them at their share,
+// the link must not be overloaded.
 #[test]
 fn instance_shares_fit_into_the_link() {
     for (here, there) in [(1, 1), (3, 2), (5, 4), (130, 140)] {
@@ -68,12 +68,13 @@
             links.record_totals(link, sent_bytes, 0, Millis(0));
         }
         let all_bytes = sent_bytes * (here + there);
-        assert!(all_bytes <= 500_000_000, "{all_bytes} bytes a second of {here} and {there}");
-        assert!(all_bytes >= 490_000_000, "{all_bytes} bytes a second of {here} and {there}");
+        assert!(all_bytes <= 500_000_000, "{all_bytes} bytes per second from {here} and {there}");
+        assert!(all_bytes >= 490_000_000, "{all_bytes} bytes per second from {here} and {there}");
     }
 }
 
-// A body larger than a second's share would never find room.
+// Without the bound, a body larger than the share of one second could never be
+// sent.
 #[test]
 fn large_body_reserves_at_most_a_quarter() {
     let (mut links, link) = links(8);
@@ -86,8 +87,7 @@
     assert_eq!(links.plan_reservation(link, 50_000_000, Millis(0)), None);
 }
 
-// The slots of this region are taken, those of the other are free, and the link
-// is full. The request is told when to come back; it does not cross.
+// A request is refused if the only free slots are behind a full link.
 #[test]
 fn full_link_is_not_crossed() {
     let instances = vec![instance("entry-1", "sofia-a")];
