--- a/crates/azuregate-core/tests/routing/hand_over.rs
+++ b/crates/azuregate-core/tests/routing/hand_over.rs
@@ -1,4 +1,4 @@
-//! What instances do with each other's groups.
+//! Tests of hand-overs between instances.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,8 @@
 
 use crate::fixture::{Node, instance, server, snapshot, zone};
 
-/// Two instances in two availability zones, each with one server.
+/// Returns a deployment of two instances in two availability zones, each with one
+/// server.
 fn pair() -> Snapshot {
     let instances = [instance("entry-1", "sofia-a"), instance("entry-2", "sofia-b")];
     snapshot(&instances, &[server("s1", "sofia-a", 1), server("s2", "sofia-b", 1)])
@@ -30,15 +31,15 @@
     InstanceId::new(name)
 }
 
-/// Hands a request of `from` over to `to`, as the wire would.
+/// Delivers a request that `from` hands over to `to`.
 fn receive_hand_over(from: &str, to: &mut Node, zone_name: &str) -> Decision {
     let request = to.request(&[]);
     let (now_ms, rng) = (to.now_ms, &mut to.rng);
     to.dispatch.place_handed_over(&id(from), &group(zone_name), &request, now_ms, rng)
 }
 
-/// Brings back the update of `from` about its group, where requests take 100 ms:
-/// waiting there is longer than going elsewhere.
+/// Delivers the load of a group from its dispatcher `from` to `to`, with a service
+/// time of 100 ms, so that waiting there costs more than another zone.
 fn deliver_load(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
     let load = from.dispatch.load_for(&id(to_id), &group(zone_name), from.now_ms).unwrap();
     let load = GroupLoad { service_ms: 100, ..load };
@@ -54,9 +55,8 @@
     assert_eq!(first.dispatch.dispatcher_id(&hand_over).as_str(), "entry-2");
 }
 
-// The dispatcher said that three slots were free. Its next update takes a while.
-// Without counting what was sent since, all requests of that while would go
-// there and wait, and the other zone's slots would stay idle.
+// Without the deduction, all requests until the next update would go to the group
+// that reported free slots, and queue there.
 #[test]
 fn requests_sent_since_the_last_update_are_deducted() {
     let snapshot = pair();
@@ -71,8 +71,8 @@
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// An update that is old says nothing of free slots any more: it may lower what is
-// sent, but never lets through more than this instance's even share.
+// A stale update may lower the estimate of free slots, but must not raise it above
+// the equal share of this instance.
 #[test]
 fn stale_update_cannot_raise_the_estimate() {
     let snapshot = pair();
@@ -87,16 +87,15 @@
     deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     first.dispatch.finish_hand_over(&probe, completion, first.now_ms);
     first.now_ms = first.now_ms + Millis(1_000);
-    // The update says that all three are free; two are an even share.
+    // The update reports three free slots; the equal share is two.
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
     }
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// The sender's list is behind: it takes this instance for the dispatcher of a
-// group that another dispatches here. Passing the request on could lead it back,
-// and round for ever; it is served here or refused.
+// The sender has an older list and considers this instance the dispatcher of the
+// group. Handing the request over again could loop forever.
 #[test]
 fn handed_over_request_is_not_handed_over_again() {
     let snapshot = pair();
@@ -115,9 +114,8 @@
     assert!(refused > 0, "the queue is bounded");
 }
 
-// The dispatcher of a zone dies. The request that found out is tried again, and
-// goes to the next in order at once. Later one request alone asks whether the
-// dispatcher is back; when that is answered, all go there again.
+// A failed dispatcher is bypassed at once. After its ejection time, a single
+// request probes it; a response ends the ejection.
 #[test]
 fn failed_dispatcher_is_ejected_and_probed() {
     let snapshot = pair();
@@ -137,7 +135,7 @@
     first.hand_over(&["sofia-b"]);
 }
 
-/// Lets time pass in ticks; returns whether any dispatcher was found silent.
+/// Advances the clock in ticks; returns whether a dispatcher was reported silent.
 fn advance(node: &mut Node, ms: u64) -> bool {
     let mut silent = false;
     for _ in 0..ms / 50 {
@@ -147,9 +145,8 @@
     silent
 }
 
-// A dispatcher freezes: its connections stay open and nothing comes back. It had
-// spoken by frames, which come every 200 ms while it holds requests, so after
-// 500 ms of silence it is passed over; its requests are told.
+// The connections of a frozen dispatcher stay open. It is detected because it
+// sends no frames, which are due every 200 ms while it holds requests.
 #[test]
 fn silent_dispatcher_is_ejected() {
     let snapshot = pair();
@@ -169,15 +166,14 @@
                 first.now_ms,
             );
         }
-        assert!(!advance(&mut first, 50), "it speaks while it holds the request");
+        assert!(!advance(&mut first, 50), "reported silent despite its updates");
     }
     assert!(advance(&mut first, 600));
     first.serve(&["sofia-b"]);
 }
 
-// Answers come every few milliseconds and carry all updates, so no frame is due for
-// news. Without one the other instance would not know that this one speaks by
-// frames, and would take its silence for that of an instance that never does.
+// Responses every few milliseconds carry all updates. Without frames as well, a
+// later silence of this dispatcher would not be detected.
 #[test]
 fn busy_dispatcher_still_sends_frames() {
     let mut second = Node::new("busy", "entry-2", "sofia-b", &pair());
@@ -191,8 +187,8 @@
     assert_eq!(frames, 8, "in four seconds");
 }
 
-// This process was paused. On waking, all others look silent, since what they
-// said is still unread; passing them over would make it dispatch for everybody.
+// After a pause of this process all peers look silent, since their updates are
+// still unread. Ejecting them would make it dispatch for every group.
 #[test]
 fn own_pause_ejects_no_dispatcher() {
     let snapshot = pair();
@@ -208,8 +204,7 @@
     first.hand_over(&["sofia-b"]);
 }
 
-// The dispatcher said that its queue is full. Handing more over would only bring
-// back the same answer a round trip later; the caller gets it at once.
+// A hand-over to a full queue would only delay the refusal by a round trip.
 #[test]
 fn no_hand_over_to_a_full_queue() {
     let snapshot = pair();
@@ -223,8 +218,8 @@
     first.hand_over(&["sofia-b"]);
 }
 
-// The dispatcher is replaced by a new start that has seen none of what was sent
-// to the old one. Comparing the counts would make it look full for ever.
+// A restarted dispatcher has received none of the requests sent before. Comparing
+// the counts of two starts would make it look full forever.
 #[test]
 fn restarted_dispatcher_does_not_look_full() {
     let snapshot = pair();
@@ -250,8 +245,8 @@
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// The probe of a frozen dispatcher is lost as well: it is told after 500 ms, not
-// left to its deadline. A request that may not be sent twice does not ask.
+// The probe of a dispatcher that is still frozen fails after 500 ms, not at its
+// deadline. A request that is not idempotent is not used as a probe.
 #[test]
 fn probe_of_a_frozen_dispatcher_is_reported_silent() {
     let snapshot = pair();
@@ -266,25 +261,24 @@
         first.now_ms,
     );
     assert!(advance(&mut first, 600));
-    assert!(!advance(&mut first, 1_000), "it is told once");
+    assert!(!advance(&mut first, 1_000), "reported silent twice");
     let plan = [zone("sofia-b")];
-    let order = DispatchRequest { idempotent: false, ..first.request(&plan) };
-    let decision = first.dispatch.place(&order, first.now_ms, &mut first.rng);
+    let request = DispatchRequest { idempotent: false, ..first.request(&plan) };
+    let decision = first.dispatch.place(&request, first.now_ms, &mut first.rng);
     assert!(matches!(decision, Decision::Serve(_)), "{decision:?}");
     first.hand_over(&["sofia-b"]);
     assert!(advance(&mut first, 600));
 }
 
-/// A backend server of three slots that refuses what does not fit.
+/// A backend server with three slots.
 #[derive(Default)]
 struct Backend {
-    /// When each request in progress is done, by instance.
+    /// Completion time, instance and slot of each request in progress.
     running: VecDeque<(Millis, usize, Slot)>,
 }
 
-// Two instances do not see each other and both dispatch for the same server.
-// Each counts only its own requests, so the server refuses some; the refusals
-// lower both limits, and no request runs that does not fit.
+// Two instances that do not know of each other dispatch for the same server. The
+// refusals of the server must lower both limits without leaving slots idle.
 #[test]
 fn refusals_limit_two_dispatchers_of_one_group() {
     let server = [server("s1", "sofia-a", 1)];
