--- a/crates/azuregate-core/src/steer/mod.rs
+++ b/crates/azuregate-core/src/steer/mod.rs
@@ -1,8 +1,8 @@
-//! Which availability zones a request may go to.
+//! Traffic steering: the availability zones that a request may be sent to.
 //!
-//! [`Steer`] is the border between the policy (shares, shifts, caps) and the
-//! choice of a backend server. The gateway asks it for a plan for each request,
-//! tries the zones in order, and says where the request went.
+//! [`Steer`] is the interface between the policy (shares, shifts, caps) and the
+//! selection of a backend server. The gateway obtains a plan for each request,
+//! places the request in one of its zones, and records which one.
 
 mod capped;
 mod overflow;
@@ -16,38 +16,38 @@
     topology::Topology,
 };
 
-/// The zones of one request, the one to prefer first.
+/// The zones of one request, in order of preference.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ZonePlan {
-    /// Zones that the policy and its cap allow. A request that none of them
-    /// takes is refused as not run.
+    /// Zones that the policy and its cap allow. A request that none of them can
+    /// take is refused without being run.
     pub zones: Vec<ZoneName>,
-    /// Whether there are no zones because the cap leaves no room: the zones that
-    /// take over have all that they may have so far.
+    /// Whether there are no zones because the cap is reached: the zones that take
+    /// over traffic may not receive more of it yet.
     pub cap_reached: bool,
 }
 
 /// Plans the requests of one service on one instance.
 pub trait Steer: Send {
-    /// Takes in the configuration in force.
+    /// Applies the configuration in force.
     fn set_snapshot(&mut self, snapshot: &Snapshot);
 
-    /// Plans one request. `epoch_ms` is time since the Unix epoch, `now_ms`
-    /// monotonic time.
+    /// Returns the plan of one request. `epoch_ms` is the time since the Unix
+    /// epoch, `now_ms` the monotonic time.
     fn plan(&mut self, epoch_ms: Millis, now_ms: Millis) -> ZonePlan;
 
-    /// Counts where a planned request went, or that it went nowhere. Each plan
-    /// is followed by one call.
+    /// Records the zone that a request was placed in, or `None` if it was refused.
+    /// Called once for each plan.
     fn record_placement(&mut self, plan: &ZonePlan, zone: Option<&ZoneName>, now_ms: Millis);
 }
-/// All availability zones, nearest to `from` first.
+/// Returns all availability zones, nearest to `from` first.
 pub fn nearest_zones(topology: &Topology, from: &ZoneName) -> Vec<ZoneName> {
     let mut zones: Vec<_> = topology.zones().cloned().collect();
     zones.sort_by_key(|zone| topology.distance(from, zone));
     zones
 }
 
-/// Steers by nearness alone, whatever the shares say.
+/// Steers to the nearest zones, regardless of the shares of the policy.
 #[derive(Clone, Debug)]
 pub struct NearestSteer {
     from: ZoneName,
@@ -55,7 +55,7 @@
 }
 
 impl NearestSteer {
-    /// Plans for an instance in `from`.
+    /// Creates the steering of an instance in zone `from`.
     pub fn new(from: &ZoneName) -> NearestSteer {
         NearestSteer { from: from.clone(), zones: Vec::new() }
     }
