--- a/crates/azuregate-core/src/steer/overflow.rs
+++ b/crates/azuregate-core/src/steer/overflow.rs
@@ -1,25 +1,25 @@
-//! Counts requests that went elsewhere because their own zone had no room.
+//! The budget of requests that overflow to another zone when theirs is full.
 
 use std::collections::VecDeque;
 
 use crate::time::Millis;
 
-/// How many parts a window is counted in.
+/// Number of buckets per window.
 const BUCKETS: u64 = 16;
 
-/// Requests of the last two windows.
+/// Request counts of the last two windows, and reservations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OverflowBudget {
     buckets: VecDeque<Bucket>,
     reserved: u64,
 }
 
-/// What may overflow in a window.
+/// The limit of overflowing requests in a window: the larger of both values.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OverflowLimit {
-    /// As a share of the requests.
+    /// Share of the requests in the window.
     pub(super) share: f64,
-    /// So many requests in any case.
+    /// Number of requests.
     pub(super) min_requests: f64,
 }
 
@@ -31,16 +31,15 @@
 }
 
 impl OverflowBudget {
-    /// Counts a planned request.
+    /// Records a planned request.
     pub(super) fn count(&mut self, window_ms: u64, now_ms: Millis) {
         self.current_bucket(window_ms, now_ms).requests += 1;
     }
 
-    /// Keeps room for one request to overflow, if `limit` of the requests in
-    /// the last window leaves any.
+    /// Reserves the overflow of one request; returns whether the limit allows it.
     ///
-    /// Room is kept from the plan on: requests that are planned together would
-    /// otherwise all take the same room.
+    /// The reservation is made when the request is planned, so that requests
+    /// planned concurrently do not share the same budget.
     pub(super) fn reserve(&mut self, limit: OverflowLimit, window_ms: u64, now_ms: Millis) -> bool {
         let last = |bucket: &&Bucket| now_ms.since(bucket.at_ms).0 < window_ms;
         let (requests, overflowed) = sums(self.buckets.iter().filter(last));
@@ -50,13 +49,14 @@
         fits
     }
 
-    /// Gives kept room back; `overflowed` says whether it was used.
+    /// Releases a reservation; `overflowed` tells whether it was used.
     pub(super) fn release(&mut self, overflowed: bool, window_ms: u64, now_ms: Millis) {
         self.reserved = self.reserved.saturating_sub(1);
         self.current_bucket(window_ms, now_ms).overflowed += u64::from(overflowed);
     }
 
-    /// The larger share of the last two windows that overflowed.
+    /// Returns the overflowed share of the last or the previous window, whichever
+    /// is larger.
     pub(super) fn share(&self, window_ms: u64, now_ms: Millis) -> f64 {
         let is_last = |bucket: &&Bucket| now_ms.since(bucket.at_ms).0 < window_ms;
         let last = sums(self.buckets.iter().filter(is_last));
