--- a/crates/azuregate-core/src/steer/capped.rs
+++ b/crates/azuregate-core/src/steer/capped.rs
@@ -1,14 +1,14 @@
 /*!
-Steers by the shares of the policy, and moves no faster than its cap.
+Steering by the shares of the policy, within its cap on movement.
 
-Each request is given to one zone by a quota: every zone is credited with its
-share of each request, and the zone with the largest credit takes it. Counts stay
-within a request of the shares, however low the rate; drawing lots would break
-the cap by chance alone.
+Requests are assigned to zones by smooth weighted round-robin: every zone is
+credited with its share of each request, and the zone with the largest credit is
+selected. Counts stay within one request of the shares at any rate, whereas random
+selection could exceed the cap by chance.
 
-A zone without an open backend server gives its share to the others, as a
-movement under the same cap. Until its turn to move, a request of that zone is
-refused as not run.
+The share of a zone without an available backend server moves to the other zones
+under the same cap. Requests of the share that has not moved yet are refused
+without being run.
 */
 
 use std::sync::Arc;
@@ -27,16 +27,16 @@
     topology::Topology,
 };
 
-/// The part of the cap that movements of shares may use.
+/// Fraction of the cap that movements of shares may use.
 const SHIFT_CAP_FRACTION: f64 = 0.95;
-/// The part of the cap that requests without room in their zone may always use.
+/// Fraction of the cap that overflowing requests may always use.
 const OVERFLOW_CAP_FRACTION: f64 = 1.0 - SHIFT_CAP_FRACTION;
-/// The part of the cap that overflowing requests may use while shares stand.
+/// Fraction of the cap that overflowing requests may use while no shares move.
 const STEADY_OVERFLOW_CAP_FRACTION: f64 = 0.5;
-/// Shares closer than this to their target have reached it.
+/// Tolerance for comparing shares.
 const SHARE_EPSILON: f64 = 1e-9;
 
-/// Plans the requests of one service on one instance, within the cap.
+/// Steers the requests of one service on one instance, within the policy's cap.
 #[derive(Clone, Debug)]
 pub struct CappedSteer {
     service: ServiceName,
@@ -50,23 +50,23 @@
     overflow: OverflowBudget,
 }
 
-/// A zone; kept in the order of preference of this instance.
+/// A zone, in this instance's order of preference.
 #[derive(Clone, Debug)]
 struct Zone {
     name: ZoneName,
     region: Option<RegionName>,
     /// Whether any backend server of the service is listed there.
     listed: bool,
-    /// Whether one of them takes new work.
+    /// Whether one of them is available.
     available: bool,
     share: f64,
-    /// The share that it is to have when nothing bounds the way there.
+    /// The share that it would have without the cap.
     target: f64,
     credit: f64,
 }
 
 impl CappedSteer {
-    /// Plans requests for `service` on `instance`, which is in zone `from`.
+    /// Creates the steering of `service` on `instance`, which is in zone `from`.
     pub fn new(service: &ServiceName, instance: &InstanceId, from: &ZoneName) -> CappedSteer {
         CappedSteer {
             service: service.clone(),
@@ -81,7 +81,8 @@
         }
     }
 
-    /// The share of this instance's requests that each zone gets now.
+    /// Returns the current share of each zone in this instance's requests, from 0
+    /// to 1.
     pub fn shares(&self) -> impl Iterator<Item = (&ZoneName, f64)> {
         self.zones.iter().map(|zone| (&zone.name, zone.share))
     }
@@ -97,8 +98,8 @@
                 continue;
             }
             let parts = [self.service.as_str(), self.instance.as_str(), name.as_str()];
-            // Instances that all started at the same credit would move their
-            // next request at the same time.
+            // The initial credit differs between instances; otherwise all would
+            // move their next request at the same time.
             let phase = hash::stable_hash(&parts) as f64 / u64::MAX as f64;
             self.zones.push(Zone {
                 name: name.clone(),
@@ -110,15 +111,17 @@
                 credit: phase - 0.5,
             });
         }
-        // Zones equally near are ordered differently on each instance, or all
-        // would fail over to the same one.
+        // The order of zones at the same distance differs between instances;
+        // otherwise all would fail over to the same one.
         self.zones.sort_by_key(|zone| {
             let spread = hash::stable_hash(&[self.instance.as_str(), zone.name.as_str()]);
             (topology.distance(&self.from, &zone.name), spread)
         });
     }
 
-    /// Where nearness alone sends requests: the home region while it is open.
+    /// Returns the zone that proximity routing selects: one in the nearest region
+    /// that lists servers, or, with `available_only`, any available zone if that
+    /// region has none.
     fn nearest(&self, available_only: bool) -> Option<usize> {
         let home = self.zones.iter().position(|zone| zone.listed)?;
         let region = &self.zones[home].region;
@@ -132,7 +135,7 @@
         }
     }
 
-    /// The shares that a table gives, as parts of 1.
+    /// Returns the shares of a policy's table, from 0 to 1, by zone.
     fn shares_of(&self, shares: &Shares, available_only: bool) -> Vec<f64> {
         if shares.is_empty() {
             let nearest = self.nearest(available_only);
@@ -145,7 +148,8 @@
         self.zones.iter().map(share).collect()
     }
 
-    /// The shares that the policy wants, failed zones included.
+    /// Returns the shares that the policy asks for, including those of failed
+    /// zones.
     fn target_shares(
         &mut self,
         policy: &Policy,
@@ -160,7 +164,7 @@
         if let Some((last_shift, last)) = &self.last_progress
             && last_shift == shift
         {
-            // A clock that jumps back does not send traffic back.
+            // A clock that jumps back must not move traffic back.
             progress = progress.max(*last);
         }
         self.last_progress = Some((shift.clone(), progress));
@@ -170,7 +174,7 @@
         from.iter().zip(&to).map(|(a, b)| a + (b - a) * progress).collect()
     }
 
-    /// Gives the shares of zones without an open server to the others.
+    /// Distributes the shares of unavailable zones among the available ones.
     fn fail_over(&self, targets: &mut [f64]) {
         let available = |(zone, share): (&Zone, &f64)| if zone.available { *share } else { 0.0 };
         let available_share: f64 = self.zones.iter().zip(&*targets).map(available).sum();
@@ -182,7 +186,8 @@
         }
     }
 
-    /// While nearness decides, requests move freely within a region.
+    /// Moves the shares of each region to its first available zone. With proximity
+    /// routing, movement within a region is not capped.
     fn consolidate_regions(&mut self) {
         for index in 0..self.zones.len() {
             let region = self.zones[index].region.clone();
@@ -195,13 +200,14 @@
         }
     }
 
-    /// Moves the shares towards what is wanted; returns what may overflow.
+    /// Moves the shares towards their targets as far as the cap allows; returns
+    /// the limit of overflowing requests.
     fn advance(&mut self, policy: &Policy, epoch_ms: Millis, now_ms: Millis) -> OverflowLimit {
         let cap = cap_of(policy);
         let cap_share = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
         if !self.initialized {
-            // An instance that starts is where the row says, never at the goal;
-            // what has failed moves from there.
+            // A starting instance takes its shares from the policy alone; those
+            // of failed zones move from there, within the cap.
             let shares = self.target_shares(policy, epoch_ms, false);
             self.set_shares(&shares);
             self.initialized = shares.iter().any(|&share| share > SHARE_EPSILON);
@@ -225,7 +231,7 @@
             let used = self.limiter.used();
             let left = (cap_share * SHIFT_CAP_FRACTION - used)
                 .min(cap_share * STEADY_OVERFLOW_CAP_FRACTION);
-            // At low rates no request ever could, if not one in a window.
+            // At low rates a share would never amount to a whole request.
             return OverflowLimit {
                 share: left.max(cap_share * OVERFLOW_CAP_FRACTION),
                 min_requests: 1.0,
@@ -243,8 +249,8 @@
             self.set_shares(&shares);
             self.limiter.spend(scale_cap(cap, SHIFT_CAP_FRACTION), moved);
         }
-        // One request of few is a larger share than this; the movement would have
-        // to wait for it.
+        // No minimum here: at low rates one request is a larger share than this,
+        // and would delay the movement.
         OverflowLimit { share: cap_share * OVERFLOW_CAP_FRACTION, min_requests: 0.0 }
     }
 
@@ -254,14 +260,14 @@
         }
     }
 
-    /// The share of requests that separates the shares from `wanted`.
+    /// Returns the share of requests that has yet to move to reach `targets`.
     fn remaining_movement(&self, targets: &[f64]) -> f64 {
         let gains =
             self.zones.iter().zip(targets).map(|(zone, target)| (target - zone.share).max(0.0));
         gains.sum()
     }
 
-    /// The zone whose turn it is.
+    /// Returns the zone with the largest credit, and charges it for a request.
     fn next_zone(&mut self) -> Option<usize> {
         for zone in &mut self.zones {
             zone.credit += zone.share;
@@ -274,8 +280,8 @@
         Some(next)
     }
 
-    /// Open zones in the order of nearness to this instance, those of `first`'s
-    /// region before the others.
+    /// Returns the available zones other than `first` in order of proximity, those
+    /// in the region of `first` before the others.
     fn available_zones(&self, first: usize, by_proximity: bool) -> Vec<ZoneName> {
         let region = &self.zones[first].region;
         let mut others: Vec<_> = (0..self.zones.len())
@@ -343,8 +349,8 @@
     policy.shift.is_none() && policy.zone_share_ppm.is_empty()
 }
 
-/// Whether a shift starts within two windows, or runs. What overflowed then would
-/// be taken off what may move.
+/// Returns whether a shift is running or starts within two windows. Requests that
+/// overflow in this time reduce the budget of the shift.
 fn shift_is_due(policy: &Policy, epoch_ms: Millis) -> bool {
     policy.shift.as_ref().is_some_and(|shift| {
         let soon = epoch_ms + Millis(2 * shift.cap.window_ms);
