--- a/crates/azuregate-core/src/shift.rs
+++ b/crates/azuregate-core/src/shift.rs
@@ -1,9 +1,10 @@
 /*!
-How far a shift has come, and what bounds the movement of one instance.
+The progress of traffic shifts, and the limit on what one instance moves.
 
-The position of a shift follows from its row and the time alone, so an instance
-that starts in the middle starts where the others are. [`MovementLimiter`] bounds what
-one instance moves, whatever becomes of rows, clocks and backend servers.
+The progress of a shift is a function of its row and the time alone, so an
+instance that starts during a shift agrees with the others. [`MovementLimiter`]
+bounds what one instance moves, even if rows arrive late, clocks jump or backend
+servers fail.
 */
 
 use std::collections::VecDeque;
@@ -13,22 +14,22 @@
     time::Millis,
 };
 
-/// What a shift uses of its cap, in parts per million.
+/// The fraction of its cap that a shift uses, in parts per million.
 ///
-/// The rest is room for the difference between the instances' clocks, up to one
-/// sixtieth of the window, and for requests that overflow.
+/// The rest allows for clock differences between instances of up to 1/60 of the
+/// window, and for overflowing requests.
 pub const RAMP_CAP_USE_PPM: u64 = 920_000;
 
-/// How many parts a window is counted in. What is counted reaches back over one
-/// part and one gap between requests more than the window; with few parts the
-/// ramp itself would meet the bound.
+/// Number of buckets per window. Counts cover the window plus one bucket and one
+/// gap between requests, so with few buckets the ramp itself would reach the cap.
 const BUCKETS: u64 = 64;
 
 impl Shift {
-    /// The share of traffic that the whole shift moves, in parts per million.
+    /// Returns the share of traffic that the whole shift moves, in parts per
+    /// million.
     ///
-    /// What nearness gives differs between instances, so a shift from or to it
-    /// is taken to move everything.
+    /// The shares of proximity routing differ between instances, so a shift from
+    /// or to it is assumed to move all traffic.
     pub fn distance_ppm(&self) -> u64 {
         let (from, to) = (&self.from_share_ppm, &self.to_share_ppm);
         if from.is_empty() || to.is_empty() {
@@ -38,7 +39,7 @@
         gained.map(u64::from).sum()
     }
 
-    /// When it ends, in milliseconds since the Unix epoch.
+    /// Returns the end time, in milliseconds since the Unix epoch.
     pub fn end_at_ms(&self) -> Millis {
         let span = u128::from(self.distance_ppm()) * u128::from(self.cap.window_ms);
         let rate = u128::from(self.cap.share_ppm) * u128::from(RAMP_CAP_USE_PPM);
@@ -46,7 +47,7 @@
         self.start_at_ms + Millis(u64::try_from(span_ms).unwrap_or(u64::MAX))
     }
 
-    /// How much of its way it has come at `epoch_ms`, in parts per million.
+    /// Returns the progress at `epoch_ms`, in parts per million.
     pub fn progress_ppm(&self, epoch_ms: Millis) -> u32 {
         let whole_ms = self.end_at_ms().since(self.start_at_ms).0.max(1);
         let done_ms = epoch_ms.since(self.start_at_ms).0.min(whole_ms);
@@ -54,7 +55,8 @@
         u32::try_from(progress).unwrap_or(WHOLE_PPM)
     }
 
-    /// The shares at `epoch_ms`, or `None` when one end is nearness.
+    /// Returns the shares at `epoch_ms`, or `None` for a shift from or to
+    /// proximity routing.
     pub fn shares_at(&self, epoch_ms: Millis) -> Option<Shares> {
         let (from, to) = (&self.from_share_ppm, &self.to_share_ppm);
         if from.is_empty() || to.is_empty() {
@@ -68,7 +70,7 @@
         let zones = from.keys().chain(to.keys());
         let mut shares: Shares =
             zones.map(|zone| (zone.clone(), blend(share(from, zone), share(to, zone)))).collect();
-        // Each zone is rounded by itself; the largest takes what is left over.
+        // Each zone is rounded on its own; the largest absorbs the difference.
         let sum: i64 = shares.values().map(|&ppm| i64::from(ppm)).sum();
         if let Some(largest) = shares.values_mut().max() {
             let whole = i64::from(*largest) + i64::from(WHOLE_PPM) - sum;
@@ -83,13 +85,12 @@
     shares.get(zone).copied().unwrap_or(0)
 }
 
-/// Bounds what one instance moves in any window.
+/// A sliding-window limit on the share of traffic that one instance moves.
 ///
-/// Clocks that jump, rows that arrive late and backend servers that die all move
-/// the place where an instance ought to be. It goes there no faster than the cap
-/// allows: the movements of the last window are added up and never exceed it.
-/// If each instance keeps this bound, so does the whole, which is the mean of
-/// its instances weighted by their traffic.
+/// Clock jumps, late rows and failed backend servers change the target shares at
+/// once. The shares follow no faster than the cap allows: the movements of the last
+/// window never add up to more. The deployment as a whole is the traffic-weighted
+/// mean of its instances, so it keeps the cap if each instance does.
 #[derive(Clone, Debug, Default)]
 pub struct MovementLimiter {
     buckets: VecDeque<Bucket>,
@@ -97,29 +98,30 @@
     previous_request_at_ms: Millis,
 }
 
-/// Movements of one part of a window.
+/// Movements in one bucket of the window.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    /// When a request last saw the shares from before the first of them.
+    /// Time of the last request that saw the shares before these movements.
     started_at_ms: Millis,
     share: f64,
 }
 
 impl MovementLimiter {
-    /// Starts to count at `now_ms` of monotonic time.
+    /// Starts counting at `now_ms` of monotonic time.
     pub fn start(&mut self, now_ms: Millis) {
         self.last_request_at_ms = now_ms;
     }
 
-    /// What the last window has seen moved, as of the last budget.
+    /// Returns the share moved in the last window, as of the last call of
+    /// [`MovementLimiter::budget`].
     pub fn used(&self) -> f64 {
         self.buckets.iter().map(|bucket| bucket.share).sum()
     }
 
-    /// What may move at `now_ms` of monotonic time, as a share of the whole.
+    /// Returns the share that may move at `now_ms` of monotonic time, from 0 to 1.
     ///
-    /// An instance that had nothing to do for more than a window gets what it
-    /// might have used meanwhile: no request of its own fell into that time.
+    /// An instance without requests for more than a window receives the budget of
+    /// the whole idle time, in which none of its requests could see a movement.
     pub fn budget(&mut self, cap: Cap, now_ms: Millis) -> f64 {
         let cap_share = f64::from(cap.share_ppm) / f64::from(WHOLE_PPM);
         self.previous_request_at_ms = std::mem::replace(&mut self.last_request_at_ms, now_ms);
@@ -139,10 +141,10 @@
         (cap_share - self.used()).max(0.0)
     }
 
-    /// Notes that `share` was moved out of the last budget.
+    /// Records that `share` of the last budget was moved.
     pub fn spend(&mut self, cap: Cap, share: f64) {
-        // What moves between two requests counts from the first of them: it was
-        // the last to see the shares from before.
+        // Movement between two requests counts from the first of them, the last
+        // request to see the previous shares.
         let started_at_ms = self.previous_request_at_ms;
         if self.last_request_at_ms.since(started_at_ms).0 > cap.window_ms {
             return;
