--- a/crates/azuregate-core/tests/shift.rs
+++ b/crates/azuregate-core/tests/shift.rs
@@ -41,8 +41,8 @@
     }
 }
 
-/// Three regions of one zone and one backend server each; `dead` zones leave.
-fn snapshot(policy: &Policy, dead: &[&str]) -> Snapshot {
+/// Three regions of one zone and one backend server each; `down` zones leave.
+fn snapshot(policy: &Policy, down: &[&str]) -> Snapshot {
     let region = |zone: &&str| Region {
         name: RegionName::new(&format!("region-{zone}")),
         zones: vec![ZoneName::new(zone)],
@@ -60,7 +60,7 @@
         addr: "127.0.0.1:1".parse().unwrap(),
         start: StartNumber(1),
         slots: 3,
-        liveness: if dead.contains(zone) { Liveness::Leaving } else { Liveness::Live },
+        liveness: if down.contains(zone) { Liveness::Leaving } else { Liveness::Live },
     });
     let list = InstanceList { instances: Vec::new(), backends: backends.collect() };
     let mut snapshot = Snapshot::empty(Arc::new(topology));
@@ -87,11 +87,11 @@
 }
 
 /// The largest movement between any two steps of one window.
-fn largest_move(whole: &[Option<[f64; 3]>]) -> f64 {
+fn largest_movement(totals: &[Option<[f64; 3]>]) -> f64 {
     let steps = (WINDOW_MS / STEP_MS) as usize;
     let mut largest = 0.0_f64;
-    for (index, from) in whole.iter().enumerate() {
-        let window = &whole[index..(index + steps + 1).min(whole.len())];
+    for (index, from) in totals.iter().enumerate() {
+        let window = &totals[index..(index + steps + 1).min(totals.len())];
         for to in window.iter().flatten() {
             largest = largest.max(from.map_or(0.0, |from| moved(from, *to)));
         }
@@ -99,96 +99,97 @@
     largest
 }
 
-/// A world of instances whose traffic moves between them at random.
+/// A scenario of instances whose traffic moves between them at random.
 #[derive(Clone, Debug)]
-struct World {
+struct Scenario {
     instances: usize,
     cap_ppm: u32,
-    goal: [u32; 3],
+    target: [u32; 3],
     seed: u64,
     /// How many requests each instance gets in a step at the most.
-    rate: u64,
+    max_requests: u64,
     /// Requests for an instance come in one step of so many.
-    sparse: u64,
+    request_interval_steps: u64,
     /// The delay of the shift after its commit.
     delay_ms: u64,
 }
 
-fn worlds(
-    rate: std::ops::Range<u64>,
-    sparse: std::ops::Range<u64>,
-) -> impl Strategy<Value = World> {
-    let goals = prop::sample::select(vec![
+fn scenarios(
+    max_requests: std::ops::Range<u64>,
+    request_interval_steps: std::ops::Range<u64>,
+) -> impl Strategy<Value = Scenario> {
+    let targets = prop::sample::select(vec![
         [0, WHOLE_PPM, 0],
         [500_000, 250_000, 250_000],
         [100_000, 0, 900_000],
     ]);
-    (1..10_usize, 20_000..300_000_u32, goals, any::<u64>(), rate, sparse).prop_map(
-        |(instances, cap_ppm, goal, seed, rate, sparse)| World {
-            instances,
-            cap_ppm,
-            goal,
-            seed,
-            rate,
-            sparse,
-            delay_ms: DELAY_MS,
-        },
-    )
+    (1..10_usize, 20_000..300_000_u32, targets, any::<u64>(), max_requests, request_interval_steps)
+        .prop_map(|(instances, cap_ppm, target, seed, max_requests, request_interval_steps)| {
+            Scenario {
+                instances,
+                cap_ppm,
+                target,
+                seed,
+                max_requests,
+                request_interval_steps,
+                delay_ms: DELAY_MS,
+            }
+        })
 }
 
 /// What the whole's requests saw.
-struct Seen {
+struct Observed {
     /// The whole's share for each step, or `None` when no request came.
-    whole: Vec<Option<[f64; 3]>>,
+    totals: Vec<Option<[f64; 3]>>,
     /// How far counted requests were from the shares, at the worst.
-    off_by: f64,
+    max_deviation: f64,
 }
 
 /// Runs a shift: each instance hears of it after a time of its own, its clock is
 /// off by up to a sixty-fourth of the window, some start anew.
-fn run(world: &World) -> Seen {
-    let mut rng = fastrand::Rng::with_seed(world.seed);
-    let mut before = policy([WHOLE_PPM, 0, 0], world.cap_ppm);
-    before.shift_delay_ms = world.delay_ms;
-    let after = before.start_shift(&shares(world.goal), None, Millis(COMMIT_MS)).unwrap();
+fn run(scenario: &Scenario) -> Observed {
+    let mut rng = fastrand::Rng::with_seed(scenario.seed);
+    let mut before = policy([WHOLE_PPM, 0, 0], scenario.cap_ppm);
+    before.shift_delay_ms = scenario.delay_ms;
+    let after = before.start_shift(&shares(scenario.target), None, Millis(COMMIT_MS)).unwrap();
     let (before, after) = (snapshot(&before, &[]), snapshot(&after, &[]));
-    let mut steers: Vec<_> = (0..world.instances).map(|i| start(i, &before)).collect();
-    let heard_ms: Vec<_> = steers.iter().map(|_| COMMIT_MS + rng.u64(..DELAY_MS)).collect();
-    let skew_ms: Vec<_> = steers.iter().map(|_| rng.u64(..WINDOW_MS / 32)).collect();
-    let mut has_heard = vec![false; world.instances];
-    let mut seen = Seen { whole: Vec::new(), off_by: 0.0 };
-    let mut off = vec![[0.0; 3]; world.instances];
+    let mut steerings: Vec<_> = (0..scenario.instances).map(|i| start(i, &before)).collect();
+    let applied_at_ms: Vec<_> = steerings.iter().map(|_| COMMIT_MS + rng.u64(..DELAY_MS)).collect();
+    let skew_ms: Vec<_> = steerings.iter().map(|_| rng.u64(..WINDOW_MS / 32)).collect();
+    let mut has_applied = vec![false; scenario.instances];
+    let mut seen = Observed { totals: Vec::new(), max_deviation: 0.0 };
+    let mut deviation = vec![[0.0; 3]; scenario.instances];
     for step in 0..STEPS {
         let now_ms = COMMIT_MS + step * STEP_MS;
         let (mut sum, mut requests) = ([0.0; 3], 0);
-        for index in 0..world.instances {
-            if !has_heard[index] && heard_ms[index] <= now_ms {
-                steers[index].set_snapshot(&after);
-                has_heard[index] = true;
+        for index in 0..scenario.instances {
+            if !has_applied[index] && applied_at_ms[index] <= now_ms {
+                steerings[index].set_snapshot(&after);
+                has_applied[index] = true;
             }
-            if has_heard[index] && rng.u64(..200) == 0 {
-                steers[index] = start(index, &after);
-                off[index] = [0.0; 3];
+            if has_applied[index] && rng.u64(..200) == 0 {
+                steerings[index] = start(index, &after);
+                deviation[index] = [0.0; 3];
             }
-            if rng.u64(..world.sparse) > 0 {
+            if rng.u64(..scenario.request_interval_steps) > 0 {
                 continue;
             }
-            for _ in 0..rng.u64(..=world.rate) {
+            for _ in 0..rng.u64(..=scenario.max_requests) {
                 let epoch_ms = Millis(now_ms + skew_ms[index]);
-                let plan = steers[index].plan(epoch_ms, Millis(now_ms));
-                let now = shares_now(&steers[index]);
-                for (zone, off) in off[index].iter_mut().enumerate() {
+                let plan = steerings[index].plan(epoch_ms, Millis(now_ms));
+                let now = shares_now(&steerings[index]);
+                for (zone, deviation) in deviation[index].iter_mut().enumerate() {
                     sum[zone] += now[zone];
-                    *off += now[zone] - f64::from(plan.zones[0].as_str() == ZONES[zone]);
-                    seen.off_by = seen.off_by.max(off.abs());
+                    *deviation += now[zone] - f64::from(plan.zones[0].as_str() == ZONES[zone]);
+                    seen.max_deviation = seen.max_deviation.max(deviation.abs());
                 }
                 let placed = plan.zones[0].clone();
-                steers[index].record_placement(&plan, Some(&placed), Millis(now_ms));
+                steerings[index].record_placement(&plan, Some(&placed), Millis(now_ms));
                 requests += 1;
             }
         }
-        let whole = (requests > 0).then(|| sum.map(|sum| sum / f64::from(requests)));
-        seen.whole.push(whole);
+        let total = (requests > 0).then(|| sum.map(|sum| sum / f64::from(requests)));
+        seen.totals.push(total);
     }
     seen
 }
@@ -209,10 +210,10 @@
     // Callers go from instance to instance while a shift runs. If instances
     // stood at different places, the whole would jump with them.
     #[test]
-    fn the_whole_never_moves_more_than_the_cap(world in worlds(1..5, 1..3)) {
-        let seen = run(&world);
-        let cap = f64::from(world.cap_ppm) / f64::from(WHOLE_PPM);
-        let largest = largest_move(&seen.whole);
+    fn total_movement_stays_within_the_cap(scenario in scenarios(1..5, 1..3)) {
+        let seen = run(&scenario);
+        let cap = f64::from(scenario.cap_ppm) / f64::from(WHOLE_PPM);
+        let largest = largest_movement(&seen.totals);
         prop_assert!(largest <= cap * 1.000_001, "{largest} moved, the cap is {cap}");
     }
 }
@@ -223,11 +224,11 @@
     // A request every few seconds: whoever draws lots moves several requests in
     // a row by chance. Counted requests stay within two of their share.
     #[test]
-    fn counts_follow_the_shares_at_any_rate(world in worlds(1..2, 1..80)) {
-        let seen = run(&world);
-        prop_assert!(seen.off_by < 2.0, "off by {}", seen.off_by);
-        let cap = f64::from(world.cap_ppm) / f64::from(WHOLE_PPM);
-        let largest = largest_move(&seen.whole);
+    fn request_counts_follow_the_shares_at_low_rates(scenario in scenarios(1..2, 1..80)) {
+        let seen = run(&scenario);
+        prop_assert!(seen.max_deviation < 2.0, "off by {}", seen.max_deviation);
+        let cap = f64::from(scenario.cap_ppm) / f64::from(WHOLE_PPM);
+        let largest = largest_movement(&seen.totals);
         prop_assert!(largest <= cap * 1.000_001, "{largest} moved, the cap is {cap}");
     }
 }
@@ -236,61 +237,61 @@
     #![proptest_config(config("unhindered"))]
 
     #[test]
-    fn an_unhindered_shift_uses_nine_tenths_of_the_cap(
+    fn shift_without_faults_uses_nine_tenths_of_the_cap(
         instances in 1..10_usize,
         cap_ppm in 50_000..300_000_u32,
     ) {
-        let goal = [0, WHOLE_PPM, 0];
-        let world = World {
-            instances, cap_ppm, goal, seed: 1, rate: 3, sparse: 1, delay_ms: DELAY_MS,
+        let target = [0, WHOLE_PPM, 0];
+        let scenario = Scenario {
+            instances, cap_ppm, target, seed: 1, max_requests: 3, request_interval_steps: 1, delay_ms: DELAY_MS,
         };
         let cap = f64::from(cap_ppm) / f64::from(WHOLE_PPM);
-        let largest = largest_move(&run(&world).whole);
+        let largest = largest_movement(&run(&scenario).totals);
         prop_assert!(largest >= 0.9 * cap, "{largest} moved, the cap is {cap}");
     }
 }
 
 /// What happens to the clock or the servers of one instance.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     /// Its wall clock jumps by so much.
-    Jump(i64),
+    ClockJump(i64),
     /// It gets nothing to do for so long.
     Idle(u64),
     /// The servers of a zone go, and come back so much later.
-    Dies(&'static str, u64),
+    ZoneDown(&'static str, u64),
 }
 
-fn troubles() -> impl Strategy<Value = Trouble> {
+fn faults() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        prop::sample::select(vec![-60_000, -500, 500, 60_000]).prop_map(Trouble::Jump),
-        (1..5_000_u64).prop_map(Trouble::Idle),
+        prop::sample::select(vec![-60_000, -500, 500, 60_000]).prop_map(Fault::ClockJump),
+        (1..5_000_u64).prop_map(Fault::Idle),
         (prop::sample::select(ZONES.to_vec()), 0..5_000_u64)
-            .prop_map(|(zone, ms)| Trouble::Dies(zone, ms)),
+            .prop_map(|(zone, ms)| Fault::ZoneDown(zone, ms)),
     ]
 }
 
-/// The shares of one instance to which trouble comes in the middle of a shift.
-fn run_troubled(trouble: Trouble, at_ms: u64, cap_ppm: u32) -> Vec<Option<[f64; 3]>> {
+/// The shares of one instance to which fault comes in the middle of a shift.
+fn run_with_fault(fault: Fault, at_ms: u64, cap_ppm: u32) -> Vec<Option<[f64; 3]>> {
     let before = policy([400_000, 300_000, 300_000], cap_ppm);
-    let goal = shares([0, 500_000, 500_000]);
-    let after = before.start_shift(&goal, None, Millis(COMMIT_MS)).unwrap();
+    let target = shares([0, 500_000, 500_000]);
+    let after = before.start_shift(&target, None, Millis(COMMIT_MS)).unwrap();
     let mut steer = start(0, &snapshot(&after, &[]));
     let mut seen = Vec::new();
     for step in 0..STEPS {
         let now_ms = COMMIT_MS + step * STEP_MS;
         let since_ms = now_ms.saturating_sub(at_ms);
         let mut epoch_ms = now_ms;
-        match trouble {
-            Trouble::Jump(by) if now_ms >= at_ms => epoch_ms = now_ms.saturating_add_signed(by),
-            Trouble::Idle(ms) if now_ms >= at_ms && since_ms < ms => {
+        match fault {
+            Fault::ClockJump(by) if now_ms >= at_ms => epoch_ms = now_ms.saturating_add_signed(by),
+            Fault::Idle(ms) if now_ms >= at_ms && since_ms < ms => {
                 seen.push(None);
                 continue;
             }
-            Trouble::Dies(zone, ms) if now_ms >= at_ms => {
-                let dead = [zone];
-                let dead = if since_ms < ms { &dead[..] } else { &[] };
-                steer.set_snapshot(&snapshot(&after, dead));
+            Fault::ZoneDown(zone, ms) if now_ms >= at_ms => {
+                let down = [zone];
+                let down = if since_ms < ms { &down[..] } else { &[] };
+                steer.set_snapshot(&snapshot(&after, down));
             }
             _ => {}
         }
@@ -307,11 +308,11 @@
     // A clock that jumps, a pause and a dying zone each put the place where the
     // instance ought to be far away at once. It goes there within the cap.
     #[test]
-    fn one_instance_never_moves_more_than_the_cap(
-        trouble in troubles(), at_ms in COMMIT_MS..COMMIT_MS + 10_000, cap_ppm in 20_000..300_000_u32,
+    fn instance_movement_stays_within_the_cap_despite_faults(
+        fault in faults(), at_ms in COMMIT_MS..COMMIT_MS + 10_000, cap_ppm in 20_000..300_000_u32,
     ) {
         let cap = f64::from(cap_ppm) / f64::from(WHOLE_PPM);
-        let largest = largest_move(&run_troubled(trouble, at_ms, cap_ppm));
+        let largest = largest_movement(&run_with_fault(fault, at_ms, cap_ppm));
         prop_assert!(largest <= cap * 1.000_001, "{largest} moved, the cap is {cap}");
     }
 }
@@ -319,8 +320,8 @@
 // The wall clock jumps back by half a second in the middle of a shift. What has
 // moved stays; the shift goes on when the clock is where it was.
 #[test]
-fn a_clock_that_jumps_back_sends_no_traffic_back() {
-    let seen = run_troubled(Trouble::Jump(-500), COMMIT_MS + DELAY_MS + 1_500, 100_000);
+fn backward_clock_jump_moves_no_traffic_back() {
+    let seen = run_with_fault(Fault::ClockJump(-500), COMMIT_MS + DELAY_MS + 1_500, 100_000);
     let share_of_a: Vec<f64> = seen.iter().flatten().map(|shares| shares[0]).collect();
     assert!(share_of_a.is_sorted_by(|a, b| a >= b));
     assert!(share_of_a.last().is_some_and(|&share| share < 1e-6));
@@ -329,7 +330,7 @@
 // A zone dies. Its share goes to the others at the pace of the cap; requests of
 // the rest are refused as not run, and those that overflow use the cap as well.
 #[test]
-fn failing_over_is_a_capped_shift() {
+fn failover_stays_within_the_cap() {
     let policy = policy([500_000, 500_000, 0], 100_000);
     let mut steer = start(0, &snapshot(&policy, &[]));
     let mut refused = Vec::new();
@@ -355,7 +356,7 @@
 // Nearness decides, and the home region dies: traffic goes to another region at
 // the pace of the cap, for the other region's caches are as cold.
 #[test]
-fn nearness_fails_over_to_another_region_within_the_cap() {
+fn proximity_routing_fails_over_within_the_cap() {
     let policy = policy([0, 0, 0], 100_000);
     let mut steer = start(0, &snapshot(&policy, &[]));
     let mut seen = Vec::new();
@@ -370,7 +371,7 @@
         steer.record_placement(&plan, plan.zones.first(), now_ms);
         seen.push(Some(shares_now(&steer)));
     }
-    let largest = largest_move(&seen);
+    let largest = largest_movement(&seen);
     assert!((0.09..=0.1).contains(&largest), "{largest}");
     assert!(shares_now(&steer)[0] < 1e-6, "the other regions have all of it at last");
 }
@@ -400,25 +401,25 @@
 }
 
 #[test]
-fn changes_that_are_not_allowed() {
+fn invalid_changes_are_rejected() {
     use ChangeErrorKind as E;
 
     let now = Millis(COMMIT_MS);
     let base = policy([400_000, 600_000, 0], 100_000);
-    let goal = shares([0, WHOLE_PPM, 0]);
-    let running = base.start_shift(&goal, None, now).unwrap();
+    let target = shares([0, WHOLE_PPM, 0]);
+    let running = base.start_shift(&target, None, now).unwrap();
     let drained = base.drain(&BackendId::new("x")).unwrap();
     let bad_cap = Some(Cap { share_ppm: 0, window_ms: 1 });
     let bad_window = Some(Cap { share_ppm: 1, window_ms: 0 });
     let short = shares([1, 2, 3]);
-    let jump = Policy { zone_share_ppm: goal.clone(), ..base.clone() };
+    let jump = Policy { zone_share_ppm: target.clone(), ..base.clone() };
     let no_timeout = Policy { timeout_ms: 0, ..base.clone() };
     let cases = [
         ("sum", base.start_shift(&short, None, now), E::BadShares),
-        ("cap", base.start_shift(&goal, bad_cap, now), E::BadCap),
-        ("window", base.start_shift(&goal, bad_window, now), E::BadCap),
+        ("cap", base.start_shift(&target, bad_cap, now), E::BadCap),
+        ("window", base.start_shift(&target, bad_window, now), E::BadCap),
         ("same", base.start_shift(&base.zone_share_ppm, None, now), E::SameShares),
-        ("two shifts", running.start_shift(&short_of(&base), None, now), E::ShiftRunning),
+        ("two shifts", running.start_shift(&shares_of(&base), None, now), E::ShiftRunning),
         ("stop", base.stop_shift(now), E::NoShift),
         ("drain twice", drained.drain(&BackendId::new("x")), E::Drained),
         ("undrain", base.undrain(&BackendId::new("x")), E::NotDrained),
@@ -431,15 +432,15 @@
     }
 }
 
-fn short_of(policy: &Policy) -> Shares {
+fn shares_of(policy: &Policy) -> Shares {
     policy.zone_share_ppm.clone()
 }
 
 #[test]
-fn a_shift_through_its_life() {
+fn shift_lifecycle() {
     let base = policy([400_000, 600_000, 0], 100_000);
-    let goal = shares([0, WHOLE_PPM, 0]);
-    let running = base.start_shift(&goal, None, Millis(COMMIT_MS)).unwrap();
+    let target = shares([0, WHOLE_PPM, 0]);
+    let running = base.start_shift(&target, None, Millis(COMMIT_MS)).unwrap();
     let shift = running.shift.clone().unwrap();
     assert_eq!(running.version, base.version + 1);
     assert_eq!(shift.start_at_ms, Millis(COMMIT_MS + DELAY_MS));
@@ -448,10 +449,10 @@
     let at = |ms| shift.shares_at(Millis(COMMIT_MS + ms)).unwrap();
     assert_eq!(at(0), base.zone_share_ppm);
     assert_eq!(at(DELAY_MS + 2_174), shares([200_000, 800_000, 0]));
-    assert_eq!(at(DELAY_MS + 60_000), goal);
+    assert_eq!(at(DELAY_MS + 60_000), target);
 
     let stopped = running.stop_shift(Millis(COMMIT_MS + DELAY_MS + 2_174)).unwrap();
     assert_eq!((stopped.zone_share_ppm, stopped.shift), (shares([200_000, 800_000, 0]), None));
     let ended = running.settled(Millis(COMMIT_MS + 60_000));
-    assert_eq!((ended.zone_share_ppm, ended.shift), (goal, None));
+    assert_eq!((ended.zone_share_ppm, ended.shift), (target, None));
 }
