--- a/crates/azuregate-core/tests/shift.rs
+++ b/crates/azuregate-core/tests/shift.rs
@@ -1,4 +1,4 @@
-//! Shifts never move more than their cap, whatever moves besides.
+//! Tests that traffic shifts, failover and overflow stay within the cap.
 
 #![allow(missing_docs, clippy::unwrap_used, reason = "tests")]
 
@@ -41,7 +41,8 @@
     }
 }
 
-/// Three regions of one zone and one backend server each; `down` zones leave.
+/// Returns three regions with one zone and one backend server each; the servers of
+/// `down` zones are leaving.
 fn snapshot(policy: &Policy, down: &[&str]) -> Snapshot {
     let region = |zone: &&str| Region {
         name: RegionName::new(&format!("region-{zone}")),
@@ -81,12 +82,12 @@
     ZONES.map(|zone| by_zone[&ZoneName::new(zone)])
 }
 
-/// The share that moved between two tables.
+/// Returns the share that moved between two tables.
 fn moved(from: [f64; 3], to: [f64; 3]) -> f64 {
     from.iter().zip(to).map(|(a, b)| (b - a).max(0.0)).sum()
 }
 
-/// The largest movement between any two steps of one window.
+/// Returns the largest movement between any two steps of one window.
 fn largest_movement(totals: &[Option<[f64; 3]>]) -> f64 {
     let steps = (WINDOW_MS / STEP_MS) as usize;
     let mut largest = 0.0_f64;
@@ -99,18 +100,18 @@
     largest
 }
 
-/// A scenario of instances whose traffic moves between them at random.
+/// A deployment whose traffic changes randomly between instances.
 #[derive(Clone, Debug)]
 struct Scenario {
     instances: usize,
     cap_ppm: u32,
     target: [u32; 3],
     seed: u64,
-    /// How many requests each instance gets in a step at the most.
+    /// Maximum number of requests per step and instance.
     max_requests: u64,
-    /// Requests for an instance come in one step of so many.
+    /// Mean number of steps between those with requests for an instance.
     request_interval_steps: u64,
-    /// The delay of the shift after its commit.
+    /// Delay between the commit and the start of the shift.
     delay_ms: u64,
 }
 
@@ -137,16 +138,16 @@
         })
 }
 
-/// What the whole's requests saw.
+/// The shares that requests observed.
 struct Observed {
-    /// The whole's share for each step, or `None` when no request came.
+    /// Mean shares of the requests of each step, or `None` without requests.
     totals: Vec<Option<[f64; 3]>>,
-    /// How far counted requests were from the shares, at the worst.
+    /// Largest deviation of request counts from the shares.
     max_deviation: f64,
 }
 
-/// Runs a shift: each instance hears of it after a time of its own, its clock is
-/// off by up to a sixty-fourth of the window, some start anew.
+/// Runs a shift. Instances apply it at different times, have clocks that differ by
+/// up to 1/32 of the window, and restart at random.
 fn run(scenario: &Scenario) -> Observed {
     let mut rng = fastrand::Rng::with_seed(scenario.seed);
     let mut before = policy([WHOLE_PPM, 0, 0], scenario.cap_ppm);
@@ -207,8 +208,8 @@
 proptest! {
     #![proptest_config(config("busy"))]
 
-    // Callers go from instance to instance while a shift runs. If instances
-    // stood at different places, the whole would jump with them.
+    // Traffic changes between instances during a shift. If their shares differed,
+    // the total would jump with it.
     #[test]
     fn total_movement_stays_within_the_cap(scenario in scenarios(1..5, 1..3)) {
         let seen = run(&scenario);
@@ -221,8 +222,8 @@
 proptest! {
     #![proptest_config(config("seldom"))]
 
-    // A request every few seconds: whoever draws lots moves several requests in
-    // a row by chance. Counted requests stay within two of their share.
+    // At low rates, random selection could move several consecutive requests by
+    // chance. Counts must stay within two requests of their share.
     #[test]
     fn request_counts_follow_the_shares_at_low_rates(scenario in scenarios(1..2, 1..80)) {
         let seen = run(&scenario);
@@ -251,14 +252,14 @@
     }
 }
 
-/// What happens to the clock or the servers of one instance.
+/// A fault of the clock, the traffic or the servers of one instance.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Its wall clock jumps by so much.
+    /// The wall clock jumps by this many milliseconds.
     ClockJump(i64),
-    /// It gets nothing to do for so long.
+    /// No requests arrive for this many milliseconds.
     Idle(u64),
-    /// The servers of a zone go, and come back so much later.
+    /// The servers of a zone are down for this many milliseconds.
     ZoneDown(&'static str, u64),
 }
 
@@ -271,7 +272,7 @@
     ]
 }
 
-/// The shares of one instance to which fault comes in the middle of a shift.
+/// Returns the shares of one instance for each step of a shift with a fault.
 fn run_with_fault(fault: Fault, at_ms: u64, cap_ppm: u32) -> Vec<Option<[f64; 3]>> {
     let before = policy([400_000, 300_000, 300_000], cap_ppm);
     let target = shares([0, 500_000, 500_000]);
@@ -305,8 +306,8 @@
 proptest! {
     #![proptest_config(config("troubled"))]
 
-    // A clock that jumps, a pause and a dying zone each put the place where the
-    // instance ought to be far away at once. It goes there within the cap.
+    // Each fault changes the target shares at once; the instance must follow within
+    // the cap.
     #[test]
     fn instance_movement_stays_within_the_cap_despite_faults(
         fault in faults(), at_ms in COMMIT_MS..COMMIT_MS + 10_000, cap_ppm in 20_000..300_000_u32,
@@ -317,8 +318,8 @@
     }
 }
 
-// The wall clock jumps back by half a second in the middle of a shift. What has
-// moved stays; the shift goes on when the clock is where it was.
+// When the wall clock jumps back during a shift, shares that have moved stay, and
+// the shift goes on once the clock has caught up.
 #[test]
 fn backward_clock_jump_moves_no_traffic_back() {
     let seen = run_with_fault(Fault::ClockJump(-500), COMMIT_MS + DELAY_MS + 1_500, 100_000);
@@ -327,8 +328,8 @@
     assert!(share_of_a.last().is_some_and(|&share| share < 1e-6));
 }
 
-// A zone dies. Its share goes to the others at the pace of the cap; requests of
-// the rest are refused as not run, and those that overflow use the cap as well.
+// The share of a failed zone moves to the other zone within the cap; requests of
+// the share that has not moved are refused.
 #[test]
 fn failover_stays_within_the_cap() {
     let policy = policy([500_000, 500_000, 0], 100_000);
@@ -353,8 +354,8 @@
     assert!(moved.max() <= Some(10), "more than the cap in one window");
 }
 
-// Nearness decides, and the home region dies: traffic goes to another region at
-// the pace of the cap, for the other region's caches are as cold.
+// With proximity routing, traffic of a failed region moves to another region
+// within the cap, since the caches there are cold.
 #[test]
 fn proximity_routing_fails_over_within_the_cap() {
     let policy = policy([0, 0, 0], 100_000);
@@ -367,17 +368,17 @@
         }
         let plan = steer.plan(now_ms, now_ms);
         let away = plan.zones.first().is_some_and(|zone| zone.as_str() != "a");
-        assert!(!away || step >= 100, "nothing has failed yet");
+        assert!(!away || step >= 100, "moved before the failure");
         steer.record_placement(&plan, plan.zones.first(), now_ms);
         seen.push(Some(shares_now(&steer)));
     }
     let largest = largest_movement(&seen);
     assert!((0.09..=0.1).contains(&largest), "{largest}");
-    assert!(shares_now(&steer)[0] < 1e-6, "the other regions have all of it at last");
+    assert!(shares_now(&steer)[0] < 1e-6, "traffic remains in the failed region");
 }
 
-// The nearest server of each request's zone is full, so each wants to overflow.
-// In no window do more than half of the cap.
+// Every request would overflow, since its zone is full. The cap is 10%, of which
+// overflow may use half in any window.
 #[test]
 fn overflow_stays_within_the_cap() {
     let policy = policy([500_000, 500_000, 0], 100_000);
@@ -388,7 +389,7 @@
         let now_ms = Millis(COMMIT_MS + request * 10);
         let plan = steer.plan(now_ms, now_ms);
         waiting.push_back(plan);
-        // Fifty requests are on their way at any time.
+        // 50 requests are in flight at any time.
         if waiting.len() > 50 {
             let plan = waiting.pop_front().unwrap();
             overflowed.push(plan.zones.len() > 1);
@@ -444,7 +445,7 @@
     let shift = running.shift.clone().unwrap();
     assert_eq!(running.version, base.version + 1);
     assert_eq!(shift.start_at_ms, Millis(COMMIT_MS + DELAY_MS));
-    // 40% of the whole at 9.2% a second.
+    // 40% of all traffic at 9.2% per second.
     assert_eq!(shift.end_at_ms(), Millis(COMMIT_MS + DELAY_MS + 4_348));
     let at = |ms| shift.shares_at(Millis(COMMIT_MS + ms)).unwrap();
     assert_eq!(at(0), base.zone_share_ppm);
