--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -1,4 +1,4 @@
-//! What a routing choice costs, at today's size and at a thousand servers.
+//! Benchmarks of request placement with 24 and with 1,000 backend servers.
 
 use std::{hint::black_box, sync::Arc};
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Nine instances and as many servers as asked for, evenly over six zones.
+/// Returns nine instances and `servers` servers, evenly distributed over six zones.
 fn snapshot(servers: usize) -> Snapshot {
     let zones = zones();
     let mut snapshot = Snapshot::empty(Arc::new(topology()));
@@ -71,7 +71,7 @@
     snapshot
 }
 
-/// The dispatch of the only instance of `plovdiv-a`'s neighbour, `plovdiv-b`.
+/// Returns the dispatch of the instance in `plovdiv-b`.
 fn dispatch(snapshot: &Snapshot) -> Dispatch {
     let mut dispatch = Dispatch::new(Config {
         service: ServiceName::new(SERVICE),
@@ -85,7 +85,7 @@
     dispatch
 }
 
-/// The plan of a request: the own zone first, then the others.
+/// Returns all zones, starting with that of the instance.
 fn plan() -> Vec<ZoneName> {
     let mut plan = zones();
     plan.rotate_left(3);
@@ -103,7 +103,7 @@
     }
 }
 
-/// A choice and its end, with a free slot in the own zone.
+/// Measures placement in a free slot of the local zone, and its release.
 fn serve_here(c: &mut Criterion) {
     let mut group = c.benchmark_group("route_serve_here");
     for servers in [24, 1_000] {
@@ -122,8 +122,8 @@
     group.finish();
 }
 
-/// A choice and its end, with the own zone full and the last one free: all
-/// groups are looked at.
+/// Measures a hand-over when only the last zone has free slots, so that all groups
+/// are considered.
 fn hand_over_last(c: &mut Criterion) {
     let mut group = c.benchmark_group("route_hand_over_last");
     for servers in [24, 1_000] {
@@ -148,8 +148,8 @@
     group.finish();
 }
 
-/// Fills the slots and the queue of the own zone, and lets every dispatcher but
-/// the last of the plan say that its own are full.
+/// Fills the slots and the queue of the local zone, and lets every dispatcher but
+/// that of the last zone report a full group.
 fn fill(dispatch: &mut Dispatch, plan: &[ZoneName], rng: &mut fastrand::Rng) {
     let own = [plan[0].clone()];
     let patient = DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..request(&own) };
