--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -151,9 +151,10 @@
 /// Fills the slots and the queue of the local zone, and lets every dispatcher but
 /// that of the last zone report a full group.
 fn fill(dispatch: &mut Dispatch, plan: &[ZoneName], rng: &mut fastrand::Rng) {
-    let own = [plan[0].clone()];
-    let patient = DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..request(&own) };
-    while !matches!(dispatch.place(&patient, NOW_MS, rng), Decision::Refuse(_)) {}
+    let local = [plan[0].clone()];
+    let queueable =
+        DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..request(&local) };
+    while !matches!(dispatch.place(&queueable, NOW_MS, rng), Decision::Refuse(_)) {}
     for zone in &plan[1..] {
         let one = [zone.clone()];
         let last = zone == &plan[plan.len() - 1];
