--- a/crates/azuregate-core/src/lib.rs
+++ b/crates/azuregate-core/src/lib.rs
@@ -1,8 +1,8 @@
 /*!
-The decisions of azuregate, without sockets, files, clocks or async.
+The decision logic of azuregate, without I/O, clocks or async code.
 
-Time and randomness are arguments, so that each decision can be replayed in a
-test:
+Time and randomness are passed as arguments, so that tests can reproduce every
+decision:
 
 ```
 use azuregate_core::{
@@ -17,23 +17,23 @@
 
 # Design
 
-* [`policy`] and [`snapshot`] hold what operators decided and what the platform
-  listed; a snapshot is immutable and is replaced as a whole.
-* [`route`] chooses a backend server for one request.
-* [`shift`] works out how far a shift has come, and bounds what moves.
-* [`steer`] plans which availability zones a request may go to.
+* [`policy`] and [`snapshot`] hold the operators' policies and the instances and
+  servers that the platform lists. A snapshot is immutable and replaced as a whole.
+* [`route`] selects a backend server for a request.
+* [`shift`] computes the progress of traffic shifts and limits what moves.
+* [`steer`] selects the availability zones that a request may be sent to.
 * [`claim`] decides whether a request with an idempotency key may run.
-* [`home`] decides the same for keys that belong to one start of an instance.
-* [`balance`] chooses a backend server by the object that a request is about.
-* [`replica`] holds copies of the store's tables, and tells whether they are fresh.
-* [`blocks`] finds the site of a client from its address.
-* [`membership`] tells which instances take new work, [`neighbours`] which keep
-  links to each other.
-* [`probe`] tells which backend servers do not answer.
-* [`entries`] answers which entry instances a caller should use.
-* [`retry`] bounds retries to a share of recent requests.
-* [`late`] knows the usual time of an answer.
-* [`error`] is the closed list of error kinds and the table from kind to answer.
+* [`home`] does the same for keys that belong to one start of an instance.
+* [`balance`] selects a backend server by the object that a request concerns.
+* [`replica`] holds copies of the store's tables and tracks whether they are fresh.
+* [`blocks`] maps client addresses to sites.
+* [`membership`] tracks which instances accept new requests, [`neighbours`] selects
+  those that keep connections to each other.
+* [`probe`] detects backend servers that do not respond.
+* [`entries`] selects the entry instances that a client should use.
+* [`retry`] limits retries to a share of recent requests.
+* [`late`] tracks the usual response time.
+* [`error`] defines the error kinds and the response to each.
 */
 
 pub mod balance;
