--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -29,7 +29,7 @@
 }
 
 /// Minimum cost of a zone other than the first of a request.
-const MIN_DETOUR_COST_MS: u64 = 4;
+const MIN_ADDED_COST_MS: u64 = 4;
 
 impl Candidate {
     /// Lower is better: space in the queue, then lower cost, then more free slots.
@@ -59,16 +59,16 @@
                 continue;
             };
             let round_trip_ms = self.groups[self.available_groups[groups.start]].round_trip_ms;
-            let detour_ms = match first_rtt_ms {
+            let added_rtt_ms = match first_rtt_ms {
                 None => 0,
-                Some(first_rtt_ms) => round_trip_ms.abs_diff(first_rtt_ms).max(MIN_DETOUR_COST_MS),
+                Some(first_rtt_ms) => round_trip_ms.abs_diff(first_rtt_ms).max(MIN_ADDED_COST_MS),
             };
             first_rtt_ms.get_or_insert(round_trip_ms);
             let Some(mut candidate) = self.best_in_zone(groups, request, now_ms) else {
                 link_full = true;
                 continue;
             };
-            candidate.cost_ms += detour_ms;
+            candidate.cost_ms += added_rtt_ms;
             if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
                 best = Some(candidate);
             }
@@ -78,7 +78,7 @@
             }
         }
         match best {
-            Some(candidate) => self.send(candidate, request, now_ms, rng),
+            Some(candidate) => self.place_in(candidate, request, now_ms, rng),
             None if request.zones.is_empty() && !self.by_zone.is_empty() => {
                 Decision::Refuse(Refusal::cap_reached())
             }
@@ -102,7 +102,7 @@
         };
         let peer = self.peers.index(from);
         self.groups[index].add_request(peer, now_ms);
-        let decision = self.place_here(index, Some(peer), request, now_ms, rng);
+        let decision = self.place_locally(index, Some(peer), request, now_ms, rng);
         if matches!(decision, Decision::Refuse(_)) {
             self.groups[index].remove_request(Some(peer));
         }
@@ -175,7 +175,7 @@
         Candidate { group: index, dispatcher, reservation, free, wait_ms, cost_ms: wait_ms, full }
     }
 
-    fn send(
+    fn place_in(
         &mut self,
         candidate: Candidate,
         request: &DispatchRequest<'_>,
@@ -184,7 +184,7 @@
     ) -> Decision {
         let Candidate { group, dispatcher, reservation, wait_ms, full, .. } = candidate;
         let Dispatcher::Peer(peer) = dispatcher else {
-            return self.place_here(group, None, request, now_ms, rng);
+            return self.place_locally(group, None, request, now_ms, rng);
         };
         // The dispatcher would refuse the request as well, a round trip later.
         if full {
@@ -197,7 +197,7 @@
         self.hand_over(group, peer, reservation, now_ms)
     }
 
-    fn place_here(
+    fn place_locally(
         &mut self,
         group: usize,
         from: Option<usize>,
@@ -212,7 +212,7 @@
             // The link has been checked before, here or by the instance that
             // handed the request over; the bandwidth is reserved here as well.
             let reservation = self.check_link(group, request, now_ms).flatten();
-            if let Some(slot) = self.take_slot(group, reservation, now_ms, rng) {
+            if let Some(slot) = self.acquire_slot(group, reservation, now_ms, rng) {
                 return Decision::Serve(Slot { from, ..slot });
             }
         }
@@ -230,16 +230,16 @@
         if group.queue.len() >= queue::max_len(group.listed_slots) {
             return Decision::Refuse(Refusal::queue_full(wait_ms));
         }
-        let in_time = wait_ms <= request.max_wait_ms
+        let meets_deadline = wait_ms <= request.max_wait_ms
             && wait_ms + group.service_time.mean_ms() <= request.remaining_ms;
-        if !in_time {
+        if !meets_deadline {
             return Decision::Refuse(Refusal::too_late(wait_ms));
         }
         group.queue.push(QueuedRequest { ticket: request.ticket, from });
         Decision::Wait { group: index }
     }
 
-    pub(super) fn take_slot(
+    pub(super) fn acquire_slot(
         &mut self,
         index: usize,
         reservation: Option<Reservation>,
--- a/crates/azuregate-core/src/route/dispatch/release.rs
+++ b/crates/azuregate-core/src/route/dispatch/release.rs
@@ -21,7 +21,7 @@
         if self.groups[group].queue.is_empty() {
             return None;
         }
-        let slot = self.take_slot(group, None, now_ms, rng)?;
+        let slot = self.acquire_slot(group, None, now_ms, rng)?;
         let waiting = self.groups[group].queue.pop()?;
         Some((waiting, Slot { from: waiting.from, ..slot }))
     }
--- a/crates/azuregate-core/src/route/link.rs
+++ b/crates/azuregate-core/src/route/link.rs
@@ -52,23 +52,23 @@
 struct Direction {
     total_bytes: u64,
     buckets: [u64; BUCKETS],
-    newest: u64,
+    newest_bucket: u64,
     reserved_bytes: u64,
 }
 
 impl Direction {
-    fn count(&mut self, bytes: u64, now_ms: Millis) {
+    fn add(&mut self, bytes: u64, now_ms: Millis) {
         self.advance(now_ms);
-        self.buckets[self.newest as usize % BUCKETS] += bytes;
+        self.buckets[self.newest_bucket as usize % BUCKETS] += bytes;
     }
 
     fn advance(&mut self, now_ms: Millis) {
         let bucket = now_ms.0 / BUCKET_MS;
-        let passed = bucket.saturating_sub(self.newest).min(BUCKETS as u64);
+        let passed = bucket.saturating_sub(self.newest_bucket).min(BUCKETS as u64);
         for offset in 0..passed {
             self.buckets[(bucket - offset) as usize % BUCKETS] = 0;
         }
-        self.newest = self.newest.max(bucket);
+        self.newest_bucket = self.newest_bucket.max(bucket);
     }
 
     fn fits(&mut self, bytes: u64, share_bytes_per_s: u64, now_ms: Millis) -> bool {
@@ -89,7 +89,7 @@
     ///
     /// Instances do not know each other's traffic. Each keeps to an equal share
     /// of a link, so that together they stay within its capacity.
-    pub fn update(&mut self, topology: &Topology, here: &RegionName, instances: &[Instance]) {
+    pub fn update(&mut self, topology: &Topology, local: &RegionName, instances: &[Instance]) {
         let live = |region: &RegionName| {
             let mut count = 0;
             for instance in instances {
@@ -99,8 +99,8 @@
             count
         };
         let link_bytes_per_s = topology.link_mbit_per_s * BYTES_PER_MBIT;
-        for region in topology.regions.iter().filter(|region| region.name != *here) {
-            let instances_sharing = live(here).max(1) + live(&region.name);
+        for region in topology.regions.iter().filter(|region| region.name != *local) {
+            let instances_sharing = live(local).max(1) + live(&region.name);
             let share_bytes_per_s = link_bytes_per_s / instances_sharing;
             match self.links.iter_mut().find(|link| link.region == region.name) {
                 Some(link) => link.share_bytes_per_s = share_bytes_per_s,
@@ -162,9 +162,9 @@
     /// Records the total bytes sent and received on a link since the start.
     pub fn record_totals(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
         let link = &mut self.links[link];
-        link.up.count(up_bytes.saturating_sub(link.up.total_bytes), now_ms);
+        link.up.add(up_bytes.saturating_sub(link.up.total_bytes), now_ms);
         let received = down_bytes.saturating_sub(link.down.total_bytes);
-        link.down.count(received, now_ms);
+        link.down.add(received, now_ms);
         link.response_bytes += received;
         link.up.total_bytes = up_bytes;
         link.down.total_bytes = down_bytes;
--- a/crates/azuregate-core/src/route/remote_load.rs
+++ b/crates/azuregate-core/src/route/remote_load.rs
@@ -65,7 +65,7 @@
         let Some((load, at_ms)) = self.last_update else {
             return fair_share;
         };
-        let reported = u64::from(load.free).saturating_sub(self.unseen(&load));
+        let reported = u64::from(load.free).saturating_sub(self.not_received(&load));
         if now_ms.since(at_ms) <= MAX_AGE_MS { reported } else { reported.min(fair_share) }
     }
 
@@ -75,7 +75,7 @@
         // Before the first update, all slots are assumed to be in use.
         let assumed = GroupLoad { slots, service_ms: DEFAULT_SERVICE_MS, ..GroupLoad::default() };
         let load = self.last_update.map_or(assumed, |(load, _)| load);
-        let ahead = u64::from(load.queued) + self.unseen(&load) + 1;
+        let ahead = u64::from(load.queued) + self.not_received(&load) + 1;
         // At least one, since this is called only if no slot is expected free.
         let ahead = ahead.saturating_sub(u64::from(load.free)).max(1);
         ahead * u64::from(load.service_ms) / u64::from(load.slots.max(1))
@@ -85,12 +85,12 @@
     /// stale.
     pub fn estimated_queued(&self, now_ms: Millis) -> usize {
         let fresh = self.last_update.filter(|&(_, at_ms)| now_ms.since(at_ms) <= MAX_AGE_MS);
-        fresh.map_or(0, |(load, _)| load.queued as usize + self.unseen(&load) as usize)
+        fresh.map_or(0, |(load, _)| load.queued as usize + self.not_received(&load) as usize)
     }
 
     /// Returns how many requests the dispatcher had not received when it sent
     /// `load`; all of them are still in flight.
-    fn unseen(&self, load: &GroupLoad) -> u64 {
+    fn not_received(&self, load: &GroupLoad) -> u64 {
         self.sent.saturating_sub(load.seen).min(self.in_flight)
     }
 }
