--- a/crates/azuregate-core/src/shift.rs
+++ b/crates/azuregate-core/src/shift.rs
@@ -118,7 +118,8 @@
         self.buckets.iter().map(|bucket| bucket.share).sum()
     }
 
-    /// Returns the share that may move at `now_ms` of monotonic time, from 0 to 1.
+    /// Returns the share that may move at `now_ms` of monotonic time, as a fraction
+    /// of all traffic; after idle time it may exceed 1.
     ///
     /// An instance without requests for more than a window receives the budget of
     /// the whole idle time, in which none of its requests could see a movement.
