--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -29,7 +29,7 @@
 }
 
 /// Minimum cost of a zone other than the first of a request.
-const MIN_ADDED_COST_MS: u64 = 4;
+const MIN_ZONE_CHANGE_COST_MS: u64 = 4;
 
 impl Candidate {
     /// Lower is better: space in the queue, then lower cost, then more free slots.
@@ -59,16 +59,18 @@
                 continue;
             };
             let round_trip_ms = self.groups[self.available_groups[groups.start]].round_trip_ms;
-            let added_rtt_ms = match first_rtt_ms {
+            let rtt_difference_ms = match first_rtt_ms {
                 None => 0,
-                Some(first_rtt_ms) => round_trip_ms.abs_diff(first_rtt_ms).max(MIN_ADDED_COST_MS),
+                Some(first_rtt_ms) => {
+                    round_trip_ms.abs_diff(first_rtt_ms).max(MIN_ZONE_CHANGE_COST_MS)
+                }
             };
             first_rtt_ms.get_or_insert(round_trip_ms);
             let Some(mut candidate) = self.best_in_zone(groups, request, now_ms) else {
                 link_full = true;
                 continue;
             };
-            candidate.cost_ms += added_rtt_ms;
+            candidate.cost_ms += rtt_difference_ms;
             if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
                 best = Some(candidate);
             }
--- a/crates/azuregate-core/src/route/dispatch/servers.rs
+++ b/crates/azuregate-core/src/route/dispatch/servers.rs
@@ -99,13 +99,13 @@
         servers: &[ServerStatus],
     ) {
         let dispatchers = self.dispatcher_order(index, snapshot, instances);
-        let here = &self.config.zone;
+        let local_zone = &self.config.zone;
         let group = &mut self.groups[index];
         let topology = &snapshot.topology;
-        group.router.set_servers(Locality { topology, zone: here }, servers);
+        group.router.set_servers(Locality { topology, zone: local_zone }, servers);
         group.servers = servers.iter().map(|s| (s.server.id.clone(), s.server.clone())).collect();
         group.listed_slots = servers.iter().filter(|s| s.available).map(|s| s.server.slots).sum();
-        group.round_trip_ms = 2 * topology.delay_ms(topology.distance(here, &group.id.zone));
+        group.round_trip_ms = 2 * topology.delay_ms(topology.distance(local_zone, &group.id.zone));
         let region = topology.region_of(&group.id.zone);
         group.link = region.and_then(|region| self.links.link_to(region));
         group.dispatchers = dispatchers;
