--- a/crates/azuregate-core/src/route/dispatch/place.rs
+++ b/crates/azuregate-core/src/route/dispatch/place.rs
@@ -22,7 +22,7 @@
     free: u64,
     /// Expected waiting time for a slot, without network delay.
     wait_ms: u64,
-    /// Waiting time plus the added round-trip time of a zone other than the first.
+    /// Waiting time plus the cost of a zone other than the first.
     cost_ms: u64,
     /// Whether its queue is full.
     full: bool,
@@ -42,9 +42,9 @@
     /// Places a request from a client of this instance where it is expected to
     /// start first.
     ///
-    /// The cost of a zone other than the first includes the added round-trip
-    /// time, since a short wait nearby is better than a free slot in a distant
-    /// region.
+    /// The cost of a zone other than the first includes the difference of the
+    /// round-trip times, so that a request waits briefly for the first zone rather
+    /// than move to a free slot in a distant region.
     pub fn place(
         &mut self,
         request: &DispatchRequest<'_>,
