--- a/crates/azuregate-core/src/route/dispatch/list.rs
+++ b/crates/azuregate-core/src/route/dispatch/servers.rs
@@ -1,68 +1,69 @@
-//! Takes in the lists of instances and backend servers.
+//! Applies the lists of instances and backend servers.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::{
     names::ZoneName,
     route::{
-        Place, RouteServer,
-        dispatch::{Dispatch, Group, Grouping, Refusal, Who},
+        Locality, ServerStatus,
+        dispatch::{Dispatch, Dispatcher, Group, Grouping, Refusal},
         group::{self, GroupId},
-        known::Known,
-        queue::{Drain, Queue, Waiting},
+        queue::{Queue, QueuedRequest, ServiceTime},
+        remote_load::RemoteLoad,
     },
     snapshot::{Instance, Liveness, Snapshot},
 };
 
 impl Dispatch {
-    /// Takes in the configuration in force.
+    /// Applies the configuration in force.
     ///
-    /// Returns requests that wait for a group without open servers, with their
-    /// final answer.
-    pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(Waiting, Refusal)> {
+    /// Returns the queued requests of groups that have no available server left,
+    /// with their refusals.
+    pub fn set_snapshot(&mut self, snapshot: &Snapshot) -> Vec<(QueuedRequest, Refusal)> {
         let zone = &self.config.zone;
         if let Some(region) = snapshot.topology.region_of(zone) {
-            self.links.set(&snapshot.topology, region, &snapshot.instances);
+            self.links.update(&snapshot.topology, region, &snapshot.instances);
         }
         let mut instances: Vec<_> = snapshot
             .instances
             .iter()
             .filter(|instance| instance.liveness == Liveness::Live)
             .collect();
-        let others = instances.iter().filter(|instance| instance.id != self.config.me).count();
-        self.instances = 1 + others as u32;
-        let mut by_group = self.split(snapshot);
-        // Groups that are no longer listed stay, closed, for the requests that
-        // are still in progress.
+        let others =
+            instances.iter().filter(|instance| instance.id != self.config.instance).count();
+        self.live_instances = 1 + others as u32;
+        let mut by_group = self.servers_by_group(snapshot);
+        // Groups that are no longer listed are kept without servers, for the
+        // requests that are still in progress.
         for group in &self.groups {
             by_group.entry(group.id.clone()).or_default();
         }
-        self.open.clear();
+        self.available_groups.clear();
         self.by_zone.clear();
         let mut refused = Vec::new();
         for (id, servers) in by_group {
             let index = self.group_index(&id);
             self.set_group(index, snapshot, &mut instances, &servers);
-            refused.extend(self.refuse_if_closed(index));
+            refused.extend(self.refuse_if_unavailable(index));
         }
         refused
     }
 
-    fn split(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<RouteServer>> {
+    fn servers_by_group(&self, snapshot: &Snapshot) -> BTreeMap<GroupId, Vec<ServerStatus>> {
         let servers = snapshot.route_servers(&self.config.service);
-        let mut by_group: BTreeMap<GroupId, Vec<RouteServer>> = BTreeMap::new();
-        if self.config.grouping == Grouping::Whole {
+        let mut by_group: BTreeMap<GroupId, Vec<ServerStatus>> = BTreeMap::new();
+        if self.config.grouping == Grouping::WholeService {
             by_group.insert(GroupId { zone: self.config.zone.clone(), part: 0 }, servers);
             return by_group;
         }
         let mut count_by_zone: HashMap<ZoneName, usize> = HashMap::new();
-        for RouteServer { server, .. } in &servers {
+        for ServerStatus { server, .. } in &servers {
             *count_by_zone.entry(server.zone.clone()).or_default() += 1;
         }
         for server in servers {
             let zone = server.server.zone.clone();
-            let parts = group::parts(count_by_zone[&zone]);
-            let part = group::part_of(&server.server.id, parts);
+            let partitions = group::partition_count(count_by_zone[&zone]);
+            let part = group::partition_of(&server.server.id, partitions);
             by_group.entry(GroupId { zone, part }).or_default().push(server);
         }
         by_group
@@ -79,12 +80,12 @@
             listed_slots: 0,
             round_trip_ms: 0,
             link: None,
-            order: Vec::new(),
+            dispatchers: Vec::new(),
             queue: Queue::default(),
-            drain: Drain::default(),
-            known: Known::default(),
-            known_of: None,
-            handers: Vec::new(),
+            service_time: ServiceTime::default(),
+            remote: RemoteLoad::default(),
+            remote_peer: None,
+            senders: Vec::new(),
         });
         self.by_id.insert(id.clone(), self.groups.len() - 1);
         self.groups.len() - 1
@@ -95,63 +96,63 @@
         index: usize,
         snapshot: &Snapshot,
         instances: &mut [&Instance],
-        servers: &[RouteServer],
+        servers: &[ServerStatus],
     ) {
-        let order = self.order(index, snapshot, instances);
-        let here = &self.config.zone;
+        let dispatchers = self.dispatcher_order(index, snapshot, instances);
+        let local_zone = &self.config.zone;
         let group = &mut self.groups[index];
         let topology = &snapshot.topology;
-        group.router.set_servers(Place { topology, zone: here }, servers);
+        group.router.set_servers(Locality { topology, zone: local_zone }, servers);
         group.servers = servers.iter().map(|s| (s.server.id.clone(), s.server.clone())).collect();
-        group.listed_slots = servers.iter().filter(|s| s.open).map(|s| s.server.slots).sum();
-        group.round_trip_ms = 2 * topology.delay_ms(topology.distance(here, &group.id.zone));
+        group.listed_slots = servers.iter().filter(|s| s.available).map(|s| s.server.slots).sum();
+        group.round_trip_ms = 2 * topology.delay_ms(topology.distance(local_zone, &group.id.zone));
         let region = topology.region_of(&group.id.zone);
-        group.link = region.and_then(|region| self.links.to(region));
-        group.order = order;
+        group.link = region.and_then(|region| self.links.link_to(region));
+        group.dispatchers = dispatchers;
         if group.listed_slots > 0 {
-            // Groups come in the order of their names, so a zone's are together.
-            let nth = self.open.len();
-            self.open.push(index);
+            // Groups are ordered by name, so those of one zone are adjacent.
+            let nth = self.available_groups.len();
+            self.available_groups.push(index);
             let range = self.by_zone.entry(group.id.zone.clone()).or_insert(nth..nth);
             range.end = nth + 1;
         }
     }
 
-    /// Who dispatches for a group. This instance is always among them: one that
-    /// reaches no other has to dispatch itself.
-    fn order(
+    /// Returns the dispatchers of a group in order of preference. This instance
+    /// is always included, as the fallback if it can reach no other.
+    fn dispatcher_order(
         &mut self,
         index: usize,
         snapshot: &Snapshot,
         instances: &mut [&Instance],
-    ) -> Vec<Who> {
-        if self.config.grouping == Grouping::Whole {
-            return vec![Who::Me];
+    ) -> Vec<Dispatcher> {
+        if self.config.grouping == Grouping::WholeService {
+            return vec![Dispatcher::Local];
         }
         let service = self.config.service.as_str();
         let id = &self.groups[index].id;
         group::sort_by_preference(instances, &snapshot.topology, service, id);
         let mut order = Vec::with_capacity(instances.len() + 1);
         for instance in instances {
-            if instance.id == self.config.me {
-                order.push(Who::Me);
+            if instance.id == self.config.instance {
+                order.push(Dispatcher::Local);
                 break;
             }
-            order.push(Who::Peer(self.peers.index(&instance.id)));
+            order.push(Dispatcher::Peer(self.peers.index(&instance.id)));
         }
-        if order.last() != Some(&Who::Me) {
-            order.push(Who::Me);
+        if order.last() != Some(&Dispatcher::Local) {
+            order.push(Dispatcher::Local);
         }
         order
     }
 
-    fn refuse_if_closed(&mut self, index: usize) -> Vec<(Waiting, Refusal)> {
+    fn refuse_if_unavailable(&mut self, index: usize) -> Vec<(QueuedRequest, Refusal)> {
         if self.groups[index].listed_slots > 0 {
             return Vec::new();
         }
         let mut refused = Vec::new();
         while let Some(waiting) = self.groups[index].queue.pop() {
-            self.groups[index].leave(waiting.from);
+            self.groups[index].remove_request(waiting.from);
             refused.push((waiting, Refusal::no_backend()));
         }
         refused
