--- a/crates/azuregate-core/src/route/dispatch/group_state.rs
+++ b/crates/azuregate-core/src/route/dispatch/group_state.rs
@@ -1,56 +1,56 @@
-//! What one group holds, as its dispatcher counts it.
+//! The state of one group.
 
 use crate::{
-    route::dispatch::{Group, Hander},
+    route::dispatch::{Group, Sender},
     time::Millis,
 };
 
 impl Group {
-    /// Free slots that nobody waits for.
+    /// Returns the number of free slots, or 0 if requests are queued for them.
     pub(super) fn free(&self) -> u64 {
-        if self.queue.is_empty() { u64::from(self.router.room().free) } else { 0 }
+        if self.queue.is_empty() { u64::from(self.router.capacity().free) } else { 0 }
     }
 
-    /// How long another request would wait here.
+    /// Returns how long another request is expected to wait.
     pub(super) fn wait_ms(&self) -> u64 {
         if self.free() > 0 {
             return 0;
         }
-        self.drain.wait_ms(self.queue.len() + 1, self.router.room().slots)
+        self.service_time.wait_ms(self.queue.len() + 1, self.router.capacity().total)
     }
 
-    /// Another dispatcher's updates do not count for this one.
-    pub(super) fn know(&mut self, peer: usize) {
-        if self.known_of != Some(peer) {
-            self.known_of = Some(peer);
-            self.known.forget();
+    /// Sets the dispatcher, and discards the load that another one reported.
+    pub(super) fn set_remote_peer(&mut self, peer: usize) {
+        if self.remote_peer != Some(peer) {
+            self.remote_peer = Some(peer);
+            self.remote.reset();
         }
     }
 
-    /// Counts a request that another instance handed over.
-    pub(super) fn enter(&mut self, peer: usize, now_ms: Millis) {
-        if !self.handers.iter().any(|hander| hander.peer == peer) {
-            let heard_at_ms = now_ms;
-            self.handers.push(Hander {
+    /// Records a request that another instance handed over.
+    pub(super) fn add_request(&mut self, peer: usize, now_ms: Millis) {
+        if !self.senders.iter().any(|sender| sender.peer == peer) {
+            let last_request_at_ms = now_ms;
+            self.senders.push(Sender {
                 peer,
-                seen: 0,
-                active: 0,
-                heard_at_ms,
-                said: None,
-                framed_at_ms: None,
+                received: 0,
+                in_flight: 0,
+                last_request_at_ms,
+                last_update: None,
+                last_frame_at_ms: None,
             });
         }
-        for hander in self.handers.iter_mut().filter(|hander| hander.peer == peer) {
-            hander.seen += 1;
-            hander.active += 1;
-            hander.heard_at_ms = now_ms;
+        for sender in self.senders.iter_mut().filter(|sender| sender.peer == peer) {
+            sender.received += 1;
+            sender.in_flight += 1;
+            sender.last_request_at_ms = now_ms;
         }
     }
 
-    /// Counts the end of a request that another instance handed over.
-    pub(super) fn leave(&mut self, peer: Option<usize>) {
-        for hander in self.handers.iter_mut().filter(|hander| Some(hander.peer) == peer) {
-            hander.active = hander.active.saturating_sub(1);
+    /// Records the end of a request that another instance handed over.
+    pub(super) fn remove_request(&mut self, peer: Option<usize>) {
+        for sender in self.senders.iter_mut().filter(|sender| Some(sender.peer) == peer) {
+            sender.in_flight = sender.in_flight.saturating_sub(1);
         }
     }
 }
--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -147,7 +147,7 @@
     let headers = request.headers_mut();
     headers.insert(request::DEADLINE_MS, HeaderValue::from(remaining_ms));
     if let Ok(id) = HeaderValue::from_str(choice.backend.id.as_str()) {
-        headers.insert(request::EXPECTED_BACKEND, id);
+        headers.insert(request::TARGET_BACKEND, id);
     }
     request
 }
@@ -155,7 +155,7 @@
 fn apply_warmup_header(state: &State, choice: &Choice, headers: &HeaderMap) {
     let now_ms = state.now_ms();
     let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-    if let Some(remaining_ms) = text(request::COLD_MS).and_then(|text| text.parse().ok()) {
+    if let Some(remaining_ms) = text(request::WARMUP_MS).and_then(|text| text.parse().ok()) {
         state.balancer.borrow_mut().set_cold(choice.handle, remaining_ms, now_ms);
     }
 }
@@ -170,7 +170,7 @@
 ) -> AttemptResult {
     let echoed_id = head.headers().get(request::REQUEST_ID);
     let sent_id = outgoing.headers.get(request::REQUEST_ID);
-    let is_rejected = head.headers().contains_key(request::NOT_RUN)
+    let is_rejected = head.headers().contains_key(request::NOT_EXECUTED)
         || head.status() == StatusCode::MISDIRECTED_REQUEST;
     // A duplicate response to an earlier request on this connection. The connection
     // is out of sync, so the response to this request cannot be identified either.
@@ -237,7 +237,7 @@
 /// Returns whether clients accept this successful response: it must carry the
 /// server's signature and the request ID, and must not be content-encoded.
 fn is_valid_success(headers: &HeaderMap) -> bool {
-    headers.contains_key(request::SIGNATURE)
+    headers.contains_key(request::RESPONSE_SIGNATURE)
         && headers.contains_key(request::REQUEST_ID)
         && !headers.contains_key(header::CONTENT_ENCODING)
 }
--- a/crates/azuregate/src/serve/endpoints.rs
+++ b/crates/azuregate/src/serve/endpoints.rs
@@ -2,7 +2,7 @@
 
 use std::{convert::Infallible, rc::Rc};
 
-use azuregate_platform::request::{LOOKUP_PATH, Lookup, READY_PATH, lookup_answer};
+use azuregate_platform::request::{LOOKUP_PATH, Lookup, READINESS_PATH, encode_lookup_response};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{
@@ -51,7 +51,7 @@
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     match request.uri().path() {
-        READY_PATH => ready(state),
+        READINESS_PATH => ready(state),
         METRICS_PATH if audience == Audience::Operators => metrics(state),
         LOOKUP_PATH => lookup(state, request.uri().query().unwrap_or_default()),
         _ => full_response(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
@@ -91,6 +91,6 @@
     if addrs.is_empty() {
         return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
-    let ttl_ms = LOOKUP_TTL_MS.min(state.bounds().lookup_keep_ms);
-    full_response(StatusCode::OK, "application/json", lookup_answer(&addrs, ttl_ms))
+    let ttl_ms = LOOKUP_TTL_MS.min(state.bounds().lookup_ttl_ms);
+    full_response(StatusCode::OK, "application/json", encode_lookup_response(&addrs, ttl_ms))
 }
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -20,14 +20,15 @@
     accept,
     peer::{
         LinkError,
-        socket::{CborSocket, Limits},
+        socket::{CborSocket, SocketLimits},
     },
 };
 
 /// The path that followers connect to.
 pub(super) const CHANGES_PATH: &str = "/v1/changes";
 /// The open timeout covers two round trips between regions.
-pub(super) const SOCKET_LIMITS: Limits = Limits { frame_bytes: 1 << 20, open_ms: 700 };
+pub(super) const SOCKET_LIMITS: SocketLimits =
+    SocketLimits { max_frame_bytes: 1 << 20, handshake_timeout_ms: 700 };
 /// The interval of responses without changes. Three of them fit into the time after
 /// which followers consider a source lost.
 const RESPONSE_INTERVAL_MS: u64 = 400;
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -88,7 +88,7 @@
         let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
         AccessLogEntry {
             id: text(request::REQUEST_ID).unwrap_or_default().to_owned(),
-            object: text(request::OBJECT_KEY).unwrap_or_default().to_owned(),
+            object: text(request::AFFINITY_KEY).unwrap_or_default().to_owned(),
             route: String::new(),
             service: String::new(),
             version: 0,
@@ -334,7 +334,8 @@
 
     fn choose(&self, attempts: &AttemptState, log_entry: &mut AccessLogEntry) -> Option<Choice> {
         let headers = &self.outgoing.headers;
-        let object_hash = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
+        let object_hash =
+            headers.get(request::AFFINITY_KEY).filter(|_| self.route.has_warm_objects);
         let object_hash =
             object_hash.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
         let object = object_hash.unwrap_or_else(|| fastrand::u64(..));
@@ -371,7 +372,7 @@
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::REQUEST_TIMEOUT
         );
-        let is_signed = response.headers().contains_key(request::SIGNATURE);
+        let is_signed = response.headers().contains_key(request::RESPONSE_SIGNATURE);
         if implies_not_executed && !is_signed && !self.outgoing.is_idempotent {
             *response.status_mut() = StatusCode::BAD_GATEWAY;
             response.headers_mut().remove(header::RETRY_AFTER);
--- a/crates/azuregate/src/serve/response.rs
+++ b/crates/azuregate/src/serve/response.rs
@@ -137,7 +137,9 @@
 
 /// Removes the headers used only between entry instances and backend servers.
 pub(super) fn remove_internal_headers(headers: &mut HeaderMap) {
-    for name in [request::LOAD, request::BACKEND, request::COLD_MS, request::NOT_RUN] {
+    for name in
+        [request::BACKEND_LOAD, request::BACKEND_ID, request::WARMUP_MS, request::NOT_EXECUTED]
+    {
         headers.remove(name);
     }
 }
--- a/crates/azuregate/src/serve/shutdown.rs
+++ b/crates/azuregate/src/serve/shutdown.rs
@@ -29,7 +29,7 @@
     state.stop.clone().wait().await;
     log::info!(connections = state.connections.get(); "graceful shutdown started");
     phase.send_replace(ShutdownPhase::Draining);
-    let deadline_ms = state.bounds().grace_ms.saturating_sub(FORCED_CLOSE_MARGIN_MS);
+    let deadline_ms = state.bounds().grace_period_ms.saturating_sub(FORCED_CLOSE_MARGIN_MS);
     let deadline = time::Instant::now() + Duration::from_millis(deadline_ms);
     let steps = async {
         let close_idle_at =
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -97,7 +97,7 @@
             tables: RefCell::default(),
             encoded_cache: RefCell::default(),
             tables_changed: watch::Sender::new(()),
-            contact: RefCell::new(Contact::new(settings.bounds.change_ms)),
+            contact: RefCell::new(Contact::new(settings.bounds.propagation_ms)),
             is_watching: watch::Sender::new(true),
             is_designated_watcher: Cell::new(false),
             followers: Cell::new(0),
@@ -138,7 +138,7 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_cold_rates(bounds.cold_rate_factor, bounds.cold_rate_slack);
         balancer.set_cold_limits(&self.members.borrow());
-        self.contact.borrow_mut().set_change_ms(bounds.change_ms);
+        self.contact.borrow_mut().set_change_ms(bounds.propagation_ms);
         *self.bounds.borrow_mut() = bounds;
         // Budgets are recreated with the new ratio. They start empty, which allows fewer
         // retries rather than more.
@@ -234,8 +234,10 @@
         let bounds = self.bounds.borrow();
         let mut retry_budgets = self.retry_budgets.borrow_mut();
         if !retry_budgets.contains_key(service) {
-            let budget =
-                RetryBudget::new(bounds.retry_ratio * RETRY_BUDGET_SHARE, bounds.retry_window_ms);
+            let budget = RetryBudget::new(
+                bounds.retry_budget_ratio * RETRY_BUDGET_SHARE,
+                bounds.retry_window_ms,
+            );
             retry_budgets.insert(service.clone(), budget);
         }
         f(retry_budgets.get_mut(service).expect("it was just added"))
--- a/crates/azuregate/src/serve/table_watch.rs
+++ b/crates/azuregate/src/serve/table_watch.rs
@@ -8,7 +8,7 @@
 };
 use azuregate_platform::{
     member,
-    store::{Store, StoreError},
+    store::{StoreClient, StoreError},
 };
 use tokio::{sync::Notify, task::spawn_local, time};
 
@@ -34,7 +34,7 @@
 
 /// Registers this instance, then watches the members table.
 async fn register_and_watch(state: Rc<State>) {
-    let mut store = Store::new(state.settings.store_addr);
+    let mut store = StoreClient::new(state.settings.store_addr);
     let mut backoff = Backoff::default();
     let own = own_member(&state);
     while let Err(e) = store.put(Table::Members, own.instance.as_str(), &member::encode(&own)).await
@@ -48,7 +48,7 @@
 
 /// Removes the registration of this instance.
 pub(super) async fn unregister(state: &State) {
-    let mut store = Store::new(state.settings.store_addr);
+    let mut store = StoreClient::new(state.settings.store_addr);
     if let Err(e) = store.remove(Table::Members, state.settings.instance.as_str()).await {
         log::warn!(error:% = e; "cannot unregister instance");
     }
@@ -83,7 +83,7 @@
 /// Watches one table of the store, whenever this instance has to.
 struct TableWatch {
     state: Rc<State>,
-    store: Store,
+    store: StoreClient,
     table: Table,
     backoff: Backoff,
     /// Whether the table must be read completely, since changes may have been missed.
@@ -93,7 +93,7 @@
 
 impl TableWatch {
     fn new(state: Rc<State>, table: Table) -> TableWatch {
-        let store = Store::new(state.settings.store_addr);
+        let store = StoreClient::new(state.settings.store_addr);
         TableWatch {
             state,
             store,
@@ -110,7 +110,7 @@
             let next_at = time::Instant::now() + Duration::from_millis(MIN_POLL_INTERVAL_MS);
             match self.poll_once().await {
                 Ok(()) => time::sleep_until(next_at).await,
-                Err(StoreError::HistoryGone) => {
+                Err(StoreError::HistoryExpired) => {
                     log::info!(table = self.table.as_str(); "change history lost, rereading table");
                     self.needs_full_read = true;
                 }
@@ -152,7 +152,7 @@
     /// version: the connection is dead, or the store or the sources lag.
     fn schedule_resync(&mut self) {
         log::info!(table = self.table.as_str(); "table is behind other instances, rereading");
-        self.store = Store::new(self.state.settings.store_addr);
+        self.store = StoreClient::new(self.state.settings.store_addr);
         self.needs_full_read = true;
     }
 
@@ -182,7 +182,7 @@
         // row counts as expired or as removed.
         self.record_success();
         let replaced = self.state.replace_table(self.table, snapshot);
-        replaced.map_err(|e| StoreError::BadAnswer(e.to_string()))?;
+        replaced.map_err(|e| StoreError::InvalidResponse(e.to_string()))?;
         self.needs_full_read = false;
         inc_by(&self.state.metrics.changes.tables_read, 1);
         Ok(())
@@ -197,7 +197,7 @@
     fn poll_timeout_ms(&self) -> u64 {
         match self.table {
             Table::Members => MEMBERS_POLL_TIMEOUT_MS,
-            Table::Operator => self.state.bounds().contact_ms,
+            Table::Operator => self.state.bounds().instance_expiry_ms,
             Table::Backends if self.state.is_designated_watcher.get() => {
                 self.state.contact.borrow().wait_ms()
             }
@@ -223,7 +223,7 @@
             log::info!(table = self.table.as_str(); "store reachable again");
         }
         if self.table == Table::Backends {
-            let answered_at_ms = self.state.now_ms().saturating_sub(self.store.answer_age_ms());
+            let answered_at_ms = self.state.now_ms().saturating_sub(self.store.response_age_ms());
             self.state.contact.borrow_mut().answered(answered_at_ms);
             self.state.update_store_contact();
         }
@@ -240,7 +240,7 @@
 
 /// Waits for changed rows. Returns `None` if `resync` is notified first.
 async fn watch_or_resync(
-    store: &mut Store,
+    store: &mut StoreClient,
     table: Table,
     version: u64,
     poll_timeout_ms: u64,
--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -1,6 +1,6 @@
 //! Non-idempotent requests are executed at most once, and a 503 means not executed.
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::cluster::{TestCluster, get_request, post_request};
 
@@ -9,11 +9,11 @@
 #[tokio::test]
 async fn possibly_executed_write_is_not_retried() {
     for behaviour in [
-        Behaviour::LoseAnswer,
-        Behaviour::CutShort,
+        Behaviour::DropResponse,
+        Behaviour::Truncate,
         Behaviour::Unsigned,
-        Behaviour::AnswerToAnother,
-        Behaviour::Fail,
+        Behaviour::StaleResponse,
+        Behaviour::ServerError,
     ] {
         let cluster = TestCluster::start(3).await;
         let instance = cluster.start_ready_instance(1).await;
@@ -28,16 +28,16 @@
 /// Guards against failing a write, or losing its body, when only one server rejects it.
 #[tokio::test]
 async fn rejected_write_is_retried_on_another_server() {
-    for behaviour in [Behaviour::Reject, Behaviour::AnotherServer] {
+    for behaviour in [Behaviour::Reject, Behaviour::Misdirect] {
         let cluster = TestCluster::start(2).await;
         let instance = cluster.start_ready_instance(1).await;
         instance.send(&get_request("/read/x", "first")).await.unwrap();
-        let used = cluster.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let used = cluster.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
         let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
         assert_eq!(response.status, 200, "{behaviour:?}");
         let other = cluster.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
-        assert_eq!(other.seen()[0].body, b"body");
+        assert_eq!(other.received()[0].body, b"body");
     }
 }
 
@@ -64,7 +64,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let row = azuregate_platform::stand_in::backend_row("shop", gone, "zone-a", "ready");
+    let row = azuregate_platform::fakes::backend_row("shop", gone, "zone-a", "ready");
     cluster.store.put("servers", "gone", row);
     let instance = cluster.start_ready_instance(1).await;
     let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
--- a/crates/azuregate/tests/serve/backends.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::{Behaviour, StoreFault, backend_row};
+use azuregate_platform::fakes::{Behaviour, StoreFault, backend_row};
 use tokio::time;
 
 use crate::cluster::{Instance, SERVICE, TestCluster, eventually, get_request};
@@ -14,11 +14,11 @@
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
         instance.send(&request).await.unwrap();
     }
-    let count = |seen: &azuregate_platform::stand_in::Seen| seen.id.starts_with(name);
+    let count = |seen: &azuregate_platform::fakes::ReceivedRequest| seen.id.starts_with(name);
     cluster
         .backends
         .iter()
-        .map(|backend| backend.seen().iter().filter(|s| count(s)).count())
+        .map(|backend| backend.received().iter().filter(|s| count(s)).count())
         .collect()
 }
 
@@ -70,7 +70,7 @@
     cluster.store.remove("op", "evacuate/zone-c");
     eventually("the zone receives requests again", async || {
         requests_per_server(&cluster, &instance, "back").await;
-        away.seen().iter().any(|seen| seen.id.starts_with("back"))
+        away.received().iter().any(|seen| seen.id.starts_with("back"))
     })
     .await;
 }
@@ -81,7 +81,7 @@
 async fn rows_expired_during_store_outage_are_retained() {
     let cluster = TestCluster::start(2).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.store.set_fault(StoreFault::Refuse(503));
+    cluster.store.set_fault(StoreFault::ErrorStatus(503));
     time::sleep(Duration::from_millis(1_500)).await;
     cluster.backends.iter().for_each(|backend| cluster.store.remove("servers", backend.id()));
     cluster.store.set_fault(StoreFault::None);
@@ -104,7 +104,7 @@
     let mut cluster = TestCluster::start(3).await;
     cluster.update_config(|config| config.timeout_ms = 200);
     let instance = cluster.start_ready_instance(1).await;
-    cluster.backends[1].set(Behaviour::Slow(Duration::from_secs(5)));
+    cluster.backends[1].set(Behaviour::Delay(Duration::from_secs(5)));
     let mut round = 0;
     eventually("the server receives no requests", async || {
         round += 1;
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::cluster::{Client, TestCluster, eventually, get_request, post_request};
 
@@ -16,16 +16,17 @@
         cluster.update_config(|config| config.timeout_ms = 10_000);
         let instance = cluster.start_ready_instance(1).await;
         let backend = cluster.backends[0].clone();
-        backend.set(Behaviour::Slow(Duration::from_secs(5)));
+        backend.set(Behaviour::Delay(Duration::from_secs(5)));
         let mut client = Client::connect(instance.traffic_addr).await;
         for number in 0..=waiting {
             client.send(&get_request("/read/x", &format!("r{number}"))).await;
         }
-        eventually("all requests reach the server", async || backend.seen().len() > waiting).await;
+        eventually("all requests reach the server", async || backend.received().len() > waiting)
+            .await;
         let left_at = Instant::now();
         drop(client);
         eventually("the backend requests are cancelled", async || {
-            backend.seen().iter().all(|seen| seen.cancelled_at.is_some())
+            backend.received().iter().all(|seen| seen.cancelled_at.is_some())
         })
         .await;
         assert!(left_at.elapsed() < Duration::from_secs(2), "{:?}", left_at.elapsed());
@@ -39,7 +40,7 @@
     let cluster = TestCluster::start(3).await;
     let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(800);
-    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Delay(pause)));
     let mut client = Client::connect(instance.traffic_addr).await;
     let requests: String = (0..3)
         .map(|number| get_request(&format!("/read/{number}"), &format!("r{number}")))
@@ -59,7 +60,7 @@
     let cluster = TestCluster::start(2).await;
     let instance = cluster.start_ready_instance(1).await;
     let pause = Duration::from_millis(300);
-    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Delay(pause)));
     let mut client = Client::connect(instance.traffic_addr).await;
     client.send(&get_request("/read/x", "r1")).await;
     client.send(&post_request("/write/x", "w1", "body")).await;
@@ -81,7 +82,7 @@
     let response = instance.send(&request).await.unwrap();
     assert_eq!(response.status, 200);
     assert_eq!(cluster.request_count("inside"), 0);
-    assert_eq!(cluster.backends[0].seen()[0].body, inside.as_bytes());
+    assert_eq!(cluster.backends[0].received()[0].body, inside.as_bytes());
 }
 
 #[tokio::test]
@@ -100,7 +101,7 @@
         let response = instance.send(&request).await;
         assert_eq!(response.map(|response| response.status), Some(status), "{line}");
     }
-    assert!(cluster.backends[0].seen().is_empty());
+    assert!(cluster.backends[0].received().is_empty());
 }
 
 /// Guards against connections held open by an incomplete request head, on new and on
--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::{StoreFault, config_row};
+use azuregate_platform::fakes::{StoreFault, config_row};
 use tokio::time;
 
 use crate::cluster::{TestCluster, eventually, get_request};
@@ -12,7 +12,7 @@
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
     assert_eq!(instance.send(&get_request("/new/x", "r1")).await.unwrap().status, 404);
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     eventually("the route is served", async || {
         instance.send(&get_request("/new/x", "r2")).await.unwrap().status == 200
     })
@@ -24,7 +24,7 @@
 async fn older_configuration_is_ignored() {
     let mut cluster = TestCluster::start(1).await;
     let old = config_row(&cluster.config);
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.put("op", "config", old);
     time::sleep(Duration::from_millis(800)).await;
@@ -36,9 +36,9 @@
 async fn silent_store_connection_is_replaced() {
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.store.set_fault(StoreFault::Silent);
+    cluster.store.set_fault(StoreFault::Hang);
     time::sleep(Duration::from_millis(300)).await;
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     cluster.store.set_fault(StoreFault::None);
     eventually("the route is served", async || {
         instance.send(&get_request("/new/x", "r1")).await.unwrap().status == 200
@@ -51,8 +51,8 @@
 async fn tables_are_reread_after_history_loss() {
     let mut cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
-    cluster.store.forget_history();
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
+    cluster.store.discard_history();
     eventually("the route is served", async || {
         instance.send(&get_request("/new/x", "r1")).await.unwrap().status == 200
     })
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn instance_without_configuration_is_not_ready() {
     let cluster = TestCluster::start(1).await;
-    cluster.store.set_fault(StoreFault::Refuse(503));
+    cluster.store.set_fault(StoreFault::ErrorStatus(503));
     let instance = cluster.start_instance(1);
     eventually("the instance responds", async || instance.readiness().await == 503).await;
     let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
@@ -91,7 +91,7 @@
 async fn unknown_route_returns_503_without_store_contact() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.store.set_fault(StoreFault::Silent);
+    cluster.store.set_fault(StoreFault::Hang);
     let status_of = |path| {
         let instance = &instance;
         async move { instance.send(&get_request(path, "r1")).await.unwrap().status }
--- a/crates/azuregate/tests/serve/relay.rs
+++ b/crates/azuregate/tests/serve/relay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::StoreFault;
+use azuregate_platform::fakes::StoreFault;
 use tokio::time;
 
 use crate::cluster::{Instance, TestCluster, eventually, get, get_request};
@@ -44,7 +44,7 @@
     // One call per change, plus one long poll that timed out before it.
     let calls = backend_watch_calls(&cluster) - before;
     assert!(calls <= 2 * 2 * changes, "{calls} calls for {changes} changes");
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     for instance in &instances {
         eventually("the change is applied", async || serves(instance, "/new/x").await).await;
     }
@@ -60,7 +60,7 @@
     for instance in instances {
         eventually("the instance has stopped", async || instance.thread.is_finished()).await;
     }
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     let changed_at = time::Instant::now();
     eventually("the change is applied", async || serves(&last, "/new/x").await).await;
     assert!(changed_at.elapsed() < Duration::from_millis(2_000));
@@ -72,7 +72,7 @@
 async fn unreachable_store_is_polled_with_backoff() {
     let mut cluster = TestCluster::start(1).await;
     let instances = start_settled(&cluster, 4).await;
-    cluster.store.set_fault(StoreFault::Refuse(503));
+    cluster.store.set_fault(StoreFault::ErrorStatus(503));
     // Let the first long polls fail and the backoff reach its maximum.
     time::sleep(Duration::from_millis(2_500)).await;
     let before = cluster.store.calls().len();
@@ -81,7 +81,7 @@
     assert!(calls <= 4 * instances.len() + 2, "{calls} calls in four seconds");
     cluster.store.set_fault(StoreFault::None);
     let returned_at = time::Instant::now();
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     for instance in &instances {
         eventually("the change is applied", async || serves(instance, "/new/x").await).await;
     }
--- a/crates/azuregate/tests/serve/responses.rs
+++ b/crates/azuregate/tests/serve/responses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::cluster::{TestCluster, eventually, get_request, post_request};
 
@@ -14,10 +14,10 @@
     assert_eq!((response.status, response.body.as_str()), (200, "answer to w1"));
     assert_eq!(response.header("x-response-signature"), Some("s-w1"));
     assert_eq!(response.header("x-backend-load"), None);
-    let seen = &cluster.backends[0].seen()[0];
-    assert_eq!(seen.line, "POST /write/a?b=%20c");
+    let seen = &cluster.backends[0].received()[0];
+    assert_eq!(seen.method_and_path, "POST /write/a?b=%20c");
     assert_eq!(seen.body, b"body");
-    assert_eq!(seen.expected_backend, "b0");
+    assert_eq!(seen.target_backend, "b0");
     assert!((1..=1_000).contains(&seen.deadline_ms), "remaining time: {} ms", seen.deadline_ms);
 }
 
@@ -33,15 +33,15 @@
 #[tokio::test]
 async fn invalid_backend_responses_are_not_reported_as_success() {
     let cases = [
-        Case { behaviour: Behaviour::LoseAnswer, read_status: 502, write_status: 502 },
-        Case { behaviour: Behaviour::CutShort, read_status: 502, write_status: 502 },
-        Case { behaviour: Behaviour::AnswerToAnother, read_status: 502, write_status: 502 },
-        Case { behaviour: Behaviour::UnframedReset, read_status: 502, write_status: 502 },
+        Case { behaviour: Behaviour::DropResponse, read_status: 502, write_status: 502 },
+        Case { behaviour: Behaviour::Truncate, read_status: 502, write_status: 502 },
+        Case { behaviour: Behaviour::StaleResponse, read_status: 502, write_status: 502 },
+        Case { behaviour: Behaviour::CloseDelimitedReset, read_status: 502, write_status: 502 },
         Case { behaviour: Behaviour::Unsigned, read_status: 502, write_status: 502 },
-        Case { behaviour: Behaviour::Fail, read_status: 500, write_status: 500 },
+        Case { behaviour: Behaviour::ServerError, read_status: 500, write_status: 500 },
         Case { behaviour: Behaviour::Reject, read_status: 503, write_status: 503 },
-        Case { behaviour: Behaviour::AnotherServer, read_status: 503, write_status: 503 },
-        Case { behaviour: Behaviour::Unframed, read_status: 200, write_status: 200 },
+        Case { behaviour: Behaviour::Misdirect, read_status: 503, write_status: 503 },
+        Case { behaviour: Behaviour::CloseDelimited, read_status: 200, write_status: 200 },
     ];
     for case in cases {
         let cluster = TestCluster::start(2).await;
@@ -63,7 +63,7 @@
 async fn duplicate_response_is_not_delivered_to_next_request() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.backends[0].set(Behaviour::AnswerTwice);
+    cluster.backends[0].set(Behaviour::DuplicateResponse);
     for number in 0..10 {
         let id = format!("r{number}");
         let response = instance.send(&get_request("/read/x", &id)).await.unwrap();
@@ -76,11 +76,11 @@
 /// Guards against a read failing although another server can serve it.
 #[tokio::test]
 async fn failed_read_is_retried_on_another_server() {
-    for behaviour in [Behaviour::LoseAnswer, Behaviour::CutShort, Behaviour::Fail] {
+    for behaviour in [Behaviour::DropResponse, Behaviour::Truncate, Behaviour::ServerError] {
         let cluster = TestCluster::start(2).await;
         let instance = cluster.start_ready_instance(1).await;
         instance.send(&get_request("/read/x", "first")).await.unwrap();
-        let used = cluster.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let used = cluster.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
         let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
         assert_eq!(
@@ -99,14 +99,14 @@
     let mut cluster = TestCluster::start(1).await;
     cluster.update_config(|config| config.timeout_ms = 400);
     let instance = cluster.start_ready_instance(1).await;
-    cluster.backends[0].set(Behaviour::Slow(Duration::from_secs(5)));
+    cluster.backends[0].set(Behaviour::Delay(Duration::from_secs(5)));
     let start = std::time::Instant::now();
     let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
     assert_eq!(response.status, 504);
     assert!(start.elapsed() < Duration::from_millis(2_500), "took {:?}", start.elapsed());
     let backend = cluster.backends[0].clone();
     eventually("the backend request is cancelled", async || {
-        backend.seen()[0].cancelled_at.is_some()
+        backend.received()[0].cancelled_at.is_some()
     })
     .await;
 }
--- a/crates/azuregate/tests/serve/shutdown.rs
+++ b/crates/azuregate/tests/serve/shutdown.rs
@@ -7,7 +7,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 use rustix::{
     fs::{CWD, Mode, mkfifoat},
     process::{Pid, Signal, kill_process},
@@ -22,7 +22,7 @@
 async fn requests_during_shutdown_are_answered() {
     let cluster = TestCluster::start(1).await;
     let instance = cluster.start_ready_instance(1).await;
-    cluster.backends[0].set(Behaviour::Slow(Duration::from_millis(300)));
+    cluster.backends[0].set(Behaviour::Delay(Duration::from_millis(300)));
     let mut client = Client::connect(instance.traffic_addr).await;
     let mut idle = Client::connect(instance.traffic_addr).await;
     client.send(&post_request("/write/x", "w1", "body")).await;
--- a/crates/azuregate/tests/serve/slow_links.rs
+++ b/crates/azuregate/tests/serve/slow_links.rs
@@ -85,7 +85,7 @@
         instances.iter().for_each(|(_, link)| link.set_delay(delay));
         time::sleep(Duration::from_millis(700)).await;
     }
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     let elapsed = time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
     assert!(elapsed < PROPAGATION_LIMIT, "applied after {elapsed:?}");
 }
@@ -99,7 +99,7 @@
     let sent_bytes = || instances.iter().map(|(_, link)| link.sent_bytes()).collect::<Vec<_>>();
     let before = sent_bytes();
     cluster.update_config(|config| {
-        config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
+        config.extra_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     time_until_served_by_all(&instances, "/more1399/x", Instant::now()).await;
     // The link cannot transmit more within the limit.
@@ -127,7 +127,7 @@
         (4..=8).contains(&silent),
         "two watchers and two relays per zone expected, got {silent}"
     );
-    cluster.update_config(|config| config.more_prefixes.push("/new/".to_owned()));
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     // Over the links, the change would take an hour.
     time_until_served_by_all(&instances, "/new/x", Instant::now()).await;
 }
@@ -138,7 +138,7 @@
 async fn large_configuration_is_read_over_a_slow_link() {
     let mut cluster = TestCluster::start(1).await;
     cluster.update_config(|config| {
-        config.more_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
+        config.extra_prefixes.extend((0..1_400).map(|n| format!("/more{n}/")));
     });
     let ip = format!("{}.200", cluster.network).parse().unwrap();
     let slow = LinkConditions { bytes_per_s: 150_000, delay: Duration::ZERO };
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -1,4 +1,4 @@
-//! Entry instances as processes of their own.
+//! Entry instances that run as processes.
 
 use std::{
     fs::{self, File},
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use azuregate_platform::stand_in::settings_text;
+use azuregate_platform::fakes::settings_text;
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::time;
 
@@ -22,41 +22,41 @@
     cluster::{FIRST_PORT, PEER_PORT},
 };
 
-/// Time from SIGTERM in which a process must end, as its settings say.
-const GRACE: Duration = Duration::from_secs(6);
+/// Time between SIGTERM and the exit of a process, as in the settings fixture.
+const GRACE_PERIOD: Duration = Duration::from_secs(6);
 
-/// One instance: a process now, or none while it is started anew.
+/// One instance, which has no process while it restarts.
 pub(crate) struct Process {
-    pub(crate) traffic: SocketAddr,
-    pub(crate) ready: SocketAddr,
-    pub(crate) lookups: SocketAddr,
+    pub(crate) traffic_addr: SocketAddr,
+    pub(crate) readiness_addr: SocketAddr,
+    pub(crate) lookup_addr: SocketAddr,
     settings: PathBuf,
     text: String,
     log: PathBuf,
     child: Mutex<Option<Child>>,
-    /// Length of the log when the process was started.
-    logged_bytes: AtomicU64,
+    /// Length of the log when the process started.
+    log_start_bytes: AtomicU64,
 }
 
 impl Process {
-    /// Starts instance `number` at `ip`, which finds the store at `store`.
-    pub(crate) fn start(folder: &Path, number: usize, ip: IpAddr, store: SocketAddr) -> Process {
+    /// Starts instance `number` at `ip`, with the store at `store`.
+    pub(crate) fn start(dir: &Path, number: usize, ip: IpAddr, store: SocketAddr) -> Process {
         let name = format!("entry-{number}");
         let (zone, region) = ZONES[number % ZONES.len()];
         let text = settings_text(&name, &ip.to_string(), FIRST_PORT, PEER_PORT, store)
             .replace("self.zone=zone-a", &format!("self.zone={zone}"))
             .replace("self.region=region-1", &format!("self.region={region}"));
-        let settings = folder.join(format!("{name}.conf"));
+        let settings = dir.join(format!("{name}.conf"));
         fs::write(&settings, &text).unwrap();
         let process = Process {
-            traffic: SocketAddr::new(ip, FIRST_PORT),
-            ready: SocketAddr::new(ip, FIRST_PORT + 1),
-            lookups: SocketAddr::new(ip, FIRST_PORT + 2),
+            traffic_addr: SocketAddr::new(ip, FIRST_PORT),
+            readiness_addr: SocketAddr::new(ip, FIRST_PORT + 1),
+            lookup_addr: SocketAddr::new(ip, FIRST_PORT + 2),
             settings,
             text,
-            log: folder.join(format!("{name}.log")),
+            log: dir.join(format!("{name}.log")),
             child: Mutex::new(None),
-            logged_bytes: AtomicU64::new(0),
+            log_start_bytes: AtomicU64::new(0),
         };
         process.spawn();
         process
@@ -64,7 +64,7 @@
 
     fn spawn(&self) {
         let log = File::options().create(true).append(true).open(&self.log).unwrap();
-        self.logged_bytes.store(log.metadata().unwrap().len(), Ordering::Relaxed);
+        self.log_start_bytes.store(log.metadata().unwrap().len(), Ordering::Relaxed);
         let child = Command::new(env!("CARGO_BIN_EXE_azuregate"))
             .arg("serve")
             .env("AZUREGATE_SETTINGS", &self.settings)
@@ -83,18 +83,18 @@
         }
     }
 
-    /// Kills the process and starts it anew after `pause`.
-    pub(crate) async fn kill(&self, pause: Duration) {
+    /// Kills the process and restarts it after `downtime`.
+    pub(crate) async fn kill(&self, downtime: Duration) {
         let child = self.child.lock().unwrap().take();
         let Some(mut child) = child else { return };
         let _ = child.kill();
         let _ = child.wait();
-        time::sleep(pause).await;
+        time::sleep(downtime).await;
         self.spawn();
     }
 
-    /// Stops the process as planned and starts it anew. Returns what was wrong
-    /// with its end.
+    /// Shuts the process down and restarts it. Returns a problem if the shutdown failed or
+    /// took too long.
     pub(crate) async fn stop(&self) -> Option<String> {
         self.signal(Signal::CONT);
         self.signal(Signal::TERM);
@@ -104,13 +104,13 @@
         let problem = loop {
             match child.try_wait().unwrap() {
                 Some(status) if status.success() => break None,
-                // It has not opened its ports, and nothing can be lost.
-                Some(status) if is_sigterm(status) && !self.has_logged() => break None,
-                Some(status) => break Some(format!("ended with {status}")),
-                None if start.elapsed() > GRACE => {
+                // It was stopped before it opened its ports, so no request is lost.
+                Some(status) if ended_by_sigterm(status) && !self.has_logged() => break None,
+                Some(status) => break Some(format!("exited with {status}")),
+                None if start.elapsed() > GRACE_PERIOD => {
                     let _ = child.kill();
                     let _ = child.wait();
-                    break Some("did not end in time".to_owned());
+                    break Some("did not exit within the grace period".to_owned());
                 }
                 None => time::sleep(Duration::from_millis(20)).await,
             }
@@ -120,39 +120,40 @@
         problem
     }
 
-    /// Whether the process has said anything since it was started.
+    /// Returns whether the process has logged anything since it started.
     fn has_logged(&self) -> bool {
         let length = fs::metadata(&self.log).unwrap().len();
-        length > self.logged_bytes.load(Ordering::Relaxed)
+        length > self.log_start_bytes.load(Ordering::Relaxed)
     }
 
-    /// Pauses the process.
-    pub(crate) async fn freeze(&self, pause: Duration) {
+    /// Pauses the process with SIGSTOP.
+    pub(crate) async fn pause(&self, duration: Duration) {
         self.signal(Signal::STOP);
-        time::sleep(pause).await;
+        time::sleep(duration).await;
         self.signal(Signal::CONT);
     }
 
-    /// Changes the settings and says so, or leaves it to the process to notice.
-    pub(crate) fn change_settings(&self, hangs_up: bool) {
+    /// Changes the settings file. Without SIGHUP the process must notice by itself.
+    pub(crate) fn change_settings(&self, send_sighup: bool) {
         let burst = fastrand::u32(10..90);
         let text = format!("{}terms.bounds.retryBurst={burst}\n", self.text);
         fs::write(&self.settings, text).unwrap();
-        if hangs_up {
+        if send_sighup {
             self.signal(Signal::HUP);
         }
     }
 
-    /// How the process ended by itself, if it did.
-    pub(crate) fn own_end(&self) -> Option<String> {
+    /// Returns a problem if the process exited without being told to.
+    pub(crate) fn unexpected_exit(&self) -> Option<String> {
         let mut child = self.child.lock().unwrap();
         let status = child.as_mut()?.try_wait().unwrap()?;
-        Some(format!("{} ended by itself with {status}", self.log.display()))
+        Some(format!("{} exited unexpectedly with {status}", self.log.display()))
     }
 }
 
-/// Whether a process ended by SIGTERM, which it does until it handles that signal.
-fn is_sigterm(status: ExitStatus) -> bool {
+/// Returns whether SIGTERM terminated a process, as it does before the process installs
+/// its handler.
+fn ended_by_sigterm(status: ExitStatus) -> bool {
     status.signal() == Some(Signal::TERM.as_raw())
 }
 
