--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -26,11 +26,11 @@
 
 /// The path that followers connect to.
 pub(super) const CHANGES_PATH: &str = "/v1/changes";
-/// The open timeout covers two round trips between regions.
+/// The handshake takes two round trips, possibly between regions.
 pub(super) const SOCKET_LIMITS: SocketLimits =
     SocketLimits { max_frame_bytes: 1 << 20, handshake_timeout_ms: 700 };
-/// The interval of responses without changes. Three of them fit into the time after
-/// which followers consider a source lost.
+/// A request is answered after this time even without changes. Three such responses fit
+/// into the time after which followers consider a source lost.
 const RESPONSE_INTERVAL_MS: u64 = 400;
 /// A follower is notified at once if the tables are confirmed current this much later than
 /// before. Delays add up along a chain of followers and would exceed their freshness
