--- a/crates/azuregate/src/serve/table_watch.rs
+++ b/crates/azuregate/src/serve/table_watch.rs
@@ -191,9 +191,7 @@
     /// Returns the long-poll timeout of a watch.
     ///
     /// A dead connection is detected only when the poll times out. The backends watch has
-    /// the shortest timeout, since it also determines whether the store is reachable. The
-    /// timeout of the operator watch is the time within which an instance must regain
-    /// contact.
+    /// the shortest timeout, since it also determines whether the store is reachable.
     fn poll_timeout_ms(&self) -> u64 {
         match self.table {
             Table::Members => MEMBERS_POLL_TIMEOUT_MS,
