--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -227,7 +227,8 @@
         ));
     }
     in_flight.release_connection();
-    // The server's value is replaced by the length of the buffered body.
+    // hyper sets the length of the buffered body. The response to a HEAD request has no
+    // body and keeps the server's value.
     if outgoing.method != Method::HEAD {
         parts.headers.remove(header::CONTENT_LENGTH);
     }
