--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -60,11 +60,11 @@
 #[tokio::test]
 async fn request_fails_when_no_server_is_reachable() {
     let cluster = TestCluster::start(0).await;
-    let gone = {
+    let unused_addr = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let row = azuregate_platform::fakes::backend_row("shop", gone, "zone-a", "ready");
+    let row = azuregate_platform::fakes::backend_row("shop", unused_addr, "zone-a", "ready");
     cluster.store.put("servers", "gone", row);
     let instance = cluster.start_ready_instance(1).await;
     let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
--- a/crates/azuregate/tests/serve/backends.rs
+++ b/crates/azuregate/tests/serve/backends.rs
@@ -14,11 +14,12 @@
         let request = request.replace("X-Affinity-Key: 17", &format!("X-Affinity-Key: k{number}"));
         instance.send(&request).await.unwrap();
     }
-    let count = |seen: &azuregate_platform::fakes::ReceivedRequest| seen.id.starts_with(name);
+    let is_counted =
+        |request: &azuregate_platform::fakes::ReceivedRequest| request.id.starts_with(name);
     cluster
         .backends
         .iter()
-        .map(|backend| backend.received().iter().filter(|s| count(s)).count())
+        .map(|backend| backend.received().iter().filter(|request| is_counted(request)).count())
         .collect()
 }
 
@@ -58,7 +59,7 @@
 #[tokio::test]
 async fn evacuated_zone_receives_no_requests() {
     let mut cluster = TestCluster::start(1).await;
-    let away = cluster.add_backend("zone-c").await;
+    let evacuated = cluster.add_backend("zone-c").await;
     let instance = cluster.start_ready_instance(1).await;
     cluster.store.put("op", "evacuate/zone-c", "{}");
     let mut round = 0;
@@ -70,7 +71,7 @@
     cluster.store.remove("op", "evacuate/zone-c");
     eventually("the zone receives requests again", async || {
         requests_per_server(&cluster, &instance, "back").await;
-        away.received().iter().any(|seen| seen.id.starts_with("back"))
+        evacuated.received().iter().any(|request| request.id.starts_with("back"))
     })
     .await;
 }
--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -23,13 +23,17 @@
         }
         eventually("all requests reach the server", async || backend.received().len() > waiting)
             .await;
-        let left_at = Instant::now();
+        let disconnected_at = Instant::now();
         drop(client);
         eventually("the backend requests are cancelled", async || {
-            backend.received().iter().all(|seen| seen.cancelled_at.is_some())
+            backend.received().iter().all(|request| request.cancelled_at.is_some())
         })
         .await;
-        assert!(left_at.elapsed() < Duration::from_secs(2), "{:?}", left_at.elapsed());
+        assert!(
+            disconnected_at.elapsed() < Duration::from_secs(2),
+            "{:?}",
+            disconnected_at.elapsed()
+        );
     }
 }
 
--- a/crates/azuregate/tests/serve/cluster.rs
+++ b/crates/azuregate/tests/serve/cluster.rs
@@ -128,8 +128,8 @@
 
     /// Returns how many requests with this ID the backend servers have received.
     pub(crate) fn request_count(&self, id: &str) -> usize {
-        let seen = self.backends.iter().flat_map(FakeBackend::received);
-        seen.filter(|seen| seen.id == id).count()
+        let received = self.backends.iter().flat_map(FakeBackend::received);
+        received.filter(|request| request.id == id).count()
     }
 }
 
--- a/crates/azuregate/tests/serve/responses.rs
+++ b/crates/azuregate/tests/serve/responses.rs
@@ -14,11 +14,15 @@
     assert_eq!((response.status, response.body.as_str()), (200, "answer to w1"));
     assert_eq!(response.header("x-response-signature"), Some("s-w1"));
     assert_eq!(response.header("x-backend-load"), None);
-    let seen = &cluster.backends[0].received()[0];
-    assert_eq!(seen.method_and_path, "POST /write/a?b=%20c");
-    assert_eq!(seen.body, b"body");
-    assert_eq!(seen.target_backend, "b0");
-    assert!((1..=1_000).contains(&seen.deadline_ms), "remaining time: {} ms", seen.deadline_ms);
+    let received = &cluster.backends[0].received()[0];
+    assert_eq!(received.method_and_path, "POST /write/a?b=%20c");
+    assert_eq!(received.body, b"body");
+    assert_eq!(received.target_backend, "b0");
+    assert!(
+        (1..=1_000).contains(&received.deadline_ms),
+        "remaining time: {} ms",
+        received.deadline_ms
+    );
 }
 
 /// The expected statuses when all backend servers behave in this way.
