--- a/crates/azuregate-core/benches/balance.rs
+++ b/crates/azuregate-core/benches/balance.rs
@@ -5,7 +5,7 @@
 use std::{collections::BTreeMap, hint::black_box};
 
 use azuregate_core::{
-    balance::{Backend, Balancer, Members, Outcome, Query, Settings},
+    balance::{Backend, BackendQuery, Balancer, Members, Outcome, Settings},
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
 };
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -47,10 +47,10 @@
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter(|| {
                 object += 1;
-                let query = Query {
+                let query = BackendQuery {
                     service: &service,
                     object: black_box(object),
-                    is_large: false,
+                    has_large_body: false,
                     tried: &[],
                     home_regions: &[],
                 };
--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    ByObject, Candidate, ColdBudget, Config, Health, InFlightAt, Members, Outcome, Placement,
-    Usual, others::Others, regional::RegionalObjects,
+    Candidate, ColdBudget, Config, Health, InFlightAt, LoadBalancingPolicy, Members,
+    ObjectAffinity, Outcome, Usual, others::Others, regional::RegionalObjects,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -149,7 +149,7 @@
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) settings: Settings,
-    pub(super) placement: Box<dyn Placement>,
+    pub(super) policy: Box<dyn LoadBalancingPolicy>,
     config: Option<Arc<Config>>,
     evacuated: BTreeSet<ZoneName>,
     pub(super) services: BTreeMap<ServiceName, Group>,
@@ -161,16 +161,16 @@
 }
 
 impl Balancer {
-    /// A balancer that knows no backend server yet and chooses [`ByObject`].
+    /// A balancer that knows no backend server yet and chooses [`ObjectAffinity`].
     pub fn new(settings: Settings) -> Balancer {
-        Balancer::with_placement(settings, Box::new(ByObject))
+        Balancer::with_policy(settings, Box::new(ObjectAffinity))
     }
 
-    /// A balancer that knows no backend server yet and chooses by `placement`.
-    pub fn with_placement(settings: Settings, placement: Box<dyn Placement>) -> Balancer {
+    /// A balancer that knows no backend server yet and chooses by `policy`.
+    pub fn with_policy(settings: Settings, policy: Box<dyn LoadBalancingPolicy>) -> Balancer {
         Balancer {
             settings,
-            placement,
+            policy,
             config: None,
             evacuated: BTreeSet::new(),
             services: BTreeMap::new(),
--- a/crates/azuregate-core/src/balance/place.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{
-    Backend, BackendHandle, Balancer, Candidate, Placed, Settings, Standing, backends::Node,
+    Backend, BackendHandle, Balancer, Candidate, Decision, HealthStatus, Settings, backends::Node,
 };
 use crate::{
     names::{BackendId, RegionName, ServiceName},
@@ -28,14 +28,14 @@
 
 /// A request that needs a backend server.
 #[derive(Clone, Copy, Debug)]
-pub struct Query<'a> {
+pub struct BackendQuery<'a> {
     /// The service that it goes to.
     pub service: &'a ServiceName,
     /// What it is about, by [`object_hash`].
     pub object: u64,
     /// Whether its body is so large that the way counts more than a server that
     /// knows the object.
-    pub is_large: bool,
+    pub has_large_body: bool,
     /// Servers that have had the request already.
     pub tried: &'a [BackendHandle],
     /// The only regions that may serve it; all if empty.
@@ -67,9 +67,9 @@
 
 /// What a choice is based on, to explain a refusal.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
-pub struct Basis {
+pub struct Explanation {
     /// Servers that the request may use.
-    pub open_servers: usize,
+    pub eligible_servers: usize,
     /// The servers that were considered, the preferred one first, with the requests of
     /// all instances there and the server's slots.
     pub servers: Vec<(BackendId, u32, u32)>,
@@ -77,9 +77,9 @@
     pub oldest_report_ms: u64,
 }
 
-impl fmt::Display for Basis {
+impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "open:{} oldest_report_ms:{}", self.open_servers, self.oldest_report_ms)?;
+        write!(f, "open:{} oldest_report_ms:{}", self.eligible_servers, self.oldest_report_ms)?;
         for (id, in_flight, slots) in &self.servers {
             write!(f, " {id}:{in_flight}/{slots}")?;
         }
@@ -88,10 +88,10 @@
 }
 
 impl Balancer {
-    /// Chooses a server for a request by the balancer's [`super::Placement`] and counts
+    /// Chooses a server for a request by the balancer's [`super::LoadBalancingPolicy`] and counts
     /// the request there until [`Balancer::end`]; `None` if no server may get it.
-    pub fn choose(&mut self, query: &Query<'_>, now_ms: u64) -> Option<Choice> {
-        let handle = self.place(query, now_ms).chosen?;
+    pub fn choose(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Option<Choice> {
+        let handle = self.decide(query, now_ms).chosen?;
         let node = self.node_mut(query.service, handle)?;
         node.in_flight += 1;
         if node.is_cold(now_ms) {
@@ -102,23 +102,23 @@
     }
 
     /// What [`Balancer::choose`] goes by for `query`.
-    pub fn basis(&mut self, query: &Query<'_>, now_ms: u64) -> Basis {
-        let placed = self.place(query, now_ms);
-        let servers = placed.considered.into_iter().flatten().filter_map(|server| {
+    pub fn explain(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Explanation {
+        let decision = self.decide(query, now_ms);
+        let servers = decision.considered.into_iter().flatten().filter_map(|server| {
             let backend = self.backend(server.handle)?;
             Some((backend.id.clone(), server.in_flight, server.slots))
         });
-        Basis {
-            open_servers: placed.open_servers,
+        Explanation {
+            eligible_servers: decision.eligible_servers,
             servers: servers.collect(),
             oldest_report_ms: self.oldest_report_ms(now_ms),
         }
     }
 
-    fn place(&mut self, query: &Query<'_>, now_ms: u64) -> Placed {
-        let Balancer { settings, services, placement, candidates, regional, .. } = self;
+    fn decide(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Decision {
+        let Balancer { settings, services, policy, candidates, regional, .. } = self;
         let prefers_region = !regional.are_shared();
-        let Some(group) = services.get_mut(query.service) else { return Placed::default() };
+        let Some(group) = services.get_mut(query.service) else { return Decision::default() };
         group.compare(now_ms);
         let open = group.nodes.iter_mut().filter_map(|node| {
             is_open(settings, node, query, now_ms)
@@ -126,11 +126,11 @@
         });
         candidates.clear();
         candidates.extend(open);
-        placement.place(query.is_large, candidates)
+        policy.choose(query.has_large_body, candidates)
     }
 }
 
-fn is_open(settings: &Settings, node: &mut Node, query: &Query<'_>, now_ms: u64) -> bool {
+fn is_open(settings: &Settings, node: &mut Node, query: &BackendQuery<'_>, now_ms: u64) -> bool {
     !node.backend.is_draining
         && !node.is_evacuated
         && !query.tried.contains(&node.handle)
@@ -138,11 +138,16 @@
         && (!node.is_cold(now_ms) || node.cold.has_room(node.cold_limit, now_ms))
 }
 
-fn candidate(node: &Node, query: &Query<'_>, prefers_region: bool, now_ms: u64) -> Candidate {
-    let standing = match (node.health.is_paused(now_ms), node.is_outlier) {
-        (true, _) => Standing::Paused,
-        (false, true) => Standing::Outlier,
-        (false, false) => Standing::Well,
+fn candidate(
+    node: &Node,
+    query: &BackendQuery<'_>,
+    prefers_region: bool,
+    now_ms: u64,
+) -> Candidate {
+    let status = match (node.health.is_paused(now_ms), node.is_outlier) {
+        (true, _) => HealthStatus::InBackoff,
+        (false, true) => HealthStatus::Outlier,
+        (false, false) => HealthStatus::Healthy,
     };
     let hash = mix(node.seed ^ query.object);
     let is_preferred = prefers_region && node.distance != Distance::OtherRegion;
@@ -150,7 +155,7 @@
         handle: node.handle,
         hash: if is_preferred { counted_twice(hash) } else { hash },
         distance: node.distance,
-        standing,
+        status,
         in_flight: node.total_in_flight(),
         slots: node.backend.slots,
     }
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -11,7 +11,7 @@
 * [`Config`] is the operator's configuration; [`Backend`] and [`Member`] are what
   backend servers and entry instances say of themselves.
 * [`Balancer`] holds the state of all backend servers and decides where a request
-  goes, by the rule of a [`Placement`], which is [`ByObject`].
+  goes, by the rule of a [`LoadBalancingPolicy`], which is [`ObjectAffinity`].
 * [`RetryBudget`] and [`ColdBudget`] bound what all instances do together, each
   by a share of its own.
 * [`Members`] tells which entry instances clients should use.
@@ -20,6 +20,7 @@
 */
 
 mod backends;
+mod choice;
 mod cold;
 mod config;
 mod datagrams;
@@ -27,15 +28,15 @@
 mod lapsed;
 mod members;
 mod others;
-mod place;
+mod policy;
 mod regional;
 mod retry_budget;
 mod return_after;
-mod rule;
 mod sources;
 mod split;
 
 pub use backends::{Backend, BackendHandle, Balancer, Settings};
+pub use choice::{BackendQuery, Choice, Explanation, object_hash};
 pub use cold::ColdBudget;
 pub use config::{
     CallerLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
@@ -45,9 +46,8 @@
 pub use lapsed::Lapsed;
 pub use members::{LifeSign, Member, Members};
 pub use others::InFlightAt;
-pub use place::{Basis, Choice, Query, object_hash};
+pub use policy::{Candidate, Decision, HealthStatus, LoadBalancingPolicy, ObjectAffinity};
 pub use retry_budget::RetryBudget;
 pub use return_after::NotServed;
-pub use rule::{ByObject, Candidate, Placed, Placement, Standing};
 pub use sources::Sources;
 pub use split::Split;
--- a/crates/azuregate-core/src/balance/rule.rs
+++ b/crates/azuregate-core/src/balance/policy.rs
@@ -7,13 +7,13 @@
 
 /// How well a server has done lately, the best first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub enum Standing {
+pub enum HealthStatus {
     /// Like the others.
-    Well,
+    Healthy,
     /// Much worse than the other servers of its service.
     Outlier,
     /// The last requests did not get through.
-    Paused,
+    InBackoff,
 }
 
 /// A server that may get a request.
@@ -27,7 +27,7 @@
     /// How far it is from the instance that decides.
     pub distance: Distance,
     /// How well it has done.
-    pub standing: Standing,
+    pub status: HealthStatus,
     /// Requests of all instances that it has, as far as is known.
     pub in_flight: u32,
     /// Requests that it processes at the same time.
@@ -36,28 +36,28 @@
 
 impl Candidate {
     /// Whether it has a place, with at most `queue` requests beyond its slots.
-    pub fn has_place(&self, queue: u32) -> bool {
+    pub fn has_capacity(&self, queue: u32) -> bool {
         self.in_flight < self.slots + queue
     }
 }
 
 /// What a rule made of the candidates.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Placed {
+pub struct Decision {
     /// The server that gets the request; `None` if it is refused.
     pub chosen: Option<BackendHandle>,
     /// The servers that were considered, the preferred one first.
     pub considered: [Option<Candidate>; 2],
     /// How many candidates there were.
-    pub open_servers: usize,
+    pub eligible_servers: usize,
 }
 
 /// A rule of placement. It has no state: what it goes by is in the candidates, so
 /// that all instances come to the same choice.
-pub trait Placement: fmt::Debug {
-    /// Chooses among `candidates` for a request whose body `is_large`, that is so
+pub trait LoadBalancingPolicy: fmt::Debug {
+    /// Chooses among `candidates` for a request. `has_large_body` says that its body is so
     /// large that the way counts more than a server that knows the object.
-    fn place(&self, is_large: bool, candidates: &[Candidate]) -> Placed;
+    fn choose(&self, has_large_body: bool, candidates: &[Candidate]) -> Decision;
 }
 
 /// Requests beyond its slots that may wait at the first server of an object before
@@ -84,24 +84,24 @@
 /// than it remembers, all work would be cold, and the overload would outlast its
 /// cause.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ByObject;
+pub struct ObjectAffinity;
 
-impl Placement for ByObject {
-    fn place(&self, is_large: bool, candidates: &[Candidate]) -> Placed {
+impl LoadBalancingPolicy for ObjectAffinity {
+    fn choose(&self, has_large_body: bool, candidates: &[Candidate]) -> Decision {
         let owners = Best::of(candidates, |server| rank(server, Distance::SameZone));
-        let (first, second, queue) = if is_large {
+        let (first, second, queue) = if has_large_body {
             let nearest = Best::of(candidates, |server| rank(server, zone_or_far(server))).first;
             (nearest, nearest.and_then(|near| owners.other_than(near)), SHORT_QUEUE_LARGE)
         } else {
             (owners.first, owners.second, SHORT_QUEUE)
         };
-        let at_first = |queue| first.filter(|server| server.has_place(queue));
-        let at_second = || second.filter(|server| server.has_place(0));
+        let at_first = |queue| first.filter(|server| server.has_capacity(queue));
+        let at_second = || second.filter(|server| server.has_capacity(0));
         let chosen = at_first(queue).or_else(at_second).or_else(|| at_first(QUEUE_LIMIT));
-        Placed {
+        Decision {
             chosen: chosen.map(|server| server.handle),
             considered: [first.copied(), second.copied()],
-            open_servers: candidates.len(),
+            eligible_servers: candidates.len(),
         }
     }
 }
@@ -115,12 +115,12 @@
     }
 }
 
-/// Orders servers: by their standing, then by how far they are, then by the object.
+/// Orders servers: by their status, then by how far they are, then by the object.
 /// The lowest rank is the best. One number, since the order is asked for each
 /// server at each choice; the hash keeps 56 of its bits.
 fn rank(server: &Candidate, distance: Distance) -> u64 {
-    let place = (server.standing as u64) << 2 | distance as u64;
-    place << 56 | !server.hash >> 8
+    let group = (server.status as u64) << 2 | distance as u64;
+    group << 56 | !server.hash >> 8
 }
 
 /// The best two servers in some order.
--- a/crates/azuregate-core/tests/balance/place.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -1,7 +1,7 @@
 //! Which server a request goes to.
 
 use azuregate_core::{
-    balance::{Balancer, InFlightAt, Outcome, Query},
+    balance::{BackendQuery, Balancer, InFlightAt, Outcome},
     names::{RegionName, ZoneName},
 };
 use proptest::prelude::*;
@@ -11,14 +11,14 @@
 const OBJECTS: u64 = 200;
 
 /// The server of each object while nothing else is in flight.
-fn placement(balancer: &mut Balancer) -> Vec<String> {
+fn chosen_servers(balancer: &mut Balancer) -> Vec<String> {
     let service = service();
-    let place = |object| {
+    let chosen_server = |object| {
         let choice = balancer.choose(&query(&service, object), 0).unwrap();
         balancer.end(choice.handle, Outcome::Cancelled, 0);
         choice.backend.id.as_str().to_owned()
     };
-    (0..OBJECTS).map(place).collect()
+    (0..OBJECTS).map(chosen_server).collect()
 }
 
 /// Instances of a region send an object to the same server. Those of other regions
@@ -26,13 +26,13 @@
 #[test]
 fn all_instances_of_a_region_send_an_object_to_the_same_server() {
     for first in [0, 2, 4] {
-        let expected = placement(&mut balancer(first, 12, 24));
+        let expected = chosen_servers(&mut balancer(first, 12, 24));
         for own in 0..12 {
-            let placed = placement(&mut balancer(own, 12, 24));
-            let same = placed.iter().zip(&expected).filter(|(a, b)| a == b).count();
+            let chosen = chosen_servers(&mut balancer(own, 12, 24));
+            let same = chosen.iter().zip(&expected).filter(|(a, b)| a == b).count();
             let is_own_region = ZONES[own % ZONES.len()].1 == ZONES[first].1;
-            let least = if is_own_region { placed.len() } else { placed.len() * 6 / 10 };
-            assert!(same >= least, "{same} of {} for {first} and {own}", placed.len());
+            let least = if is_own_region { chosen.len() } else { chosen.len() * 6 / 10 };
+            assert!(same >= least, "{same} of {} for {first} and {own}", chosen.len());
         }
     }
 }
@@ -57,9 +57,9 @@
 #[test]
 fn objects_of_other_servers_stay_when_one_leaves() {
     let mut balancer = balancer(0, 9, 24);
-    let before = placement(&mut balancer);
+    let before = chosen_servers(&mut balancer);
     balancer.remove("server-5");
-    let after = placement(&mut balancer);
+    let after = chosen_servers(&mut balancer);
     for (before, after) in before.iter().zip(&after) {
         assert!(before == after || before == "server-5");
         assert_ne!(after, "server-5");
@@ -92,7 +92,7 @@
     for (name, change) in cases {
         let mut balancer = balancer(0, 9, 24);
         change(&mut balancer);
-        assert!(!placement(&mut balancer).contains(&"server-5".to_owned()), "{name}");
+        assert!(!chosen_servers(&mut balancer).contains(&"server-5".to_owned()), "{name}");
     }
 }
 
@@ -111,8 +111,8 @@
     let expected = [&[first; 6][..], &[second; 3], &[first; 2]].concat();
     assert_eq!(servers.iter().collect::<Vec<_>>(), expected);
     // Whoever asks why gets what the refusal went by.
-    let basis = balancer.basis(&query(&service, 7), 0).to_string();
-    assert_eq!(basis, format!("open:24 oldest_report_ms:0 {first}:8/3 {second}:3/3"));
+    let explanation = balancer.explain(&query(&service, 7), 0).to_string();
+    assert_eq!(explanation, format!("open:24 oldest_report_ms:0 {first}:8/3 {second}:3/3"));
 }
 
 /// Another instance says that it has eight requests at an object's server. This
@@ -140,7 +140,7 @@
     let mut balancer = balancer(0, 9, 24);
     let service = service();
     for object in 0..OBJECTS {
-        let query = Query { is_large: true, ..query(&service, object) };
+        let query = BackendQuery { has_large_body: true, ..query(&service, object) };
         let choice = balancer.choose(&query, 0).unwrap();
         balancer.end(choice.handle, Outcome::Cancelled, 0);
         assert_eq!(choice.backend.zone.as_str(), "a1");
@@ -158,7 +158,7 @@
             ["a", "b", "c"].iter().take(home).map(|name| RegionName::new(name)).collect();
         let mut tried = Vec::new();
         for _ in 0..tries {
-            let query = Query { tried: &tried, home_regions: &homes, ..query(&service, object) };
+            let query = BackendQuery { tried: &tried, home_regions: &homes, ..query(&service, object) };
             let choice = balancer.choose(&query, 0).unwrap();
             prop_assert!(!tried.contains(&choice.handle));
             let region = &choice.backend.zone.as_str()[..1];
--- a/crates/azuregate-core/tests/balance/large.rs
+++ b/crates/azuregate-core/tests/balance/large.rs
@@ -8,7 +8,8 @@
 
 use azuregate_core::{
     balance::{
-        Backend, BackendHandle, Balancer, ByObject, Candidate, Outcome, Placed, Placement, Query,
+        Backend, BackendHandle, BackendQuery, Balancer, Candidate, Decision, LoadBalancingPolicy,
+        ObjectAffinity, Outcome,
     },
     names::ZoneName,
 };
@@ -28,16 +29,16 @@
 #[derive(Debug)]
 struct NearestOnly;
 
-impl Placement for NearestOnly {
-    fn place(&self, _is_large: bool, candidates: &[Candidate]) -> Placed {
+impl LoadBalancingPolicy for NearestOnly {
+    fn choose(&self, _has_large_body: bool, candidates: &[Candidate]) -> Decision {
         let mut ranked: Vec<&Candidate> = candidates.iter().collect();
-        ranked.sort_by_key(|server| (server.standing, server.distance, !server.hash));
+        ranked.sort_by_key(|server| (server.status, server.distance, !server.hash));
         let mut nearest = ranked.into_iter().take(2);
         let (first, second) = (nearest.next(), nearest.next());
-        let chosen = first.filter(|first| first.has_place(4));
-        let chosen = chosen.or(second.filter(|second| second.has_place(0)));
-        let chosen = chosen.or(first.filter(|first| first.has_place(5)));
-        Placed { chosen: chosen.map(|server| server.handle), ..Placed::default() }
+        let chosen = first.filter(|first| first.has_capacity(4));
+        let chosen = chosen.or(second.filter(|second| second.has_capacity(0)));
+        let chosen = chosen.or(first.filter(|first| first.has_capacity(5)));
+        Decision { chosen: chosen.map(|server| server.handle), ..Decision::default() }
     }
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-fn replay(rule: fn() -> Box<dyn Placement>) -> Outcomes {
+fn replay(rule: fn() -> Box<dyn LoadBalancingPolicy>) -> Outcomes {
     let mut random = fastrand::Rng::with_seed(1);
     let mut balancers: Vec<Balancer> =
         (0..ZONES.len()).map(|own| balancer_by(rule(), own, ZONES.len(), backends())).collect();
@@ -105,7 +106,8 @@
             }
             outcomes.asked += 1;
             let service = service();
-            let wish = Query { is_large: true, ..query(&service, random.u64(..OBJECTS)) };
+            let wish =
+                BackendQuery { has_large_body: true, ..query(&service, random.u64(..OBJECTS)) };
             let Some(choice) = balancers[own].choose(&wish, now_ms) else {
                 outcomes.refused += 1;
                 continue;
@@ -128,7 +130,7 @@
 fn a_zone_with_few_servers_refuses_nobody_while_others_are_idle() {
     let nearest = replay(|| Box::new(NearestOnly));
     assert!(nearest.share(nearest.refused) > 0.02, "{nearest:?}");
-    let by_object = replay(|| Box::new(ByObject));
+    let by_object = replay(|| Box::new(ObjectAffinity));
     assert_eq!(by_object.refused, 0, "{by_object:?}");
     assert!(by_object.share(by_object.in_zone) > 0.75, "{by_object:?}");
 }
--- a/crates/azuregate-core/tests/balance/main.rs
+++ b/crates/azuregate-core/tests/balance/main.rs
@@ -3,6 +3,7 @@
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 mod budgets;
+mod choice;
 mod config;
 mod datagrams;
 mod health;
@@ -10,7 +11,6 @@
 mod large;
 mod members;
 mod overload;
-mod place;
 mod regional;
 mod replay;
 mod uneven;
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -6,7 +6,7 @@
 //! twice of what cold ones can. At 6 s the load is three times as high, for two
 //! seconds. Requests that were refused come back once.
 
-use azuregate_core::balance::{ByObject, Candidate, Placed, Placement};
+use azuregate_core::balance::{Candidate, Decision, LoadBalancingPolicy, ObjectAffinity};
 
 use crate::{
     replay::{Class, Load, Remembers, Second, in_time, play},
@@ -16,7 +16,7 @@
 const USUAL_PER_S: f64 = 300.0;
 const BURST_PER_S: f64 = 900.0;
 
-fn load(tells_others: bool, rule: fn() -> Box<dyn Placement>) -> Load {
+fn load(tells_others: bool, rule: fn() -> Box<dyn LoadBalancingPolicy>) -> Load {
     Load {
         seed: 1,
         end_ms: 18_000,
@@ -52,8 +52,8 @@
     shares.sum::<f64>() / 6.0
 }
 
-fn by_object() -> Box<dyn Placement> {
-    Box::new(ByObject)
+fn by_object() -> Box<dyn LoadBalancingPolicy> {
+    Box::new(ObjectAffinity)
 }
 
 /// An earlier rule, to be played beside the one that is used: a full server is
@@ -61,15 +61,15 @@
 #[derive(Debug)]
 struct SecondAtAnyLoad;
 
-impl Placement for SecondAtAnyLoad {
-    fn place(&self, _is_large: bool, candidates: &[Candidate]) -> Placed {
+impl LoadBalancingPolicy for SecondAtAnyLoad {
+    fn choose(&self, _has_large_body: bool, candidates: &[Candidate]) -> Decision {
         let mut ranked: Vec<&Candidate> = candidates.iter().collect();
-        ranked.sort_by_key(|server| (server.standing, !server.hash));
+        ranked.sort_by_key(|server| (server.status, !server.hash));
         let mut owners = ranked.into_iter().take(2);
         let (first, second) = (owners.next(), owners.next());
-        let chosen = first.filter(|first| first.has_place(4));
-        let chosen = chosen.or(second.filter(|second| second.has_place(5)));
-        Placed { chosen: chosen.map(|server| server.handle), ..Placed::default() }
+        let chosen = first.filter(|first| first.has_capacity(4));
+        let chosen = chosen.or(second.filter(|second| second.has_capacity(5)));
+        Decision { chosen: chosen.map(|server| server.handle), ..Decision::default() }
     }
 }
 
--- a/crates/azuregate-core/tests/balance/replay.rs
+++ b/crates/azuregate-core/tests/balance/replay.rs
@@ -10,7 +10,7 @@
 };
 
 use azuregate_core::balance::{
-    Backend, BackendHandle, Balancer, Choice, Outcome, Placement, Query,
+    Backend, BackendHandle, BackendQuery, Balancer, Choice, LoadBalancingPolicy, Outcome,
 };
 
 use crate::world::{ZONES, balancer_by, query, service, tell_others};
@@ -66,7 +66,7 @@
     pub(crate) per_s: fn(u64) -> f64,
     /// The hash by which a request is placed.
     pub(crate) hash: fn(&Class, u64) -> u64,
-    pub(crate) rule: fn() -> Box<dyn Placement>,
+    pub(crate) rule: fn() -> Box<dyn LoadBalancingPolicy>,
 }
 
 /// What became of the requests that began in one second.
@@ -288,7 +288,7 @@
         let mut tried = Vec::new();
         self.balancers[request.instance].requested(hash, now_ms);
         for _ in 0..self.load.tries {
-            let wish = Query { tried: &tried, ..query(&service, hash) };
+            let wish = BackendQuery { tried: &tried, ..query(&service, hash) };
             let choice = self.balancers[request.instance].choose(&wish, now_ms)?;
             if self.is_taken(&choice, now_ms) {
                 return Some(choice);
--- a/crates/azuregate-core/tests/balance/uneven.rs
+++ b/crates/azuregate-core/tests/balance/uneven.rs
@@ -5,7 +5,7 @@
 //! work takes 270 and 350 ms and all of it needs three fifths of the slots.
 
 use azuregate_core::{
-    balance::{Backend, ByObject, Choice, NotServed, object_hash},
+    balance::{Backend, Choice, NotServed, ObjectAffinity, object_hash},
     names::BackendId,
 };
 
@@ -52,7 +52,7 @@
         tells_others: true,
         per_s: |_| 160.0,
         hash: |class, object| object_hash(class.route, &object.to_be_bytes()),
-        rule: || Box::new(ByObject),
+        rule: || Box::new(ObjectAffinity),
     }
 }
 
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/world.rs
@@ -4,8 +4,9 @@
 
 use azuregate_core::{
     balance::{
-        Backend, Balancer, ByObject, CallerLimits, Config, ConfigParts, Destination, Member,
-        Members, Placement, Query, RequestKind, Route, Service, Settings,
+        Backend, BackendQuery, Balancer, CallerLimits, Config, ConfigParts, Destination,
+        LoadBalancingPolicy, Member, Members, ObjectAffinity, RequestKind, Route, Service,
+        Settings,
     },
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
 };
@@ -87,13 +88,13 @@
 
 /// The balancer of one of `instances` instances, which knows `servers` servers.
 pub(crate) fn balancer(own: usize, instances: usize, servers: usize) -> Balancer {
-    balancer_by(Box::new(ByObject), own, instances, (0..servers).map(backend))
+    balancer_by(Box::new(ObjectAffinity), own, instances, (0..servers).map(backend))
 }
 
 /// The balancer of one of `instances` instances, with a rule and servers of the
 /// test's own.
 pub(crate) fn balancer_by(
-    placement: Box<dyn Placement>,
+    policy: Box<dyn LoadBalancingPolicy>,
     own: usize,
     instances: usize,
     backends: impl Iterator<Item = Backend>,
@@ -105,7 +106,7 @@
         cold_rate_factor: 1.5,
         cold_rate_slack: 5.0,
     };
-    let mut balancer = Balancer::with_placement(settings, placement);
+    let mut balancer = Balancer::with_policy(settings, policy);
     balancer.set_config(config());
     let members = members(own, instances);
     backends.for_each(|backend| {
@@ -133,6 +134,6 @@
     }
 }
 
-pub(crate) fn query(service: &ServiceName, object: u64) -> Query<'_> {
-    Query { service, object, is_large: false, tried: &[], home_regions: &[] }
+pub(crate) fn query(service: &ServiceName, object: u64) -> BackendQuery<'_> {
+    BackendQuery { service, object, has_large_body: false, tried: &[], home_regions: &[] }
 }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 
 use azuregate_core::{
-    balance::{self, BackendHandle, Choice, Query, RequestKind, Route},
+    balance::{self, BackendHandle, BackendQuery, Choice, RequestKind, Route},
     names::ServiceName,
 };
 use azuregate_platform::request;
@@ -327,10 +327,10 @@
         let known = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
         let known = known.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
         let object = known.unwrap_or_else(|| fastrand::u64(..));
-        let query = Query {
+        let query = BackendQuery {
             service: self.service,
             object,
-            is_large: self.outgoing.body.len() > LARGE_BODY_BYTES,
+            has_large_body: self.outgoing.body.len() > LARGE_BODY_BYTES,
             tried: &progress.tried,
             home_regions: &self.route.home_regions,
         };
@@ -341,7 +341,7 @@
         }
         let choice = balancer.choose(&query, now_ms);
         if choice.is_none() {
-            record.basis = balancer.basis(&query, now_ms).to_string();
+            record.basis = balancer.explain(&query, now_ms).to_string();
         }
         choice
     }
