--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    Candidate, ColdBudget, Config, Health, InFlightAt, LoadBalancingPolicy, Members,
-    ObjectAffinity, Outcome, Usual, others::Others, regional::RegionalObjects,
+    Baseline, Candidate, ColdBudget, Config, Health, InFlightAt, LoadBalancingPolicy, Members,
+    ObjectAffinity, Outcome, others::Others, regional::RegionalObjects,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -138,9 +138,9 @@
             return;
         }
         self.compared_until_ms = now_ms + COMPARE_EVERY_MS;
-        let usual = Usual::of(self.nodes.iter().map(|node| &node.health), now_ms);
+        let baseline = Baseline::of(self.nodes.iter().map(|node| &node.health), now_ms);
         for node in &mut self.nodes {
-            node.is_outlier = usual.is_outlier(&node.health, now_ms);
+            node.is_outlier = baseline.is_outlier(&node.health, now_ms);
         }
     }
 }
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -144,7 +144,7 @@
     prefers_region: bool,
     now_ms: u64,
 ) -> Candidate {
-    let status = match (node.health.is_paused(now_ms), node.is_outlier) {
+    let status = match (node.health.is_in_backoff(now_ms), node.is_outlier) {
         (true, _) => HealthStatus::InBackoff,
         (false, true) => HealthStatus::Outlier,
         (false, false) => HealthStatus::Healthy,
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -42,7 +42,7 @@
     CallerLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
 };
 pub use datagrams::{Datagram, Heartbeat, Load};
-pub use health::{Health, Outcome, Usual};
+pub use health::{Baseline, Health, Outcome};
 pub use lapsed::Lapsed;
 pub use members::{LifeSign, Member, Members};
 pub use others::InFlightAt;
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -24,7 +24,7 @@
     count
 }
 
-const WELL: Outcome = Outcome::Answered { taken_ms: 100 };
+const WELL: Outcome = Outcome::Succeeded { taken_ms: 100 };
 
 /// One of six servers rejects or fails half of its requests, or takes five times
 /// as long. Its objects go elsewhere after a few requests.
@@ -32,18 +32,18 @@
 fn a_server_that_does_worse_than_others_is_avoided() {
     let cases = [
         Outcome::Failed,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::TimedOut { taken_ms: 1_000 },
-        Outcome::Answered { taken_ms: 500 },
+        Outcome::Succeeded { taken_ms: 500 },
     ];
     for bad in cases {
         let mut balancer = balancer(0, 1, 6);
         let end = |id: &str| if id == "server-5" { bad } else { WELL };
-        let usual = send(&mut balancer, 0, 1, |_| WELL);
+        let baseline = send(&mut balancer, 0, 1, |_| WELL);
         send(&mut balancer, 100, 1, end);
         send(&mut balancer, 200, 1, end);
         let avoided = send(&mut balancer, 300, 1, end);
-        assert!(avoided * 4 < usual, "{bad:?}: {avoided} of {usual}");
+        assert!(avoided * 4 < baseline, "{bad:?}: {avoided} of {baseline}");
     }
 }
 
@@ -54,7 +54,7 @@
     let mut balancer = balancer(0, 1, 5);
     let is_slow = |id: &str| matches!(id, "server-3" | "server-4");
     let end = |id: &str| match is_slow(id) {
-        true => Outcome::Answered { taken_ms: 900 },
+        true => Outcome::Succeeded { taken_ms: 900 },
         false => WELL,
     };
     for round in 0..3 {
@@ -73,11 +73,11 @@
 /// the others, so each object stays with its server, which knows it.
 #[test]
 fn under_overload_objects_stay_with_their_servers() {
-    for bad in [Outcome::Full, Outcome::TimedOut { taken_ms: 1_000 }] {
+    for bad in [Outcome::Rejected, Outcome::TimedOut { taken_ms: 1_000 }] {
         let mut balancer = balancer(0, 1, 6);
-        let usual = send(&mut balancer, 0, 1, |_| WELL);
+        let baseline = send(&mut balancer, 0, 1, |_| WELL);
         for round in 1..5 {
-            assert_eq!(send(&mut balancer, round * 100, 1, |_| bad), usual, "{bad:?}");
+            assert_eq!(send(&mut balancer, round * 100, 1, |_| bad), baseline, "{bad:?}");
         }
     }
 }
@@ -87,12 +87,12 @@
 #[test]
 fn an_avoided_server_is_tried_again() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 1, |_| WELL);
+    let baseline = send(&mut balancer, 0, 1, |_| WELL);
     for round in 1..4 {
         let end = |id: &str| if id == "server-5" { Outcome::Failed } else { WELL };
         send(&mut balancer, round * 100, 1, end);
     }
-    assert_eq!(send(&mut balancer, 20_000, 1, |_| WELL), usual);
+    assert_eq!(send(&mut balancer, 20_000, 1, |_| WELL), baseline);
 }
 
 /// A server cannot be reached: it gets nothing for half a second, then longer.
@@ -100,13 +100,13 @@
 #[test]
 fn an_unreachable_server_is_left_alone_and_then_cold() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 0, |_| WELL);
+    let baseline = send(&mut balancer, 0, 0, |_| WELL);
     let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { WELL };
     assert_eq!(send(&mut balancer, 0, 0, lost), 1);
     assert_eq!(send(&mut balancer, 499, 0, lost), 0);
     let cold = (500..900).step_by(100).map(|now_ms| send(&mut balancer, now_ms, 0, |_| WELL));
     let cold: usize = cold.sum();
-    assert!(usual * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
+    assert!(baseline * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
 }
 
 /// A server answers, but one answer is lost with its connection. Its objects stay
@@ -115,10 +115,10 @@
 #[test]
 fn one_lost_answer_moves_no_objects() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 0, |_| WELL);
+    let baseline = send(&mut balancer, 0, 0, |_| WELL);
     for round in 1..5 {
         lose_answers(&mut balancer, 1, round);
-        assert_eq!(send(&mut balancer, round, 0, |_| WELL), usual, "round {round}");
+        assert_eq!(send(&mut balancer, round, 0, |_| WELL), baseline, "round {round}");
     }
     lose_answers(&mut balancer, 2, 10);
     assert_eq!(send(&mut balancer, 10, 0, |_| WELL), 0);
@@ -135,7 +135,7 @@
         let choice = balancer.choose(&query(&service, object), now_ms).unwrap();
         let is_lost = choice.backend.id.as_str() == "server-5";
         lost += usize::from(is_lost);
-        let outcome = if is_lost { Outcome::AnswerLost } else { Outcome::Cancelled };
+        let outcome = if is_lost { Outcome::ResponseLost } else { Outcome::Cancelled };
         balancer.end(choice.handle, outcome, now_ms);
     }
 }
--- a/crates/azuregate-core/tests/balance/large.rs
+++ b/crates/azuregate-core/tests/balance/large.rs
@@ -92,7 +92,7 @@
     for now_ms in 0..END_MS {
         running.retain(|&(ends_at_ms, own, handle)| {
             if ends_at_ms <= now_ms {
-                let outcome = Outcome::Answered { taken_ms: WORK_MS };
+                let outcome = Outcome::Succeeded { taken_ms: WORK_MS };
                 balancers[own].end(handle, outcome, now_ms);
             }
             ends_at_ms > now_ms
--- a/crates/azuregate-core/tests/balance/replay.rs
+++ b/crates/azuregate-core/tests/balance/replay.rs
@@ -293,7 +293,7 @@
             if self.is_taken(&choice, now_ms) {
                 return Some(choice);
             }
-            self.balancers[request.instance].end(choice.handle, Outcome::Full, now_ms);
+            self.balancers[request.instance].end(choice.handle, Outcome::Rejected, now_ms);
             if !(self.load.asks_again)(&choice) {
                 tried.push(choice.handle);
             }
@@ -328,7 +328,7 @@
         for (job, is_done) in ended {
             let taken_ms = now_ms - job.sent_ms;
             let outcome = match is_done {
-                true => Outcome::Answered { taken_ms },
+                true => Outcome::Succeeded { taken_ms },
                 false => Outcome::TimedOut { taken_ms },
             };
             self.balancers[job.request.instance].end(job.handle, outcome, now_ms);
--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -103,7 +103,7 @@
                 return Ended::NotRun(NotRun::Closed);
             }
             Err(SendError::Broken) => {
-                in_flight.set_outcome(Outcome::AnswerLost);
+                in_flight.set_outcome(Outcome::ResponseLost);
                 return Ended::Unknown("connection broke");
             }
         }
@@ -179,7 +179,7 @@
         if is_other {
             state.balancer.borrow_mut().set_leaving(choice.handle);
         }
-        in_flight.set_outcome(Outcome::Full);
+        in_flight.set_outcome(Outcome::Rejected);
         if head.into_body().collect().await.is_ok() {
             in_flight.keep_connection();
         }
@@ -205,7 +205,7 @@
     in_flight.set_outcome(if is_failure {
         Outcome::Failed
     } else {
-        Outcome::Answered { taken_ms }
+        Outcome::Succeeded { taken_ms }
     });
     parts.version = Version::HTTP_11;
     answer::remove_hop_by_hop(&mut parts.headers);
