--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -7,8 +7,8 @@
 };
 
 use super::{
-    Baseline, Candidate, ColdBudget, Config, Health, InFlightAt, LoadBalancingPolicy, Members,
-    ObjectAffinity, Outcome, others::Others, regional::RegionalObjects,
+    Baseline, Candidate, ColdBudget, Config, Health, InFlightCount, LoadBalancingPolicy, Members,
+    ObjectAffinity, Outcome, regional::RegionalObjects, remote_load::RemoteLoad,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -88,7 +88,7 @@
     pub(super) cold: ColdBudget,
     pub(super) in_flight: u32,
     /// Requests that other instances have at the server.
-    pub(super) others_in_flight: u32,
+    pub(super) remote_in_flight: u32,
     pub(super) health: Health,
     /// Whether it does much worse than the other servers of its service.
     pub(super) is_outlier: bool,
@@ -98,7 +98,7 @@
 impl Node {
     /// Requests that all instances together have at the server.
     pub(super) fn total_in_flight(&self) -> u32 {
-        self.in_flight + self.others_in_flight
+        self.in_flight + self.remote_in_flight
     }
 
     fn short_id(&self) -> u32 {
@@ -153,7 +153,7 @@
     config: Option<Arc<Config>>,
     evacuated: BTreeSet<ZoneName>,
     pub(super) services: BTreeMap<ServiceName, Group>,
-    others: Others,
+    remote_load: RemoteLoad,
     pub(super) regional: RegionalObjects,
     next_handle: u64,
     /// Kept, so that a choice allocates nothing.
@@ -174,7 +174,7 @@
             config: None,
             evacuated: BTreeSet::new(),
             services: BTreeMap::new(),
-            others: Others::default(),
+            remote_load: RemoteLoad::default(),
             regional: RegionalObjects::default(),
             next_handle: 0,
             candidates: Vec::new(),
@@ -205,7 +205,7 @@
             cold_limit: self.cold_limit(&backend, members),
             cold: ColdBudget::default(),
             in_flight: 0,
-            others_in_flight: 0,
+            remote_in_flight: 0,
             health: Health::default(),
             is_outlier: false,
             was_unreachable: false,
@@ -286,21 +286,26 @@
     }
 
     /// The requests that this instance has at each server where it has any.
-    pub fn in_flight(&self) -> Vec<InFlightAt> {
+    pub fn in_flight(&self) -> Vec<InFlightCount> {
         let busy = self.nodes().filter(|node| node.in_flight > 0);
-        busy.map(|node| InFlightAt { backend: node.short_id(), count: node.in_flight }).collect()
+        busy.map(|node| InFlightCount { backend: node.short_id(), count: node.in_flight }).collect()
     }
 
     /// Takes in what another instance has at each server.
-    pub fn set_others(&mut self, instance: &InstanceId, in_flight: Vec<InFlightAt>, now_ms: u64) {
-        self.others.put(instance, in_flight, now_ms);
-        self.count_others();
+    pub fn record_load_report(
+        &mut self,
+        instance: &InstanceId,
+        in_flight: Vec<InFlightCount>,
+        now_ms: u64,
+    ) {
+        self.remote_load.record(instance, in_flight, now_ms);
+        self.update_remote_in_flight();
     }
 
     /// Forgets what instances said that have been silent for too long.
-    pub fn forget_silent(&mut self, now_ms: u64) {
-        self.others.forget_silent(now_ms);
-        self.count_others();
+    pub fn expire_load_reports(&mut self, now_ms: u64) {
+        self.remote_load.expire(now_ms);
+        self.update_remote_in_flight();
     }
 
     /// Takes in that a client requested an object, by its hash.
@@ -322,13 +327,13 @@
     }
 
     pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
-        self.others.oldest_ms(now_ms)
+        self.remote_load.oldest_report_ms(now_ms)
     }
 
-    fn count_others(&mut self) {
-        let counts = self.others.counts();
+    fn update_remote_in_flight(&mut self) {
+        let counts = self.remote_load.counts();
         for node in self.nodes_mut() {
-            node.others_in_flight = counts.get(&node.short_id()).copied().unwrap_or_default();
+            node.remote_in_flight = counts.get(&node.short_id()).copied().unwrap_or_default();
         }
     }
 
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -1,7 +1,7 @@
 //! Which server a request goes to.
 
 use azuregate_core::{
-    balance::{BackendQuery, Balancer, InFlightAt, Outcome},
+    balance::{BackendQuery, Balancer, InFlightCount, Outcome},
     names::{RegionName, ZoneName},
 };
 use proptest::prelude::*;
@@ -126,11 +126,11 @@
     for _ in 0..7 {
         there.choose(&query(&service, 7), 0).unwrap();
     }
-    let said: Vec<InFlightAt> = there.in_flight();
-    here.set_others(&instance(1), said, 0);
+    let said: Vec<InFlightCount> = there.in_flight();
+    here.record_load_report(&instance(1), said, 0);
     let other = here.choose(&query(&service, 7), 0).unwrap();
     assert_ne!(other.backend.id, first.backend.id);
-    here.forget_silent(1_501);
+    here.expire_load_reports(1_501);
     let again = here.choose(&query(&service, 7), 1_501).unwrap();
     assert_eq!(again.backend.id, first.backend.id);
 }
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/world.rs
@@ -129,7 +129,7 @@
     let said: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
     for (own, balancer) in balancers.iter_mut().enumerate() {
         for (other, said) in said.iter().enumerate().filter(|&(other, _)| other != own) {
-            balancer.set_others(&instance(other), said.clone(), now_ms);
+            balancer.record_load_report(&instance(other), said.clone(), now_ms);
         }
     }
 }
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, rc::Rc};
 
 use azuregate_core::{
-    balance::{Datagram, Heartbeat, InFlightAt, LifeSign, Load},
+    balance::{Datagram, Heartbeat, InFlightCount, LifeSign, Load},
     names::InstanceId,
     replica::Table,
 };
@@ -54,7 +54,7 @@
                 }
                 peers.check(&state);
                 state.remove_lapsed(false);
-                state.balancer.borrow_mut().forget_silent(state.now_ms());
+                state.balancer.borrow_mut().expire_load_reports(state.now_ms());
                 beat = (beat + 1) % REQUESTED_EVERY;
                 send_all(&state, &socket, &heartbeat(&state, beat == 0)).await;
             }
@@ -144,9 +144,9 @@
 
 fn receive_load(state: &State, Load(instance, counts): Load) {
     let in_flight =
-        counts.into_iter().map(|(backend, count)| InFlightAt { backend, count }).collect();
+        counts.into_iter().map(|(backend, count)| InFlightCount { backend, count }).collect();
     let instance = InstanceId::new(&instance);
-    state.balancer.borrow_mut().set_others(&instance, in_flight, state.now_ms());
+    state.balancer.borrow_mut().record_load_report(&instance, in_flight, state.now_ms());
 }
 
 fn receive_heartbeat(state: &State, peers: &mut Peers, heartbeat: &Heartbeat) {
