--- a/crates/azuregate-core/benches/balance.rs
+++ b/crates/azuregate-core/benches/balance.rs
@@ -55,7 +55,7 @@
                     home_regions: &[],
                 };
                 let choice = balancer.choose(&query, 1_000).expect("there is room");
-                balancer.end(choice.handle, Outcome::Succeeded { taken_ms: 100 }, 1_000);
+                balancer.complete(choice.handle, Outcome::Succeeded { taken_ms: 100 }, 1_000);
             });
         });
     }
--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -8,7 +8,7 @@
 
 use super::{
     Baseline, Candidate, ColdBudget, Config, Health, InFlightCount, LoadBalancingPolicy, Members,
-    ObjectAffinity, Outcome, regional::RegionalObjects, remote_load::RemoteLoad,
+    ObjectAffinity, Outcome, remote_load::RemoteLoad, shared_objects::SharedObjectDetector,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -154,7 +154,7 @@
     evacuated: BTreeSet<ZoneName>,
     pub(super) services: BTreeMap<ServiceName, Group>,
     remote_load: RemoteLoad,
-    pub(super) regional: RegionalObjects,
+    pub(super) shared_objects: SharedObjectDetector,
     next_handle: u64,
     /// Kept, so that a choice allocates nothing.
     pub(super) candidates: Vec<Candidate>,
@@ -175,7 +175,7 @@
             evacuated: BTreeSet::new(),
             services: BTreeMap::new(),
             remote_load: RemoteLoad::default(),
-            regional: RegionalObjects::default(),
+            shared_objects: SharedObjectDetector::default(),
             next_handle: 0,
             candidates: Vec::new(),
         }
@@ -309,21 +309,21 @@
     }
 
     /// Takes in that a client requested an object, by its hash.
-    pub fn requested(&mut self, object: u64, now_ms: u64) {
-        self.regional.requested(short_hash(object), now_ms);
+    pub fn record_request(&mut self, object: u64, now_ms: u64) {
+        self.shared_objects.record_local(short_hash(object), now_ms);
     }
 
     /// Some objects that were requested here since the last call, for instances of
     /// other regions.
-    pub fn take_requested(&mut self) -> Vec<u32> {
-        self.regional.take_told()
+    pub fn take_request_sample(&mut self) -> Vec<u32> {
+        self.shared_objects.take_sample()
     }
 
     /// Takes in objects that were requested in another region; returns whether the
     /// servers of the own region are preferred from now on, if that has changed.
-    pub fn set_requested_elsewhere(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
-        let has_changed = self.regional.heard(objects, now_ms);
-        has_changed.then(|| !self.regional.are_shared())
+    pub fn record_remote_requests(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
+        let has_changed = self.shared_objects.record_remote(objects, now_ms);
+        has_changed.then(|| !self.shared_objects.is_shared())
     }
 
     pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
@@ -356,7 +356,7 @@
     ///
     /// A server that answers after it could not be reached may have started anew
     /// under the same name before its row says so, and counts as cold.
-    pub fn end(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
+    pub fn complete(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
         let Balancer { config, services, .. } = self;
         let mut nodes = services.values_mut().flat_map(|group| &mut group.nodes);
         let Some(node) = nodes.find(|node| node.handle == handle) else { return };
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -89,7 +89,7 @@
 
 impl Balancer {
     /// Chooses a server for a request by the balancer's [`super::LoadBalancingPolicy`] and counts
-    /// the request there until [`Balancer::end`]; `None` if no server may get it.
+    /// the request there until [`Balancer::complete`]; `None` if no server may get it.
     pub fn choose(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Option<Choice> {
         let handle = self.decide(query, now_ms).chosen?;
         let node = self.node_mut(query.service, handle)?;
@@ -116,8 +116,8 @@
     }
 
     fn decide(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Decision {
-        let Balancer { settings, services, policy, candidates, regional, .. } = self;
-        let prefers_region = !regional.are_shared();
+        let Balancer { settings, services, policy, candidates, shared_objects, .. } = self;
+        let prefers_region = !shared_objects.is_shared();
         let Some(group) = services.get_mut(query.service) else { return Decision::default() };
         group.compare(now_ms);
         let open = group.nodes.iter_mut().filter_map(|node| {
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -28,10 +28,10 @@
 mod lapsed;
 mod members;
 mod policy;
-mod regional;
 mod remote_load;
 mod retry_budget;
 mod return_after;
+mod shared_objects;
 mod sources;
 mod split;
 
--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -84,7 +84,11 @@
                 let Some(choice) = balancer.choose(&query(&service, object), now_ms) else {
                     continue;
                 };
-                balancer.end(choice.handle, azuregate_core::balance::Outcome::Cancelled, now_ms);
+                balancer.complete(
+                    choice.handle,
+                    azuregate_core::balance::Outcome::Cancelled,
+                    now_ms,
+                );
                 sent.push(now_ms);
             }
         }
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -15,7 +15,7 @@
     let service = service();
     let chosen_server = |object| {
         let choice = balancer.choose(&query(&service, object), 0).unwrap();
-        balancer.end(choice.handle, Outcome::Cancelled, 0);
+        balancer.complete(choice.handle, Outcome::Cancelled, 0);
         choice.backend.id.as_str().to_owned()
     };
     (0..OBJECTS).map(chosen_server).collect()
@@ -45,7 +45,7 @@
         let service = service();
         let near = (0..2_000).filter(|&object| {
             let choice = balancer.choose(&query(&service, object), 0).unwrap();
-            balancer.end(choice.handle, Outcome::Cancelled, 0);
+            balancer.complete(choice.handle, Outcome::Cancelled, 0);
             let zone = choice.backend.zone.as_str();
             ZONES.iter().find(|(name, _)| *name == zone).unwrap().1 == region
         });
@@ -122,7 +122,7 @@
     let (mut here, mut there) = (balancer(0, 2, 24), balancer(1, 2, 24));
     let service = service();
     let first = here.choose(&query(&service, 7), 0).unwrap();
-    here.end(first.handle, Outcome::Cancelled, 0);
+    here.complete(first.handle, Outcome::Cancelled, 0);
     for _ in 0..7 {
         there.choose(&query(&service, 7), 0).unwrap();
     }
@@ -142,7 +142,7 @@
     for object in 0..OBJECTS {
         let query = BackendQuery { has_large_body: true, ..query(&service, object) };
         let choice = balancer.choose(&query, 0).unwrap();
-        balancer.end(choice.handle, Outcome::Cancelled, 0);
+        balancer.complete(choice.handle, Outcome::Cancelled, 0);
         assert_eq!(choice.backend.zone.as_str(), "a1");
     }
 }
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -19,7 +19,7 @@
         let choice = balancer.choose(&query(&service, object), now_ms).unwrap();
         let id = choice.backend.id.as_str();
         count += usize::from(id == "server-5");
-        balancer.end(choice.handle, end(id), now_ms);
+        balancer.complete(choice.handle, end(id), now_ms);
     }
     count
 }
@@ -63,7 +63,7 @@
     let service = service();
     let slow = (0..100).filter(|&object| {
         let choice = balancer.choose(&query(&service, object), 400).unwrap();
-        balancer.end(choice.handle, WELL, 400);
+        balancer.complete(choice.handle, WELL, 400);
         is_slow(choice.backend.id.as_str())
     });
     assert_eq!(slow.count(), 0);
@@ -136,6 +136,6 @@
         let is_lost = choice.backend.id.as_str() == "server-5";
         lost += usize::from(is_lost);
         let outcome = if is_lost { Outcome::ResponseLost } else { Outcome::Cancelled };
-        balancer.end(choice.handle, outcome, now_ms);
+        balancer.complete(choice.handle, outcome, now_ms);
     }
 }
--- a/crates/azuregate-core/tests/balance/large.rs
+++ b/crates/azuregate-core/tests/balance/large.rs
@@ -93,7 +93,7 @@
         running.retain(|&(ends_at_ms, own, handle)| {
             if ends_at_ms <= now_ms {
                 let outcome = Outcome::Succeeded { taken_ms: WORK_MS };
-                balancers[own].end(handle, outcome, now_ms);
+                balancers[own].complete(handle, outcome, now_ms);
             }
             ends_at_ms > now_ms
         });
--- a/crates/azuregate-core/tests/balance/main.rs
+++ b/crates/azuregate-core/tests/balance/main.rs
@@ -11,7 +11,7 @@
 mod large;
 mod members;
 mod overload;
-mod regional;
 mod replay;
+mod shared_objects;
 mod uneven;
 mod world;
--- a/crates/azuregate-core/tests/balance/replay.rs
+++ b/crates/azuregate-core/tests/balance/replay.rs
@@ -286,14 +286,14 @@
         let class = &self.load.classes[request.class];
         let hash = (self.load.hash)(class, request.object);
         let mut tried = Vec::new();
-        self.balancers[request.instance].requested(hash, now_ms);
+        self.balancers[request.instance].record_request(hash, now_ms);
         for _ in 0..self.load.tries {
             let wish = BackendQuery { tried: &tried, ..query(&service, hash) };
             let choice = self.balancers[request.instance].choose(&wish, now_ms)?;
             if self.is_taken(&choice, now_ms) {
                 return Some(choice);
             }
-            self.balancers[request.instance].end(choice.handle, Outcome::Rejected, now_ms);
+            self.balancers[request.instance].complete(choice.handle, Outcome::Rejected, now_ms);
             if !(self.load.asks_again)(&choice) {
                 tried.push(choice.handle);
             }
@@ -331,7 +331,7 @@
                 true => Outcome::Succeeded { taken_ms },
                 false => Outcome::TimedOut { taken_ms },
             };
-            self.balancers[job.request.instance].end(job.handle, outcome, now_ms);
+            self.balancers[job.request.instance].complete(job.handle, outcome, now_ms);
             let objective_ms = self.load.classes[job.request.class].objective_ms;
             let is_in_time = is_done && now_ms - job.request.born_ms <= objective_ms;
             self.second(&job.request).in_time += u32::from(is_in_time);
--- a/crates/azuregate-core/tests/balance/regional.rs
+++ b/crates/azuregate-core/tests/balance/shared_objects.rs
@@ -11,9 +11,9 @@
     for number in 0..100_u64 {
         let now_ms = from_ms + number * 60;
         let object = number << 32;
-        balancer.requested(object, now_ms);
+        balancer.record_request(object, now_ms);
         let told = if number < shared { number as u32 } else { 1_000 + number as u32 };
-        said = balancer.set_requested_elsewhere(&[told], now_ms).or(said);
+        said = balancer.record_remote_requests(&[told], now_ms).or(said);
     }
     said
 }
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/world.rs
@@ -118,12 +118,12 @@
 /// Each instance tells all others what it has in flight, and those of other regions
 /// what was requested of it.
 pub(crate) fn tell_others(balancers: &mut [Balancer], now_ms: u64) {
-    let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_requested).collect();
+    let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
     let region = |own: usize| ZONES[own % ZONES.len()].1;
     for (own, balancer) in balancers.iter_mut().enumerate() {
         let away = requested.iter().enumerate().filter(|&(other, _)| region(other) != region(own));
         for (_, requested) in away {
-            balancer.set_requested_elsewhere(requested, now_ms);
+            balancer.record_remote_requests(requested, now_ms);
         }
     }
     let said: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -100,7 +100,7 @@
 
 fn heartbeat(state: &State, tells_requested: bool) -> Datagram {
     let requested = match tells_requested {
-        true => state.balancer.borrow_mut().take_requested(),
+        true => state.balancer.borrow_mut().take_request_sample(),
         false => Vec::new(),
     };
     let tables = state.tables.borrow();
@@ -164,7 +164,7 @@
     peers.backends_version = peers.backends_version.max(heartbeat.backends_version);
     if state.members.borrow().is_in_other_region(&heartbeat.instance) {
         let mut balancer = state.balancer.borrow_mut();
-        if let Some(prefers) = balancer.set_requested_elsewhere(&heartbeat.requested, now_ms) {
+        if let Some(prefers) = balancer.record_remote_requests(&heartbeat.requested, now_ms) {
             log::info!(prefers_region = prefers; "servers of the own region");
         }
     }
--- a/crates/azuregate/src/serve/in_flight.rs
+++ b/crates/azuregate/src/serve/in_flight.rs
@@ -57,6 +57,6 @@
             let taken_ms = now_ms.saturating_sub(self.sent_at_ms);
             self.outcome = Outcome::TimedOut { taken_ms };
         }
-        self.state.balancer.borrow_mut().end(self.handle, self.outcome, now_ms);
+        self.state.balancer.borrow_mut().complete(self.handle, self.outcome, now_ms);
     }
 }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -337,7 +337,7 @@
         let now_ms = self.state.now_ms();
         let mut balancer = self.state.balancer.borrow_mut();
         if let Some(object) = known {
-            balancer.requested(object, now_ms);
+            balancer.record_request(object, now_ms);
         }
         let choice = balancer.choose(&query, now_ms);
         if choice.is_none() {
