--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -17,7 +17,7 @@
 };
 
 /// How often the servers of a service are compared with each other.
-const COMPARE_EVERY_MS: u64 = 100;
+const OUTLIER_DETECTION_INTERVAL_MS: u64 = 100;
 
 /// A backend server as it registered itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -77,7 +77,7 @@
 
 /// One backend server and what is known of it.
 #[derive(Clone, Debug)]
-pub(super) struct Node {
+pub(super) struct BackendState {
     pub(super) handle: BackendHandle,
     pub(super) backend: Arc<Backend>,
     pub(super) seed: u64,
@@ -95,13 +95,13 @@
     was_unreachable: bool,
 }
 
-impl Node {
+impl BackendState {
     /// Requests that all instances together have at the server.
     pub(super) fn total_in_flight(&self) -> u32 {
         self.in_flight + self.remote_in_flight
     }
 
-    fn short_id(&self) -> u32 {
+    fn id_hash(&self) -> u32 {
         (self.seed >> 32) as u32
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// The same for as long as the operator says of a server that has just started.
-    fn set_cold_as_started(&mut self, config: Option<&Config>, now_ms: u64) {
+    fn start_cold_period(&mut self, config: Option<&Config>, now_ms: u64) {
         let service = config.and_then(|config| config.service(&self.backend.service));
         self.set_cold(service.map_or(0, |service| service.cold_ms), now_ms);
     }
@@ -124,23 +124,23 @@
 
 /// The backend servers of one service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Group {
-    pub(super) nodes: Vec<Node>,
-    compared_until_ms: u64,
+pub(super) struct ServicePool {
+    pub(super) backends: Vec<BackendState>,
+    outliers_valid_until_ms: u64,
 }
 
-impl Group {
+impl ServicePool {
     /// Works out now and then which servers do much worse than the others. A choice
     /// only reads it: to compare all servers for each choice makes that half as long
     /// again.
-    pub(super) fn compare(&mut self, now_ms: u64) {
-        if now_ms < self.compared_until_ms {
+    pub(super) fn detect_outliers(&mut self, now_ms: u64) {
+        if now_ms < self.outliers_valid_until_ms {
             return;
         }
-        self.compared_until_ms = now_ms + COMPARE_EVERY_MS;
-        let baseline = Baseline::of(self.nodes.iter().map(|node| &node.health), now_ms);
-        for node in &mut self.nodes {
-            node.is_outlier = baseline.is_outlier(&node.health, now_ms);
+        self.outliers_valid_until_ms = now_ms + OUTLIER_DETECTION_INTERVAL_MS;
+        let baseline = Baseline::of(self.backends.iter().map(|state| &state.health), now_ms);
+        for state in &mut self.backends {
+            state.is_outlier = baseline.is_outlier(&state.health, now_ms);
         }
     }
 }
@@ -152,7 +152,7 @@
     pub(super) policy: Box<dyn LoadBalancingPolicy>,
     config: Option<Arc<Config>>,
     evacuated: BTreeSet<ZoneName>,
-    pub(super) services: BTreeMap<ServiceName, Group>,
+    pub(super) services: BTreeMap<ServiceName, ServicePool>,
     remote_load: RemoteLoad,
     pub(super) shared_objects: SharedObjectDetector,
     next_handle: u64,
@@ -189,14 +189,14 @@
     /// Takes in a backend server's row; returns whether the server is new or has
     /// started anew.
     pub fn put(&mut self, backend: Backend, members: &Members, now_ms: u64) -> bool {
-        if let Some(node) = self.same_start(&backend) {
-            node.set_cold(backend.cold_left_ms, now_ms);
-            node.backend = Arc::new(backend);
+        if let Some(state) = self.find_same_start(&backend) {
+            state.set_cold(backend.cold_left_ms, now_ms);
+            state.backend = Arc::new(backend);
             return false;
         }
         self.remove(backend.id.as_str());
         self.next_handle += 1;
-        let node = Node {
+        let state = BackendState {
             handle: BackendHandle(self.next_handle),
             seed: score(&[backend.id.as_str()]),
             distance: self.settings.distance(&backend.zone),
@@ -211,18 +211,18 @@
             was_unreachable: false,
             backend: Arc::new(backend),
         };
-        let group = self.services.entry(node.backend.service.clone()).or_default();
-        group.nodes.push(node);
+        let pool = self.services.entry(state.backend.service.clone()).or_default();
+        pool.backends.push(state);
         true
     }
 
     /// Forgets a backend server; returns whether it was known.
     pub fn remove(&mut self, id: &str) -> bool {
         let mut was_known = false;
-        for group in self.services.values_mut() {
-            let count = group.nodes.len();
-            group.nodes.retain(|node| node.backend.id.as_str() != id);
-            was_known |= group.nodes.len() < count;
+        for pool in self.services.values_mut() {
+            let count = pool.backends.len();
+            pool.backends.retain(|state| state.backend.id.as_str() != id);
+            was_known |= pool.backends.len() < count;
         }
         was_known
     }
@@ -240,11 +240,11 @@
             return false;
         }
         let Balancer { config, services, .. } = self;
-        let nodes = services.values_mut().flat_map(|group| &mut group.nodes);
-        for node in nodes.filter(|node| node.backend.zone == *zone) {
-            node.is_evacuated = is_evacuated;
+        let backends = services.values_mut().flat_map(|pool| &mut pool.backends);
+        for state in backends.filter(|state| state.backend.zone == *zone) {
+            state.is_evacuated = is_evacuated;
             if !is_evacuated {
-                node.set_cold_as_started(config.as_deref(), now_ms);
+                state.start_cold_period(config.as_deref(), now_ms);
             }
         }
         true
@@ -261,8 +261,8 @@
     pub fn set_cold_limits(&mut self, members: &Members) {
         // Taken out, since the limits are worked out from the rest.
         let mut services = std::mem::take(&mut self.services);
-        for node in services.values_mut().flat_map(|group| &mut group.nodes) {
-            node.cold_limit = self.cold_limit(&node.backend, members);
+        for state in services.values_mut().flat_map(|pool| &mut pool.backends) {
+            state.cold_limit = self.cold_limit(&state.backend, members);
         }
         self.services = services;
     }
@@ -282,13 +282,14 @@
 
     /// The backend server behind a handle, while it is registered.
     pub fn backend(&self, handle: BackendHandle) -> Option<Arc<Backend>> {
-        self.nodes().find(|node| node.handle == handle).map(|node| Arc::clone(&node.backend))
+        self.backends().find(|state| state.handle == handle).map(|state| Arc::clone(&state.backend))
     }
 
     /// The requests that this instance has at each server where it has any.
     pub fn in_flight(&self) -> Vec<InFlightCount> {
-        let busy = self.nodes().filter(|node| node.in_flight > 0);
-        busy.map(|node| InFlightCount { backend: node.short_id(), count: node.in_flight }).collect()
+        let busy = self.backends().filter(|state| state.in_flight > 0);
+        busy.map(|state| InFlightCount { backend: state.id_hash(), count: state.in_flight })
+            .collect()
     }
 
     /// Takes in what another instance has at each server.
@@ -332,23 +333,23 @@
 
     fn update_remote_in_flight(&mut self) {
         let counts = self.remote_load.counts();
-        for node in self.nodes_mut() {
-            node.remote_in_flight = counts.get(&node.short_id()).copied().unwrap_or_default();
+        for state in self.backends_mut() {
+            state.remote_in_flight = counts.get(&state.id_hash()).copied().unwrap_or_default();
         }
     }
 
     /// Takes in that a server says that it is cold.
     pub fn set_cold(&mut self, handle: BackendHandle, cold_left_ms: u64, now_ms: u64) {
-        if let Some(node) = self.any_node_mut(handle) {
-            node.set_cold(cold_left_ms, now_ms);
+        if let Some(state) = self.backend_state_mut(handle) {
+            state.set_cold(cold_left_ms, now_ms);
         }
     }
 
     /// Stops sending to a server that said itself that it is leaving, or is
     /// another one by now.
     pub fn set_leaving(&mut self, handle: BackendHandle) {
-        if let Some(node) = self.any_node_mut(handle) {
-            Arc::make_mut(&mut node.backend).is_draining = true;
+        if let Some(state) = self.backend_state_mut(handle) {
+            Arc::make_mut(&mut state.backend).is_draining = true;
         }
     }
 
@@ -358,42 +359,42 @@
     /// under the same name before its row says so, and counts as cold.
     pub fn complete(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
         let Balancer { config, services, .. } = self;
-        let mut nodes = services.values_mut().flat_map(|group| &mut group.nodes);
-        let Some(node) = nodes.find(|node| node.handle == handle) else { return };
-        node.in_flight = node.in_flight.saturating_sub(1);
-        node.health.record(outcome, now_ms);
-        if node.health.was_unreachable() {
-            node.was_unreachable = true;
-        } else if node.was_unreachable {
-            node.was_unreachable = false;
-            node.set_cold_as_started(config.as_deref(), now_ms);
+        let mut backends = services.values_mut().flat_map(|pool| &mut pool.backends);
+        let Some(state) = backends.find(|state| state.handle == handle) else { return };
+        state.in_flight = state.in_flight.saturating_sub(1);
+        state.health.record(outcome, now_ms);
+        if state.health.was_unreachable() {
+            state.was_unreachable = true;
+        } else if state.was_unreachable {
+            state.was_unreachable = false;
+            state.start_cold_period(config.as_deref(), now_ms);
         }
     }
 
-    fn nodes(&self) -> impl Iterator<Item = &Node> {
-        self.services.values().flat_map(|group| &group.nodes)
+    fn backends(&self) -> impl Iterator<Item = &BackendState> {
+        self.services.values().flat_map(|pool| &pool.backends)
     }
 
-    pub(super) fn node_mut(
+    pub(super) fn pool_backend_mut(
         &mut self,
         service: &ServiceName,
         handle: BackendHandle,
-    ) -> Option<&mut Node> {
-        self.services.get_mut(service)?.nodes.iter_mut().find(|node| node.handle == handle)
+    ) -> Option<&mut BackendState> {
+        self.services.get_mut(service)?.backends.iter_mut().find(|state| state.handle == handle)
     }
 
-    fn any_node_mut(&mut self, handle: BackendHandle) -> Option<&mut Node> {
-        self.nodes_mut().find(|node| node.handle == handle)
+    fn backend_state_mut(&mut self, handle: BackendHandle) -> Option<&mut BackendState> {
+        self.backends_mut().find(|state| state.handle == handle)
     }
 
-    fn nodes_mut(&mut self) -> impl Iterator<Item = &mut Node> {
-        self.services.values_mut().flat_map(|group| &mut group.nodes)
+    fn backends_mut(&mut self) -> impl Iterator<Item = &mut BackendState> {
+        self.services.values_mut().flat_map(|pool| &mut pool.backends)
     }
 
-    fn same_start(&mut self, backend: &Backend) -> Option<&mut Node> {
-        let group = self.services.get_mut(&backend.service)?;
-        group.nodes.iter_mut().find(|node| {
-            let known = &node.backend;
+    fn find_same_start(&mut self, backend: &Backend) -> Option<&mut BackendState> {
+        let pool = self.services.get_mut(&backend.service)?;
+        pool.backends.iter_mut().find(|state| {
+            let known = &state.backend;
             known.id == backend.id
                 && known.start_epoch_ms == backend.start_epoch_ms
                 && known.addr == backend.addr
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -5,7 +5,8 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{
-    Backend, BackendHandle, Balancer, Candidate, Decision, HealthStatus, Settings, backends::Node,
+    Backend, BackendHandle, Balancer, Candidate, Decision, HealthStatus, Settings,
+    backends::BackendState,
 };
 use crate::{
     names::{BackendId, RegionName, ServiceName},
@@ -92,13 +93,13 @@
     /// the request there until [`Balancer::complete`]; `None` if no server may get it.
     pub fn choose(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Option<Choice> {
         let handle = self.decide(query, now_ms).chosen?;
-        let node = self.node_mut(query.service, handle)?;
-        node.in_flight += 1;
-        if node.is_cold(now_ms) {
-            node.cold.sent(now_ms);
+        let state = self.pool_backend_mut(query.service, handle)?;
+        state.in_flight += 1;
+        if state.is_cold(now_ms) {
+            state.cold.sent(now_ms);
         }
-        let in_flight = node.total_in_flight() - 1;
-        Some(Choice { handle, backend: Arc::clone(&node.backend), in_flight })
+        let in_flight = state.total_in_flight() - 1;
+        Some(Choice { handle, backend: Arc::clone(&state.backend), in_flight })
     }
 
     /// What [`Balancer::choose`] goes by for `query`.
@@ -118,46 +119,51 @@
     fn decide(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Decision {
         let Balancer { settings, services, policy, candidates, shared_objects, .. } = self;
         let prefers_region = !shared_objects.is_shared();
-        let Some(group) = services.get_mut(query.service) else { return Decision::default() };
-        group.compare(now_ms);
-        let open = group.nodes.iter_mut().filter_map(|node| {
-            is_open(settings, node, query, now_ms)
-                .then(|| candidate(node, query, prefers_region, now_ms))
+        let Some(pool) = services.get_mut(query.service) else { return Decision::default() };
+        pool.detect_outliers(now_ms);
+        let eligible = pool.backends.iter_mut().filter_map(|state| {
+            is_eligible(settings, state, query, now_ms)
+                .then(|| candidate(state, query, prefers_region, now_ms))
         });
         candidates.clear();
-        candidates.extend(open);
+        candidates.extend(eligible);
         policy.choose(query.has_large_body, candidates)
     }
 }
 
-fn is_open(settings: &Settings, node: &mut Node, query: &BackendQuery<'_>, now_ms: u64) -> bool {
-    !node.backend.is_draining
-        && !node.is_evacuated
-        && !query.tried.contains(&node.handle)
-        && settings.is_allowed_region(&node.backend.zone, query.home_regions)
-        && (!node.is_cold(now_ms) || node.cold.has_room(node.cold_limit, now_ms))
+fn is_eligible(
+    settings: &Settings,
+    state: &mut BackendState,
+    query: &BackendQuery<'_>,
+    now_ms: u64,
+) -> bool {
+    !state.backend.is_draining
+        && !state.is_evacuated
+        && !query.tried.contains(&state.handle)
+        && settings.is_allowed_region(&state.backend.zone, query.home_regions)
+        && (!state.is_cold(now_ms) || state.cold.has_room(state.cold_limit, now_ms))
 }
 
 fn candidate(
-    node: &Node,
+    state: &BackendState,
     query: &BackendQuery<'_>,
     prefers_region: bool,
     now_ms: u64,
 ) -> Candidate {
-    let status = match (node.health.is_in_backoff(now_ms), node.is_outlier) {
+    let status = match (state.health.is_in_backoff(now_ms), state.is_outlier) {
         (true, _) => HealthStatus::InBackoff,
         (false, true) => HealthStatus::Outlier,
         (false, false) => HealthStatus::Healthy,
     };
-    let hash = mix(node.seed ^ query.object);
-    let is_preferred = prefers_region && node.distance != Distance::OtherRegion;
+    let hash = mix(state.seed ^ query.object);
+    let is_preferred = prefers_region && state.distance != Distance::OtherRegion;
     Candidate {
-        handle: node.handle,
+        handle: state.handle,
         hash: if is_preferred { counted_twice(hash) } else { hash },
-        distance: node.distance,
+        distance: state.distance,
         status,
-        in_flight: node.total_in_flight(),
-        slots: node.backend.slots,
+        in_flight: state.total_in_flight(),
+        slots: state.backend.slots,
     }
 }
 
