--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -7,8 +7,9 @@
 };
 
 use super::{
-    Baseline, Candidate, ColdBudget, Config, Health, InFlightCount, LoadBalancingPolicy, Members,
-    ObjectAffinity, Outcome, remote_load::RemoteLoad, shared_objects::SharedObjectDetector,
+    Baseline, Candidate, ColdStartBudget, Config, Health, InFlightCount, LoadBalancingPolicy,
+    Members, ObjectAffinity, Outcome, remote_load::RemoteLoad,
+    shared_objects::SharedObjectDetector,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -85,7 +86,7 @@
     pub(super) is_evacuated: bool,
     pub(super) cold_until_ms: u64,
     pub(super) cold_limit: u32,
-    pub(super) cold: ColdBudget,
+    pub(super) cold_start_budget: ColdStartBudget,
     pub(super) in_flight: u32,
     /// Requests that other instances have at the server.
     pub(super) remote_in_flight: u32,
@@ -203,7 +204,7 @@
             is_evacuated: self.evacuated.contains(&backend.zone),
             cold_until_ms: now_ms + backend.cold_left_ms,
             cold_limit: self.cold_limit(&backend, members),
-            cold: ColdBudget::default(),
+            cold_start_budget: ColdStartBudget::default(),
             in_flight: 0,
             remote_in_flight: 0,
             health: Health::default(),
@@ -277,7 +278,12 @@
         }
         let rate = rate * self.settings.cold_rate_factor + self.settings.cold_rate_slack;
         let names = members.registered().map(|member| member.instance.as_str());
-        ColdBudget::part(backend.id.as_str(), self.settings.instance.as_str(), names, rate)
+        ColdStartBudget::instance_limit(
+            backend.id.as_str(),
+            self.settings.instance.as_str(),
+            names,
+            rate,
+        )
     }
 
     /// The backend server behind a handle, while it is registered.
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -96,7 +96,7 @@
         let state = self.pool_backend_mut(query.service, handle)?;
         state.in_flight += 1;
         if state.is_cold(now_ms) {
-            state.cold.sent(now_ms);
+            state.cold_start_budget.record_sent(now_ms);
         }
         let in_flight = state.total_in_flight() - 1;
         Some(Choice { handle, backend: Arc::clone(&state.backend), in_flight })
@@ -141,7 +141,8 @@
         && !state.is_evacuated
         && !query.tried.contains(&state.handle)
         && settings.is_allowed_region(&state.backend.zone, query.home_regions)
-        && (!state.is_cold(now_ms) || state.cold.has_room(state.cold_limit, now_ms))
+        && (!state.is_cold(now_ms)
+            || state.cold_start_budget.has_capacity(state.cold_limit, now_ms))
 }
 
 fn candidate(
--- a/crates/azuregate-core/src/balance/cold.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -9,14 +9,14 @@
 /// A rate that all instances share leaves each of many less than one request a
 /// second. A few senders with some requests each use the rate better, and bound
 /// the work that is spread over cold servers.
-const SENDERS: usize = 4;
+const MAX_SENDERS_PER_BACKEND: usize = 4;
 /// The share of the allowed rate that is used; requests that are on their way
 /// when a second begins arrive inside it.
-const USED_SHARE: f64 = 0.8;
+const USED_RATE_FRACTION: f64 = 0.8;
 /// Any span of this length is bounded.
 const WINDOW_MS: u64 = 1_000;
 /// What requests that left at different times may gain on each other on the way.
-const ON_THE_WAY_MS: u64 = 150;
+const MAX_TRANSIT_VARIATION_MS: u64 = 150;
 
 /// What one instance may send to one cold backend server.
 ///
@@ -26,14 +26,14 @@
 /// instances, and each sender has an equal part of the rate. An instance that is
 /// down keeps its part, so the parts never add up to more than the rate.
 #[derive(Clone, Debug, Default)]
-pub struct ColdBudget {
+pub struct ColdStartBudget {
     sent_at_ms: VecDeque<u64>,
 }
 
-impl ColdBudget {
+impl ColdStartBudget {
     /// How many requests `instance` may send to `backend` in a second, if all of
     /// `instances` together may send `rate_per_s`.
-    pub fn part<'a>(
+    pub fn instance_limit<'a>(
         backend: &str,
         instance: &str,
         instances: impl Iterator<Item = &'a str>,
@@ -45,19 +45,19 @@
             total += 1;
             higher += usize::from(other != instance && score(&[backend, other]) > own);
         }
-        let senders = SENDERS.min(total.max(1));
+        let senders = MAX_SENDERS_PER_BACKEND.min(total.max(1));
         if higher >= senders {
             return 0;
         }
-        let all = (rate_per_s * USED_SHARE).floor() as u32;
+        let all = (rate_per_s * USED_RATE_FRACTION).floor() as u32;
         let rank = u32::try_from(higher).unwrap_or(u32::MAX);
         let senders = u32::try_from(senders).unwrap_or(u32::MAX);
         all / senders + u32::from(rank < all % senders)
     }
 
     /// Whether one more request may be sent, with `limit` of them in a second.
-    pub fn has_room(&mut self, limit: u32, now_ms: u64) -> bool {
-        let window_ms = WINDOW_MS + ON_THE_WAY_MS;
+    pub fn has_capacity(&mut self, limit: u32, now_ms: u64) -> bool {
+        let window_ms = WINDOW_MS + MAX_TRANSIT_VARIATION_MS;
         while self.sent_at_ms.front().is_some_and(|&at| at + window_ms < now_ms) {
             self.sent_at_ms.pop_front();
         }
@@ -65,7 +65,7 @@
     }
 
     /// Counts a request that is sent.
-    pub fn sent(&mut self, now_ms: u64) {
+    pub fn record_sent(&mut self, now_ms: u64) {
         self.sent_at_ms.push_back(now_ms);
     }
 }
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -12,7 +12,7 @@
   backend servers and entry instances say of themselves.
 * [`Balancer`] holds the state of all backend servers and decides where a request
   goes, by the rule of a [`LoadBalancingPolicy`], which is [`ObjectAffinity`].
-* [`RetryBudget`] and [`ColdBudget`] bound what all instances do together, each
+* [`RetryBudget`] and [`ColdStartBudget`] bound what all instances do together, each
   by a share of its own.
 * [`Members`] tells which entry instances clients should use.
 * [`Datagram`] is what entry instances tell each other.
@@ -21,7 +21,7 @@
 
 mod backends;
 mod choice;
-mod cold;
+mod cold_start;
 mod config;
 mod datagrams;
 mod health;
@@ -37,7 +37,7 @@
 
 pub use backends::{Backend, BackendHandle, Balancer, Settings};
 pub use choice::{BackendQuery, Choice, Explanation, object_hash};
-pub use cold::ColdBudget;
+pub use cold_start::ColdStartBudget;
 pub use config::{
     CallerLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
 };
--- a/crates/azuregate-core/src/balance/retry_budget.rs
+++ b/crates/azuregate-core/src/balance/retry_budget.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 /// How many parts a window is counted in.
-const PARTS: u64 = 20;
+const BUCKETS: u64 = 20;
 
 /// A share of the retries that all instances may make together.
 ///
@@ -17,12 +17,12 @@
 pub struct RetryBudget {
     ratio: f64,
     window_ms: u64,
-    parts: VecDeque<Part>,
+    buckets: VecDeque<Bucket>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Part {
-    number: u64,
+struct Bucket {
+    index: u64,
     requests: u32,
     retries: u32,
 }
@@ -30,34 +30,34 @@
 impl RetryBudget {
     /// Allows `ratio` retries for each request, over any span of `window_ms`.
     pub fn new(ratio: f64, window_ms: u64) -> RetryBudget {
-        RetryBudget { ratio, window_ms: window_ms.max(PARTS), parts: VecDeque::new() }
+        RetryBudget { ratio, window_ms: window_ms.max(BUCKETS), buckets: VecDeque::new() }
     }
 
     /// Counts a request of a client.
-    pub fn request(&mut self, now_ms: u64) {
-        self.part(now_ms).requests += 1;
+    pub fn record_request(&mut self, now_ms: u64) {
+        self.bucket(now_ms).requests += 1;
     }
 
     /// Takes one retry; returns whether the budget has room for it.
-    pub fn take(&mut self, now_ms: u64) -> bool {
-        self.part(now_ms);
-        let requests: u32 = self.parts.iter().map(|part| part.requests).sum();
-        let retries: u32 = self.parts.iter().map(|part| part.retries).sum();
+    pub fn try_acquire(&mut self, now_ms: u64) -> bool {
+        self.bucket(now_ms);
+        let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
         if f64::from(retries + 1) > self.ratio * f64::from(requests) {
             return false;
         }
-        self.part(now_ms).retries += 1;
+        self.bucket(now_ms).retries += 1;
         true
     }
 
-    fn part(&mut self, now_ms: u64) -> &mut Part {
-        let number = now_ms * PARTS / self.window_ms;
-        while self.parts.front().is_some_and(|part| part.number + PARTS < number) {
-            self.parts.pop_front();
+    fn bucket(&mut self, now_ms: u64) -> &mut Bucket {
+        let index = now_ms * BUCKETS / self.window_ms;
+        while self.buckets.front().is_some_and(|bucket| bucket.index + BUCKETS < index) {
+            self.buckets.pop_front();
         }
-        if self.parts.back().is_none_or(|part| part.number < number) {
-            self.parts.push_back(Part { number, requests: 0, retries: 0 });
+        if self.buckets.back().is_none_or(|bucket| bucket.index < index) {
+            self.buckets.push_back(Bucket { index, requests: 0, retries: 0 });
         }
-        self.parts.back_mut().expect("a part was just added")
+        self.buckets.back_mut().expect("a bucket was just added")
     }
 }
--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -1,6 +1,6 @@
 //! What all instances do together stays within bounds that each keeps alone.
 
-use azuregate_core::balance::{ColdBudget, Destination, RetryBudget, Split};
+use azuregate_core::balance::{ColdStartBudget, Destination, RetryBudget, Split};
 use proptest::prelude::*;
 
 use crate::world::{balancer, instance, query, service};
@@ -13,7 +13,7 @@
         let names: Vec<String> = (0..count).map(|n| instance(n).as_str().to_owned()).collect();
         let all = || names.iter().map(String::as_str);
         let server = format!("server-{server}");
-        let parts = all().map(|own| ColdBudget::part(&server, own, all(), rate));
+        let parts = all().map(|own| ColdStartBudget::instance_limit(&server, own, all(), rate));
         let sum: u32 = parts.sum();
         prop_assert!(f64::from(sum) <= rate);
         prop_assert!(f64::from(sum) >= (rate * 0.8).floor());
@@ -29,9 +29,9 @@
         for (pause_ms, kind) in steps {
             now_ms += pause_ms;
             if kind == 0 {
-                budget.request(now_ms);
+                budget.record_request(now_ms);
                 requests.push(now_ms);
-            } else if budget.take(now_ms) {
+            } else if budget.try_acquire(now_ms) {
                 retries.push(now_ms);
             }
             let within = |times: &[u64], span_ms| {
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -212,13 +212,13 @@
     /// Counts a request of a client for `service`.
     pub(super) fn count_request(&self, service: &ServiceName) {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.request(now_ms));
+        self.with_retries(service, |budget| budget.record_request(now_ms));
     }
 
     /// Takes a retry from the budget of `service`, if there is room.
     pub(super) fn take_retry(&self, service: &ServiceName) -> bool {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.take(now_ms))
+        self.with_retries(service, |budget| budget.try_acquire(now_ms))
     }
 
     fn with_retries<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
