--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -33,7 +33,7 @@
 mod return_after;
 mod shared_objects;
 mod sources;
-mod split;
+mod weighted_round_robin;
 
 pub use backends::{Backend, BackendHandle, Balancer, Settings};
 pub use choice::{BackendQuery, Choice, Explanation, object_hash};
@@ -50,4 +50,4 @@
 pub use retry_budget::RetryBudget;
 pub use return_after::NotServed;
 pub use sources::Sources;
-pub use split::Split;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/azuregate-core/src/balance/split.rs
+++ b/crates/azuregate-core/src/balance/weighted_round_robin.rs
@@ -8,11 +8,11 @@
 /// Choosing by chance would miss the shares by several percent over a few
 /// hundred requests.
 #[derive(Clone, Debug, Default)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// The index of the destination of the next request.
     ///
     /// Each destination gains its weight, and the one that is owed most pays for
@@ -27,9 +27,10 @@
             *credit += destination.weight;
             total += destination.weight;
         }
-        let owed = self.credits.iter().enumerate().filter(|&(i, _)| destinations[i].weight > 0.0);
-        let most = owed.max_by(|a, b| a.1.total_cmp(b.1)).map_or(0, |(i, _)| i);
-        self.credits[most] -= total;
-        most
+        let eligible =
+            self.credits.iter().enumerate().filter(|&(i, _)| destinations[i].weight > 0.0);
+        let selected = eligible.max_by(|a, b| a.1.total_cmp(b.1)).map_or(0, |(i, _)| i);
+        self.credits[selected] -= total;
+        selected
     }
 }
--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -1,6 +1,6 @@
 //! What all instances do together stays within bounds that each keeps alone.
 
-use azuregate_core::balance::{ColdStartBudget, Destination, RetryBudget, Split};
+use azuregate_core::balance::{ColdStartBudget, Destination, RetryBudget, WeightedRoundRobin};
 use proptest::prelude::*;
 
 use crate::world::{balancer, instance, query, service};
@@ -51,10 +51,10 @@
             .iter()
             .map(|&weight| Destination { service: service(), weight: weight.into() })
             .collect();
-        let mut split = Split::default();
+        let mut round_robin = WeightedRoundRobin::default();
         let mut counts = vec![0; weights.len()];
         for _ in 0..requests {
-            counts[split.next(&destinations)] += 1;
+            counts[round_robin.next(&destinations)] += 1;
         }
         for (&count, &weight) in counts.iter().zip(&weights) {
             let expected = f64::from(requests * weight) / f64::from(total);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -8,7 +8,7 @@
 };
 
 use azuregate_core::{
-    balance::{self, Balancer, Config, Lapsed, Members, RetryBudget, Split},
+    balance::{self, Balancer, Config, Lapsed, Members, RetryBudget, WeightedRoundRobin},
     names::{ServiceName, StartNumber},
     replica::{Contact, Table},
 };
@@ -65,7 +65,7 @@
     config: RefCell<Option<Arc<Config>>>,
     bounds: RefCell<Bounds>,
     retries: RefCell<HashMap<ServiceName, RetryBudget>>,
-    splits: RefCell<HashMap<String, Split>>,
+    splits: RefCell<HashMap<String, WeightedRoundRobin>>,
     origin: Instant,
 }
 
