--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -11,7 +11,7 @@
 };
 
 /// How many addresses a lookup names at the most.
-const LOOKUP_LIMIT: usize = 64;
+const MAX_LOOKUP_ADDRS: usize = 64;
 /// An entry instance as it registered itself.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
@@ -29,7 +29,7 @@
 
 /// What an instance says of itself in a heartbeat.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct LifeSign<'a> {
+pub struct HeartbeatStatus<'a> {
     /// Who says it.
     pub instance: &'a str,
     /// Its start.
@@ -41,9 +41,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct MemberState {
     member: Member,
-    heard_at_ms: Option<u64>,
+    last_heartbeat_ms: Option<u64>,
     is_leaving: bool,
     can_watch: bool,
 }
@@ -53,46 +53,51 @@
 pub struct Members {
     own: InstanceId,
     zones: BTreeMap<ZoneName, RegionName>,
-    silence_ms: u64,
+    heartbeat_timeout_ms: u64,
     own_can_watch: bool,
-    known: BTreeMap<InstanceId, Known>,
+    states: BTreeMap<InstanceId, MemberState>,
 }
 
 impl Members {
     /// The members of a deployment with these `zones`, seen from `own`; one that
-    /// is silent for `silence_ms` is not named to clients.
-    pub fn new(own: InstanceId, zones: BTreeMap<ZoneName, RegionName>, silence_ms: u64) -> Members {
-        Members { own, zones, silence_ms, own_can_watch: false, known: BTreeMap::new() }
+    /// is silent for `heartbeat_timeout_ms` is not named to clients.
+    pub fn new(
+        own: InstanceId,
+        zones: BTreeMap<ZoneName, RegionName>,
+        heartbeat_timeout_ms: u64,
+    ) -> Members {
+        Members { own, zones, heartbeat_timeout_ms, own_can_watch: false, states: BTreeMap::new() }
     }
 
     /// Takes in the row of an instance.
     pub fn put(&mut self, member: Member) {
-        if let Some(known) = self.known.get_mut(&member.instance)
-            && known.member.start == member.start
+        if let Some(state) = self.states.get_mut(&member.instance)
+            && state.member.start == member.start
         {
-            known.member = member;
+            state.member = member;
             return;
         }
-        let known = Known { heard_at_ms: None, is_leaving: false, can_watch: false, member };
-        self.known.insert(known.member.instance.clone(), known);
+        let state =
+            MemberState { last_heartbeat_ms: None, is_leaving: false, can_watch: false, member };
+        self.states.insert(state.member.instance.clone(), state);
     }
 
     /// Forgets an instance whose row was removed.
     pub fn remove(&mut self, instance: &str) {
-        self.known.remove(instance);
+        self.states.remove(instance);
     }
 
     /// Takes in a heartbeat. One of an earlier or later start than the row's is
     /// of no use: its address may be another's by now. Returns whether the
     /// instance is known in that start.
-    pub fn heard(&mut self, sign: &LifeSign<'_>, now_ms: u64) -> bool {
-        let Some(known) = self.known.get_mut(sign.instance) else { return false };
-        if known.member.start != sign.start {
+    pub fn record_heartbeat(&mut self, status: &HeartbeatStatus<'_>, now_ms: u64) -> bool {
+        let Some(state) = self.states.get_mut(status.instance) else { return false };
+        if state.member.start != status.start {
             return false;
         }
-        known.heard_at_ms = Some(now_ms);
-        known.is_leaving = sign.is_leaving;
-        known.can_watch = sign.can_watch;
+        state.last_heartbeat_ms = Some(now_ms);
+        state.is_leaving = status.is_leaving;
+        state.can_watch = status.can_watch;
         true
     }
 
@@ -104,8 +109,8 @@
     /// Whether an instance is registered in another region than this one.
     pub fn is_in_other_region(&self, instance: &str) -> bool {
         let region = |instance: &str| {
-            let known = self.known.get(instance)?;
-            self.zones.get(&known.member.zone)
+            let state = self.states.get(instance)?;
+            self.zones.get(&state.member.zone)
         };
         match (region(instance), region(self.own.as_str())) {
             (Some(other), Some(own)) => other != own,
@@ -115,17 +120,17 @@
 
     /// How many instances are registered.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.states.len()
     }
 
     /// Whether no instance is registered.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.states.is_empty()
     }
 
     /// The registered instances, dead ones as well.
     pub fn registered(&self) -> impl Iterator<Item = &Member> {
-        self.known.values().map(|known| &known.member)
+        self.states.values().map(|state| &state.member)
     }
 
     /// The other instances, to which heartbeats go.
@@ -136,29 +141,29 @@
     /// The addresses that a client in `zone` should use at `now_ms`: those of its
     /// zone, else those of its region, else all.
     pub fn lookup(&self, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
-        let mut ranked: Vec<(u8, u64, &Known)> = self
-            .known
+        let mut ranked: Vec<(u8, u64, &MemberState)> = self
+            .states
             .values()
-            .filter(|known| self.is_usable(known, now_ms))
-            .map(|known| {
-                let rank = self.rank(known, zone, region);
-                (rank, score(&[zone, known.member.instance.as_str()]), known)
+            .filter(|state| self.is_available(state, now_ms))
+            .map(|state| {
+                let rank = self.proximity_rank(state, zone, region);
+                (rank, score(&[zone, state.member.instance.as_str()]), state)
             })
             .collect();
         ranked.sort_by_key(|&(rank, score, _)| (rank, score));
         let Some(&(nearest, ..)) = ranked.first() else { return Vec::new() };
-        let named = ranked.iter().filter(|&&(rank, ..)| rank == nearest).take(LOOKUP_LIMIT);
-        named.map(|(.., known)| known.member.traffic_addr).collect()
+        let named = ranked.iter().filter(|&&(rank, ..)| rank == nearest).take(MAX_LOOKUP_ADDRS);
+        named.map(|(.., state)| state.member.traffic_addr).collect()
     }
 
     /// The live instances that may watch the store for others.
-    pub(super) fn possible_watchers(&self, now_ms: u64) -> impl Iterator<Item = &Member> {
-        let usable = self.known.values().filter(move |known| self.is_usable(known, now_ms));
-        let can_watch = |known: &&Known| match known.member.instance == self.own {
+    pub(super) fn eligible_watchers(&self, now_ms: u64) -> impl Iterator<Item = &Member> {
+        let available = self.states.values().filter(move |state| self.is_available(state, now_ms));
+        let can_watch = |state: &&MemberState| match state.member.instance == self.own {
             true => self.own_can_watch,
-            false => known.can_watch,
+            false => state.can_watch,
         };
-        usable.filter(can_watch).map(|known| &known.member)
+        available.filter(can_watch).map(|state| &state.member)
     }
 
     pub(super) fn own(&self) -> &InstanceId {
@@ -166,26 +171,29 @@
     }
 
     pub(super) fn own_zone(&self) -> Option<&ZoneName> {
-        self.known.get(&self.own).map(|known| &known.member.zone)
+        self.states.get(&self.own).map(|state| &state.member.zone)
     }
 
     pub(super) fn zones(&self) -> &BTreeMap<ZoneName, RegionName> {
         &self.zones
     }
 
-    fn is_usable(&self, known: &Known, now_ms: u64) -> bool {
-        if known.is_leaving {
+    fn is_available(&self, state: &MemberState, now_ms: u64) -> bool {
+        if state.is_leaving {
             return false;
         }
-        let is_own = known.member.instance == self.own;
-        is_own || known.heard_at_ms.is_some_and(|at| now_ms.saturating_sub(at) <= self.silence_ms)
+        let is_own = state.member.instance == self.own;
+        is_own
+            || state
+                .last_heartbeat_ms
+                .is_some_and(|at| now_ms.saturating_sub(at) <= self.heartbeat_timeout_ms)
     }
 
-    fn rank(&self, known: &Known, zone: &str, region: &str) -> u8 {
-        if known.member.zone.as_str() == zone {
+    fn proximity_rank(&self, state: &MemberState, zone: &str, region: &str) -> u8 {
+        if state.member.zone.as_str() == zone {
             return 0;
         }
-        let own_region = self.zones.get(&known.member.zone).map(RegionName::as_str);
+        let own_region = self.zones.get(&state.member.zone).map(RegionName::as_str);
         if own_region == Some(region) { 1 } else { 2 }
     }
 }
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -44,7 +44,7 @@
 pub use datagrams::{Datagram, Heartbeat, Load};
 pub use health::{Baseline, Health, Outcome};
 pub use lapsed::Lapsed;
-pub use members::{LifeSign, Member, Members};
+pub use members::{HeartbeatStatus, Member, Members};
 pub use policy::{Candidate, Decision, HealthStatus, LoadBalancingPolicy, ObjectAffinity};
 pub use remote_load::InFlightCount;
 pub use retry_budget::RetryBudget;
--- a/crates/azuregate-core/src/balance/sources.rs
+++ b/crates/azuregate-core/src/balance/sources.rs
@@ -41,7 +41,7 @@
     }
 
     fn watchers(&self, now_ms: u64) -> Vec<&Member> {
-        let mut ranked: Vec<&Member> = self.possible_watchers(now_ms).collect();
+        let mut ranked: Vec<&Member> = self.eligible_watchers(now_ms).collect();
         ranked.sort_by_cached_key(|member| score(&["watcher", member.instance.as_str()]));
         let Some((&first, rest)) = ranked.split_first() else { return Vec::new() };
         let elsewhere = |other: &&&Member| self.region(other) != self.region(first);
@@ -52,7 +52,7 @@
     /// The instances that pass changes on inside the own availability zone.
     fn relays(&self, now_ms: u64) -> Vec<&Member> {
         let Some(zone) = self.own_zone() else { return Vec::new() };
-        let in_zone = self.possible_watchers(now_ms).filter(|member| member.zone == *zone);
+        let in_zone = self.eligible_watchers(now_ms).filter(|member| member.zone == *zone);
         let mut ranked: Vec<&Member> = in_zone.collect();
         ranked.sort_by_cached_key(|member| score(&["relay", member.instance.as_str()]));
         ranked.truncate(2);
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -3,22 +3,22 @@
 use std::net::SocketAddr;
 
 use azuregate_core::{
-    balance::{LifeSign, Members, Sources},
+    balance::{HeartbeatStatus, Members, Sources},
     names::StartNumber,
 };
 
 use crate::world::{instance, member, members};
 
 /// A heartbeat of an instance that lives and has the store.
-fn sign(instance: &str, start: u64) -> LifeSign<'_> {
-    LifeSign { instance, start: StartNumber(start), is_leaving: false, can_watch: true }
+fn status(instance: &str, start: u64) -> HeartbeatStatus<'_> {
+    HeartbeatStatus { instance, start: StartNumber(start), is_leaving: false, can_watch: true }
 }
 
 /// Nine instances seen from the first, all heard at 1 s but for `silent` ones.
-fn heard(silent: &[usize]) -> Members {
+fn live_members_except(silent: &[usize]) -> Members {
     let mut members = members(0, 9);
     for number in (0..9).filter(|number| !silent.contains(number)) {
-        assert!(members.heard(&sign(instance(number).as_str(), 1), 1_000));
+        assert!(members.record_heartbeat(&status(instance(number).as_str(), 1), 1_000));
     }
     members
 }
@@ -46,22 +46,22 @@
         (&[4, 5], "c1", "c", &[0, 1, 2, 3, 6, 7, 8]),
     ];
     for (silent, zone, region, expected) in cases {
-        let members = heard(silent);
+        let members = live_members_except(silent);
         assert_eq!(named(&members, zone, region, 1_500), addrs(expected), "{silent:?} {zone}");
     }
 }
 
 #[test]
 fn an_instance_is_named_until_it_was_silent_for_too_long() {
-    let members = heard(&[]);
+    let members = live_members_except(&[]);
     assert_eq!(named(&members, "b2", "b", 3_000), addrs(&[3]));
     assert_eq!(named(&members, "b2", "b", 3_001), addrs(&[0]), "only the own instance is sure");
 }
 
 #[test]
 fn an_instance_that_leaves_is_not_named() {
-    let mut members = heard(&[]);
-    members.heard(&LifeSign { is_leaving: true, ..sign("entry-6", 1) }, 1_100);
+    let mut members = live_members_except(&[]);
+    members.record_heartbeat(&HeartbeatStatus { is_leaving: true, ..status("entry-6", 1) }, 1_100);
     assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
 }
 
@@ -69,19 +69,19 @@
 /// which were on the way, say nothing of the new one.
 #[test]
 fn heartbeats_of_another_start_say_nothing() {
-    let mut members = heard(&[]);
+    let mut members = live_members_except(&[]);
     let mut anew = member(6);
     anew.start = StartNumber(2);
     members.put(anew);
-    assert!(!members.heard(&sign("entry-6", 1), 1_100));
+    assert!(!members.record_heartbeat(&status("entry-6", 1), 1_100));
     assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
-    assert!(members.heard(&sign("entry-6", 2), 1_300));
+    assert!(members.record_heartbeat(&status("entry-6", 2), 1_300));
     assert_eq!(named(&members, "a1", "a", 1_400), addrs(&[0, 6]));
 }
 
 #[test]
 fn members_whose_rows_are_gone_are_forgotten() {
-    let mut members = heard(&[]);
+    let mut members = live_members_except(&[]);
     members.remove("entry-6");
     assert_eq!((members.len(), members.others().count()), (8, 7));
     (0..9).filter(|&number| number != 1).for_each(|n| members.remove(instance(n).as_str()));
@@ -105,7 +105,10 @@
         let mut members = members(own, 9);
         for number in 0..9 {
             let can_watch = !lost.contains(&number);
-            members.heard(&LifeSign { can_watch, ..sign(instance(number).as_str(), 1) }, 1_000);
+            members.record_heartbeat(
+                &HeartbeatStatus { can_watch, ..status(instance(number).as_str(), 1) },
+                1_000,
+            );
         }
         members.set_own_can_watch(!lost.contains(&own));
         members
@@ -157,7 +160,7 @@
     let view = |own| {
         let mut members = members(own, COUNT);
         for number in 0..COUNT {
-            assert!(members.heard(&sign(instance(number).as_str(), 1), 1_000));
+            assert!(members.record_heartbeat(&status(instance(number).as_str(), 1), 1_000));
         }
         members.set_own_can_watch(true);
         members
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, rc::Rc};
 
 use azuregate_core::{
-    balance::{Datagram, Heartbeat, InFlightCount, LifeSign, Load},
+    balance::{Datagram, Heartbeat, HeartbeatStatus, InFlightCount, Load},
     names::InstanceId,
     replica::Table,
 };
@@ -151,13 +151,13 @@
 
 fn receive_heartbeat(state: &State, peers: &mut Peers, heartbeat: &Heartbeat) {
     let now_ms = state.now_ms();
-    let sign = LifeSign {
+    let sign = HeartbeatStatus {
         instance: &heartbeat.instance,
         start: heartbeat.start,
         is_leaving: heartbeat.is_leaving,
         can_watch: heartbeat.can_watch,
     };
-    let is_known = state.members.borrow_mut().heard(&sign, now_ms);
+    let is_known = state.members.borrow_mut().record_heartbeat(&sign, now_ms);
     // One that leaves has removed its row already.
     peers.heard_unknown |= !is_known && !heartbeat.is_leaving;
     peers.operator_version = peers.operator_version.max(heartbeat.operator_version);
