--- a/crates/azuregate-core/src/balance/sources.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -4,11 +4,11 @@
 use crate::{names::RegionName, route::hash::score};
 
 /// Up to so many instances all follow the two that watch the store.
-const DIRECT_LIMIT: usize = 16;
+const MAX_INSTANCES_WITHOUT_RELAYS: usize = 16;
 
 /// From where an instance gets the changes of the store's tables.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Sources {
+pub enum ReplicationSource {
     /// From the store, which it watches for the others.
     Store,
     /// From these instances, which watch the store or pass on what others do.
@@ -29,15 +29,16 @@
     ///
     /// Instances that disagree for a moment do no harm: whoever is followed says how old
     /// its knowledge is, and whoever finds that too old watches the store itself.
-    pub fn sources(&self, now_ms: u64) -> Sources {
+    pub fn replication_source(&self, now_ms: u64) -> ReplicationSource {
         let watchers = self.watchers(now_ms);
-        if self.is_among(&watchers) {
-            return Sources::Store;
+        if self.includes_own(&watchers) {
+            return ReplicationSource::Store;
         }
-        let follows_watchers = self.len() <= DIRECT_LIMIT;
+        let follows_watchers = self.len() <= MAX_INSTANCES_WITHOUT_RELAYS;
         let relays = if follows_watchers { Vec::new() } else { self.relays(now_ms) };
-        let chosen = if relays.len() < 2 || self.is_among(&relays) { watchers } else { relays };
-        Sources::Instances(chosen.into_iter().cloned().collect())
+        let sources =
+            if relays.len() < 2 || self.includes_own(&relays) { watchers } else { relays };
+        ReplicationSource::Instances(sources.into_iter().cloned().collect())
     }
 
     fn watchers(&self, now_ms: u64) -> Vec<&Member> {
@@ -59,8 +60,8 @@
         ranked
     }
 
-    fn is_among(&self, chosen: &[&Member]) -> bool {
-        chosen.iter().any(|member| member.instance == *self.own())
+    fn includes_own(&self, sources: &[&Member]) -> bool {
+        sources.iter().any(|member| member.instance == *self.own())
     }
 
     fn region(&self, member: &Member) -> Option<&RegionName> {
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use azuregate_core::{
-    balance::{HeartbeatStatus, Members, Sources},
+    balance::{HeartbeatStatus, Members, ReplicationSource},
     names::StartNumber,
 };
 
@@ -91,9 +91,9 @@
 
 /// The instances that `own` follows when all live; empty if it watches the store.
 fn followed(members: &Members, now_ms: u64) -> Vec<String> {
-    match members.sources(now_ms) {
-        Sources::Store => Vec::new(),
-        Sources::Instances(chosen) => {
+    match members.replication_source(now_ms) {
+        ReplicationSource::Store => Vec::new(),
+        ReplicationSource::Instances(chosen) => {
             chosen.iter().map(|member| member.instance.as_str().to_owned()).collect()
         }
     }
@@ -119,8 +119,9 @@
 #[test]
 fn two_instances_in_two_regions_watch_the_store_for_all() {
     let views = views(&[]);
-    let watchers: Vec<usize> =
-        (0..9).filter(|&own| views[own].sources(1_100) == Sources::Store).collect();
+    let watchers: Vec<usize> = (0..9)
+        .filter(|&own| views[own].replication_source(1_100) == ReplicationSource::Store)
+        .collect();
     assert_eq!(watchers.len(), 2, "{watchers:?}");
     let region = |number: usize| crate::world::ZONES[number % 6].1;
     assert_ne!(region(watchers[0]), region(watchers[1]));
@@ -135,8 +136,9 @@
 /// that have it.
 #[test]
 fn an_instance_without_the_store_is_not_followed() {
-    let watchers: Vec<usize> =
-        (0..9).filter(|&own| views(&[])[own].sources(1_100) == Sources::Store).collect();
+    let watchers: Vec<usize> = (0..9)
+        .filter(|&own| views(&[])[own].replication_source(1_100) == ReplicationSource::Store)
+        .collect();
     let views = views(&watchers);
     for view in &views {
         let chosen = followed(view, 1_100);
@@ -144,13 +146,13 @@
     }
     // Everyone is silent: the own store is all there is.
     let alone = views.iter().enumerate().find(|(own, _)| !watchers.contains(own)).unwrap().1;
-    assert_eq!(alone.sources(9_000), Sources::Store);
+    assert_eq!(alone.replication_source(9_000), ReplicationSource::Store);
 }
 
 #[test]
 fn nobody_is_followed_while_nobody_has_the_store() {
     let all: Vec<usize> = (0..9).collect();
-    assert_eq!(views(&all)[3].sources(1_100), Sources::Instances(Vec::new()));
+    assert_eq!(views(&all)[3].replication_source(1_100), ReplicationSource::Instances(Vec::new()));
 }
 
 /// Guards against an instance of a large deployment sending every change to all others.
--- a/crates/azuregate/src/serve/follow.rs
+++ b/crates/azuregate/src/serve/follow.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use azuregate_core::{
-    balance::{Member, Sources},
+    balance::{Member, ReplicationSource},
     names::InstanceId,
     replica::{SourceReport, Table},
 };
@@ -40,14 +40,16 @@
 
 fn decide(state: &Rc<State>, followed: &mut Followed) {
     let now_ms = state.now_ms();
-    let sources = state.members.borrow().sources(now_ms);
+    let sources = state.members.borrow().replication_source(now_ms);
     match &sources {
-        Sources::Instances(wanted) => follow_these(state, followed, wanted),
+        ReplicationSource::Instances(wanted) => follow_these(state, followed, wanted),
         // The sources so far are followed until the own watch has taken over.
-        Sources::Store if state.contact.borrow().has_own_contact(now_ms) => followed.clear(),
-        Sources::Store => {}
+        ReplicationSource::Store if state.contact.borrow().has_own_contact(now_ms) => {
+            followed.clear()
+        }
+        ReplicationSource::Store => {}
     }
-    let is_chosen = sources == Sources::Store;
+    let is_chosen = sources == ReplicationSource::Store;
     let has_source = !state.contact.borrow().needs_own_watch(now_ms);
     state.watches_for_others.set(is_chosen);
     let is_watching = state.watches_for_others.get() || !has_source;
