--- a/crates/azuregate-core/src/balance/lapsed.rs
+++ b/crates/azuregate-core/src/balance/missing_backends.rs
@@ -6,7 +6,7 @@
 
 /// How long after the store's return rows that are missing are still believed:
 /// backend servers that live write theirs again within that time.
-const GRACE_MS: u64 = 2_000;
+const GRACE_PERIOD_MS: u64 = 2_000;
 
 /// Backend servers whose rows are missing, but may come back.
 ///
@@ -18,31 +18,31 @@
 /// tell the two apart: if one of them had the store all the time, the store was
 /// not away.
 #[derive(Clone, Debug, Default)]
-pub struct Lapsed {
-    is_away: bool,
-    until_ms: u64,
+pub struct MissingBackends {
+    is_store_unreachable: bool,
+    grace_until_ms: u64,
     missing: BTreeSet<BackendId>,
 }
 
-impl Lapsed {
+impl MissingBackends {
     /// Notes that the store does not answer.
-    pub fn store_lost(&mut self) {
-        self.is_away = true;
+    pub fn mark_store_unreachable(&mut self) {
+        self.is_store_unreachable = true;
     }
 
     /// Notes that the store answers; returns whether it had been away.
-    pub fn store_regained(&mut self, now_ms: u64) -> bool {
-        let was_away = std::mem::take(&mut self.is_away);
-        if was_away {
-            self.until_ms = now_ms + GRACE_MS;
+    pub fn mark_store_reachable(&mut self, now_ms: u64) -> bool {
+        let was_unreachable = std::mem::take(&mut self.is_store_unreachable);
+        if was_unreachable {
+            self.grace_until_ms = now_ms + GRACE_PERIOD_MS;
         }
-        was_away
+        was_unreachable
     }
 
     /// Takes in that a row is missing. Returns whether its server is gone, which
     /// it is unless the row may have run out while the store was away.
-    pub fn is_gone(&mut self, id: &BackendId, now_ms: u64) -> bool {
-        if now_ms >= self.until_ms {
+    pub fn mark_missing(&mut self, id: &BackendId, now_ms: u64) -> bool {
+        if now_ms >= self.grace_until_ms {
             return true;
         }
         self.missing.insert(id.clone());
@@ -50,17 +50,17 @@
     }
 
     /// Takes in that a row is there.
-    pub fn is_back(&mut self, id: &str) {
+    pub fn mark_present(&mut self, id: &str) {
         self.missing.remove(id);
     }
 
     /// The servers that are gone by `now_ms`; all that are missing if another
     /// instance had the store all the time.
-    pub fn take_gone(&mut self, another_had_store: bool, now_ms: u64) -> BTreeSet<BackendId> {
+    pub fn take_expired(&mut self, another_had_store: bool, now_ms: u64) -> BTreeSet<BackendId> {
         if another_had_store {
-            self.until_ms = self.until_ms.min(now_ms);
+            self.grace_until_ms = self.grace_until_ms.min(now_ms);
         }
-        if now_ms < self.until_ms {
+        if now_ms < self.grace_until_ms {
             return BTreeSet::new();
         }
         std::mem::take(&mut self.missing)
--- /dev/null
+++ b/crates/azuregate-core/tests/balance/missing_backends.rs
@@ -0,0 +1,45 @@
+//! Rows that run out while the store is away.
+
+use azuregate_core::{balance::MissingBackends, names::BackendId};
+
+fn id() -> BackendId {
+    BackendId::new("server-1")
+}
+
+#[test]
+fn a_row_that_is_removed_in_calm_is_gone() {
+    assert!(MissingBackends::default().mark_missing(&id(), 5_000));
+}
+
+/// The store was away and is back at 10 s; the row is missing.
+fn missing() -> MissingBackends {
+    let mut backends = MissingBackends::default();
+    backends.mark_store_unreachable();
+    assert!(backends.mark_store_reachable(10_000));
+    assert!(!backends.mark_missing(&id(), 10_100));
+    backends
+}
+
+#[test]
+fn a_row_that_ran_out_is_believed_for_two_seconds() {
+    let mut backends = missing();
+    assert!(backends.take_expired(false, 11_999).is_empty());
+    assert_eq!(backends.take_expired(false, 12_000), [id()].into());
+    assert!(backends.take_expired(false, 12_001).is_empty());
+}
+
+#[test]
+fn a_row_that_is_back_is_not_gone() {
+    let mut backends = missing();
+    backends.mark_present("server-1");
+    assert!(backends.take_expired(false, 13_000).is_empty());
+}
+
+/// This instance alone was cut off from the store: another had it all the time, so
+/// rows that are missing were removed, and their servers are leaving.
+#[test]
+fn a_row_is_gone_if_another_instance_had_the_store() {
+    let mut backends = missing();
+    assert_eq!(backends.take_expired(true, 10_200), [id()].into());
+    assert!(backends.mark_missing(&id(), 10_300));
+}
--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -65,7 +65,7 @@
         if row.is_removed {
             return self.remove_backend(row);
         }
-        self.lapsed.borrow_mut().is_back(key);
+        self.lapsed.borrow_mut().mark_present(key);
         let backend = match backend::decode(key, value(row)) {
             Ok(backend) => backend,
             Err(e) => {
@@ -83,7 +83,7 @@
     fn remove_backend(&self, row: &Row) {
         let key = row.key.as_str();
         let now_ms = self.now_ms();
-        if !self.lapsed.borrow_mut().is_gone(&BackendId::new(key), now_ms) {
+        if !self.lapsed.borrow_mut().mark_missing(&BackendId::new(key), now_ms) {
             log::info!(backend = key, row_version = row.version; "backend server's row ran out while the store was away");
         } else if self.balancer.borrow_mut().remove(key) {
             log::info!(backend = key, row_version = row.version; "backend server gone");
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -8,7 +8,7 @@
 };
 
 use azuregate_core::{
-    balance::{self, Balancer, Config, Lapsed, Members, RetryBudget, WeightedRoundRobin},
+    balance::{self, Balancer, Config, Members, MissingBackends, RetryBudget, WeightedRoundRobin},
     names::{ServiceName, StartNumber},
     replica::{Contact, Table},
 };
@@ -52,7 +52,7 @@
     /// Instances that follow this one.
     pub(super) followers: Cell<usize>,
     /// Backend servers whose rows are missing, but may come back.
-    pub(super) lapsed: RefCell<Lapsed>,
+    pub(super) lapsed: RefCell<MissingBackends>,
     /// Since when the store has been there without a break, by any way; `None`
     /// while it is not.
     pub(super) has_store_since_ms: Cell<Option<u64>>,
@@ -151,12 +151,12 @@
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
         match (self.has_store_since_ms.get(), is_fresh) {
             (None, true) => {
-                self.lapsed.borrow_mut().store_regained(now_ms);
+                self.lapsed.borrow_mut().mark_store_reachable(now_ms);
                 self.has_store_since_ms.set(Some(now_ms));
                 log::info!("contact with the store");
             }
             (Some(since_ms), false) => {
-                self.lapsed.borrow_mut().store_lost();
+                self.lapsed.borrow_mut().mark_store_unreachable();
                 self.has_store_since_ms.set(None);
                 log::warn!(had_ms = now_ms.saturating_sub(since_ms); "no contact with the store");
             }
@@ -190,7 +190,7 @@
 
     /// Forgets backend servers whose rows are gone for good.
     pub(super) fn remove_lapsed(&self, another_had_store: bool) {
-        let gone = self.lapsed.borrow_mut().take_gone(another_had_store, self.now_ms());
+        let gone = self.lapsed.borrow_mut().take_expired(another_had_store, self.now_ms());
         for id in gone {
             if self.balancer.borrow_mut().remove(id.as_str()) {
                 log::info!(backend:% = id, another_had_store = another_had_store; "backend server gone since the store was away");
