--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -16,7 +16,7 @@
   by a share of its own.
 * [`Members`] tells which entry instances clients should use.
 * [`Datagram`] is what entry instances tell each other.
-* [`NotServed`] tells refused clients when to come back.
+* [`RetryReason`] tells refused clients when to come back.
 */
 
 mod backends;
@@ -30,8 +30,8 @@
 mod policy;
 mod remote_load;
 mod replication_source;
+mod retry_after;
 mod retry_budget;
-mod return_after;
 mod shared_objects;
 mod weighted_round_robin;
 
@@ -48,6 +48,6 @@
 pub use policy::{Candidate, Decision, HealthStatus, LoadBalancingPolicy, ObjectAffinity};
 pub use remote_load::InFlightCount;
 pub use replication_source::ReplicationSource;
+pub use retry_after::RetryReason;
 pub use retry_budget::RetryBudget;
-pub use return_after::NotServed;
 pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/azuregate-core/tests/balance/uneven.rs
+++ b/crates/azuregate-core/tests/balance/uneven.rs
@@ -5,7 +5,7 @@
 //! work takes 270 and 350 ms and all of it needs three fifths of the slots.
 
 use azuregate_core::{
-    balance::{Backend, Choice, NotServed, ObjectAffinity, object_hash},
+    balance::{Backend, Choice, ObjectAffinity, RetryReason, object_hash},
     names::BackendId,
 };
 
@@ -43,7 +43,7 @@
         server_queue: 12,
         remembered: 28,
         remembers: Remembers::AtStart,
-        return_ms: NotServed::NoPlace.return_after_ms(),
+        return_ms: RetryReason::NoCapacity.retry_after_ms(),
         rejected: |_| 0.0,
         tries: 2,
         asks_again: Choice::had_free_slot,
--- a/crates/azuregate/src/serve/answer.rs
+++ b/crates/azuregate/src/serve/answer.rs
@@ -1,6 +1,6 @@
 //! Answers that the instance makes itself, and headers that pass through.
 
-use azuregate_core::balance::NotServed;
+use azuregate_core::balance::RetryReason;
 use azuregate_platform::request;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -56,10 +56,10 @@
 
     /// Why the request was not served, if it has certainly not run and may be sent
     /// again.
-    fn not_served(self) -> Option<NotServed> {
+    fn not_served(self) -> Option<RetryReason> {
         match self {
-            Refusal::NotReady | Refusal::OutOfContact => Some(NotServed::KnowsTooLittle),
-            Refusal::NoRoom | Refusal::Rejected => Some(NotServed::NoPlace),
+            Refusal::NotReady | Refusal::OutOfContact => Some(RetryReason::StaleState),
+            Refusal::NoRoom | Refusal::Rejected => Some(RetryReason::NoCapacity),
             _ => None,
         }
     }
@@ -82,7 +82,7 @@
         let mut response = Response::new(Answer::whole(Bytes::new()));
         *response.status_mut() = self.status();
         if let Some(not_served) = self.not_served() {
-            let retry_after_ms = fastrand::u64(not_served.return_after_ms());
+            let retry_after_ms = fastrand::u64(not_served.retry_after_ms());
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
             let value = seconds.parse().expect("a number is a valid header value");
             response.headers_mut().insert(header::RETRY_AFTER, value);
