--- a/crates/azuregate-core/src/balance/config.rs
+++ b/crates/azuregate-core/src/balance/config.rs
@@ -34,13 +34,13 @@
     /// The longest time for which a client is kept waiting.
     pub timeout_ms: u64,
     /// The time within which an answer is worth most.
-    pub objective_ms: u64,
+    pub target_latency_ms: u64,
     /// How many backend servers may run one request.
     pub attempts: u32,
     /// The urgency, 0 being the most urgent.
     pub priority: u32,
     /// Whether backend servers work faster on objects that they handled recently.
-    pub has_warm_objects: bool,
+    pub has_session_affinity: bool,
     /// The services, at least one.
     pub destinations: Vec<Destination>,
     /// The only regions that may serve the route; all if empty.
@@ -60,7 +60,7 @@
 
 /// What clients may send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct CallerLimits {
+pub struct ClientLimits {
     /// The longest head of a request.
     pub header_bytes: usize,
     /// The longest body of a request.
@@ -77,7 +77,7 @@
     /// The version; a higher one replaces a lower one.
     pub version: u64,
     /// What clients may send.
-    pub limits: CallerLimits,
+    pub limits: ClientLimits,
     /// The services.
     pub services: BTreeMap<ServiceName, Service>,
     /// The routes, each with its host.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     version: u64,
-    limits: CallerLimits,
+    limits: ClientLimits,
     services: BTreeMap<ServiceName, Service>,
     /// For each host its routes, those with the longest prefix first.
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
@@ -135,7 +135,7 @@
     }
 
     /// What clients may send.
-    pub fn limits(&self) -> CallerLimits {
+    pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -39,7 +39,7 @@
 pub use choice::{BackendQuery, Choice, Explanation, object_hash};
 pub use cold_start::ColdStartBudget;
 pub use config::{
-    CallerLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
+    ClientLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
 };
 pub use datagrams::{Datagram, Heartbeat, Load};
 pub use health::{Baseline, Health, Outcome};
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -35,7 +35,7 @@
             objects: 261,
             warm_ms: 72,
             cold_ms: 240,
-            objective_ms: 250,
+            target_latency_ms: 250,
             deadline_ms: 1_000,
         }],
         is_regional: false,
--- a/crates/azuregate-core/tests/balance/replay.rs
+++ b/crates/azuregate-core/tests/balance/replay.rs
@@ -36,7 +36,7 @@
     pub(crate) objects: u64,
     pub(crate) warm_ms: u64,
     pub(crate) cold_ms: u64,
-    pub(crate) objective_ms: u64,
+    pub(crate) target_latency_ms: u64,
     pub(crate) deadline_ms: u64,
 }
 
@@ -332,8 +332,8 @@
                 false => Outcome::TimedOut { taken_ms },
             };
             self.balancers[job.request.instance].complete(job.handle, outcome, now_ms);
-            let objective_ms = self.load.classes[job.request.class].objective_ms;
-            let is_in_time = is_done && now_ms - job.request.born_ms <= objective_ms;
+            let target_latency_ms = self.load.classes[job.request.class].target_latency_ms;
+            let is_in_time = is_done && now_ms - job.request.born_ms <= target_latency_ms;
             self.second(&job.request).in_time += u32::from(is_in_time);
         }
     }
--- a/crates/azuregate-core/tests/balance/uneven.rs
+++ b/crates/azuregate-core/tests/balance/uneven.rs
@@ -24,7 +24,7 @@
         objects: 75,
         warm_ms: 270,
         cold_ms: 900,
-        objective_ms: 600,
+        target_latency_ms: 600,
         deadline_ms: 1_500,
     };
     let book = Class {
@@ -32,7 +32,7 @@
         share: 0.25,
         warm_ms: 350,
         cold_ms: 1_150,
-        objective_ms: 800,
+        target_latency_ms: 800,
         ..read
     };
     Load {
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/world.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     balance::{
-        Backend, BackendQuery, Balancer, CallerLimits, Config, ConfigParts, Destination,
+        Backend, BackendQuery, Balancer, ClientLimits, Config, ConfigParts, Destination,
         LoadBalancingPolicy, Member, Members, ObjectAffinity, RequestKind, Route, Service,
         Settings,
     },
@@ -29,17 +29,17 @@
         prefix: "/".to_owned(),
         kind: RequestKind::Idempotent,
         timeout_ms: 1_000,
-        objective_ms: 250,
+        target_latency_ms: 250,
         attempts: 2,
         priority: 1,
-        has_warm_objects: true,
+        has_session_affinity: true,
         destinations: vec![Destination { service: service(), weight: 1.0 }],
         home_regions: Vec::new(),
     };
     let service_config = Service { connection_limit: 330, cold_ms: 3_000, cold_rate_per_s: 9.0 };
     let parts = ConfigParts {
         version: 1,
-        limits: CallerLimits {
+        limits: ClientLimits {
             header_bytes: 16_384,
             body_bytes: 1 << 20,
             header_timeout_ms: 3_000,
--- a/crates/azuregate/src/serve/connection.rs
+++ b/crates/azuregate/src/serve/connection.rs
@@ -2,7 +2,7 @@
 
 use std::{cell::Cell, convert::Infallible, pin::pin, rc::Rc, time::Duration};
 
-use azuregate_core::balance::CallerLimits;
+use azuregate_core::balance::ClientLimits;
 use hyper::{Request, Response, body::Incoming, header, server::conn::http1, service::service_fn};
 use tokio::{
     net::TcpStream,
@@ -22,7 +22,7 @@
 /// The smallest buffer that the HTTP server accepts.
 const LEAST_BUFFER_BYTES: usize = 8 << 10;
 /// Limits before the first configuration.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+const FIRST_LIMITS: ClientLimits = ClientLimits {
     header_bytes: 16 << 10,
     body_bytes: 1 << 20,
     header_timeout_ms: 3_000,
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -324,7 +324,7 @@
 
     fn choose(&self, progress: &Progress, record: &mut Record) -> Option<Choice> {
         let headers = &self.outgoing.headers;
-        let known = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_warm_objects);
+        let known = headers.get(request::OBJECT_KEY).filter(|_| self.route.has_session_affinity);
         let known = known.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
         let object = known.unwrap_or_else(|| fastrand::u64(..));
         let query = BackendQuery {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use azuregate_core::{
-    balance::{CallerLimits, Config, ConfigParts, Destination, RequestKind, Route, Service},
+    balance::{ClientLimits, Config, ConfigParts, Destination, RequestKind, Route, Service},
     names::{RegionName, ServiceName, ZoneName},
 };
 use serde::Deserialize;
@@ -133,7 +133,7 @@
     let document: Document = decode_json(value)?;
     let version = u64::from_str_radix(&document.config_version, 16)
         .map_err(|_| DecodeError::new("the version is not hexadecimal"))?;
-    let limits = CallerLimits {
+    let limits = ClientLimits {
         header_bytes: document.limits.max_header_bytes,
         body_bytes: document.limits.max_body_bytes,
         header_timeout_ms: millis(document.limits.header_timeout_s)?,
@@ -175,10 +175,10 @@
             Kind::NonIdempotent | Kind::Upload => RequestKind::NonIdempotent,
         },
         timeout_ms: millis(rule.action.timeout_s)?,
-        objective_ms: millis(rule.target_latency_s)?,
+        target_latency_ms: millis(rule.target_latency_s)?,
         attempts: rule.action.attempts,
         priority: rule.priority,
-        has_warm_objects: rule.session_affinity,
+        has_session_affinity: rule.session_affinity,
         destinations,
         home_regions: rule.action.home_regions.iter().map(|name| RegionName::new(name)).collect(),
     })
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -29,7 +29,7 @@
     assert_eq!(kind("/write/1"), Some(RequestKind::NonIdempotent));
     assert_eq!(kind("/upload/1"), Some(RequestKind::NonIdempotent));
     let route = config.route("shop.example", "/read/1").unwrap();
-    assert_eq!((route.timeout_ms, route.objective_ms, route.attempts), (1_000, 250, 2));
+    assert_eq!((route.timeout_ms, route.target_latency_ms, route.attempts), (1_000, 250, 2));
 }
 
 #[test]
