--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -3,7 +3,7 @@
 use azuregate_core::balance::{ColdStartBudget, Destination, RetryBudget, WeightedRoundRobin};
 use proptest::prelude::*;
 
-use crate::world::{balancer, instance, query, service};
+use crate::fixtures::{balancer, instance, query, service};
 
 proptest! {
     /// Any set of registered instances: the parts of a cold server's rate add up to
@@ -69,11 +69,11 @@
 #[test]
 fn a_cold_server_gets_no_more_than_it_tolerates() {
     let mut instances: Vec<_> = (0..9).map(|own| balancer(own, 9, 1)).collect();
-    let members: Vec<_> = (0..9).map(|own| crate::world::members(own, 9)).collect();
+    let members: Vec<_> = (0..9).map(|own| crate::fixtures::members(own, 9)).collect();
     let service = service();
     let mut sent = Vec::new();
     for (balancer, members) in instances.iter_mut().zip(&members) {
-        let mut cold = crate::world::backend(0);
+        let mut cold = crate::fixtures::backend(0);
         cold.cold_left_ms = 3_000;
         cold.start_epoch_ms = 2;
         balancer.put(cold, members, 0);
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -6,7 +6,7 @@
 };
 use proptest::prelude::*;
 
-use crate::world::{ZONES, backend, balancer, instance, members, query, service};
+use crate::fixtures::{ZONES, backend, balancer, instance, members, query, service};
 
 const OBJECTS: u64 = 200;
 
@@ -119,19 +119,19 @@
 /// one passes the server over, until the word is too old to be believed.
 #[test]
 fn what_others_have_in_flight_counts() {
-    let (mut here, mut there) = (balancer(0, 2, 24), balancer(1, 2, 24));
+    let (mut local, mut remote) = (balancer(0, 2, 24), balancer(1, 2, 24));
     let service = service();
-    let first = here.choose(&query(&service, 7), 0).unwrap();
-    here.complete(first.handle, Outcome::Cancelled, 0);
+    let first = local.choose(&query(&service, 7), 0).unwrap();
+    local.complete(first.handle, Outcome::Cancelled, 0);
     for _ in 0..7 {
-        there.choose(&query(&service, 7), 0).unwrap();
+        remote.choose(&query(&service, 7), 0).unwrap();
     }
-    let said: Vec<InFlightCount> = there.in_flight();
-    here.record_load_report(&instance(1), said, 0);
-    let other = here.choose(&query(&service, 7), 0).unwrap();
+    let report: Vec<InFlightCount> = remote.in_flight();
+    local.record_load_report(&instance(1), report, 0);
+    let other = local.choose(&query(&service, 7), 0).unwrap();
     assert_ne!(other.backend.id, first.backend.id);
-    here.expire_load_reports(1_501);
-    let again = here.choose(&query(&service, 7), 1_501).unwrap();
+    local.expire_load_reports(1_501);
+    let again = local.choose(&query(&service, 7), 1_501).unwrap();
     assert_eq!(again.backend.id, first.backend.id);
 }
 
--- a/crates/azuregate-core/tests/balance/config.rs
+++ b/crates/azuregate-core/tests/balance/config.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::balance::{Config, ConfigParts, Route};
 
-use crate::world::{config, service};
+use crate::fixtures::{config, service};
 
 fn parts(routes: &[(&str, &str)]) -> ConfigParts {
     let config = config();
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/fixtures.rs
@@ -88,12 +88,12 @@
 
 /// The balancer of one of `instances` instances, which knows `servers` servers.
 pub(crate) fn balancer(own: usize, instances: usize, servers: usize) -> Balancer {
-    balancer_by(Box::new(ObjectAffinity), own, instances, (0..servers).map(backend))
+    balancer_with(Box::new(ObjectAffinity), own, instances, (0..servers).map(backend))
 }
 
 /// The balancer of one of `instances` instances, with a rule and servers of the
 /// test's own.
-pub(crate) fn balancer_by(
+pub(crate) fn balancer_with(
     policy: Box<dyn LoadBalancingPolicy>,
     own: usize,
     instances: usize,
@@ -117,7 +117,7 @@
 
 /// Each instance tells all others what it has in flight, and those of other regions
 /// what was requested of it.
-pub(crate) fn tell_others(balancers: &mut [Balancer], now_ms: u64) {
+pub(crate) fn exchange_reports(balancers: &mut [Balancer], now_ms: u64) {
     let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
     let region = |own: usize| ZONES[own % ZONES.len()].1;
     for (own, balancer) in balancers.iter_mut().enumerate() {
@@ -126,10 +126,10 @@
             balancer.record_remote_requests(requested, now_ms);
         }
     }
-    let said: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
+    let reports: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
     for (own, balancer) in balancers.iter_mut().enumerate() {
-        for (other, said) in said.iter().enumerate().filter(|&(other, _)| other != own) {
-            balancer.record_load_report(&instance(other), said.clone(), now_ms);
+        for (other, report) in reports.iter().enumerate().filter(|&(other, _)| other != own) {
+            balancer.record_load_report(&instance(other), report.clone(), now_ms);
         }
     }
 }
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -2,11 +2,11 @@
 
 use azuregate_core::balance::{Balancer, Outcome};
 
-use crate::world::{balancer, query, service};
+use crate::fixtures::{balancer, query, service};
 
 /// Sends requests for 100 objects, `gap_ms` apart, each of which ends at once as
 /// `end` says; returns how many went to `server-5`.
-fn send(
+fn send_requests(
     balancer: &mut Balancer,
     from_ms: u64,
     gap_ms: u64,
@@ -24,7 +24,7 @@
     count
 }
 
-const WELL: Outcome = Outcome::Succeeded { taken_ms: 100 };
+const SUCCESS: Outcome = Outcome::Succeeded { taken_ms: 100 };
 
 /// One of six servers rejects or fails half of its requests, or takes five times
 /// as long. Its objects go elsewhere after a few requests.
@@ -38,11 +38,11 @@
     ];
     for bad in cases {
         let mut balancer = balancer(0, 1, 6);
-        let end = |id: &str| if id == "server-5" { bad } else { WELL };
-        let baseline = send(&mut balancer, 0, 1, |_| WELL);
-        send(&mut balancer, 100, 1, end);
-        send(&mut balancer, 200, 1, end);
-        let avoided = send(&mut balancer, 300, 1, end);
+        let end = |id: &str| if id == "server-5" { bad } else { SUCCESS };
+        let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
+        send_requests(&mut balancer, 100, 1, end);
+        send_requests(&mut balancer, 200, 1, end);
+        let avoided = send_requests(&mut balancer, 300, 1, end);
         assert!(avoided * 4 < baseline, "{bad:?}: {avoided} of {baseline}");
     }
 }
@@ -55,15 +55,15 @@
     let is_slow = |id: &str| matches!(id, "server-3" | "server-4");
     let end = |id: &str| match is_slow(id) {
         true => Outcome::Succeeded { taken_ms: 900 },
-        false => WELL,
+        false => SUCCESS,
     };
     for round in 0..3 {
-        send(&mut balancer, round * 100, 1, end);
+        send_requests(&mut balancer, round * 100, 1, end);
     }
     let service = service();
     let slow = (0..100).filter(|&object| {
         let choice = balancer.choose(&query(&service, object), 400).unwrap();
-        balancer.complete(choice.handle, WELL, 400);
+        balancer.complete(choice.handle, SUCCESS, 400);
         is_slow(choice.backend.id.as_str())
     });
     assert_eq!(slow.count(), 0);
@@ -75,9 +75,9 @@
 fn under_overload_objects_stay_with_their_servers() {
     for bad in [Outcome::Rejected, Outcome::TimedOut { taken_ms: 1_000 }] {
         let mut balancer = balancer(0, 1, 6);
-        let baseline = send(&mut balancer, 0, 1, |_| WELL);
+        let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
         for round in 1..5 {
-            assert_eq!(send(&mut balancer, round * 100, 1, |_| bad), baseline, "{bad:?}");
+            assert_eq!(send_requests(&mut balancer, round * 100, 1, |_| bad), baseline, "{bad:?}");
         }
     }
 }
@@ -87,12 +87,12 @@
 #[test]
 fn an_avoided_server_is_tried_again() {
     let mut balancer = balancer(0, 1, 6);
-    let baseline = send(&mut balancer, 0, 1, |_| WELL);
+    let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
     for round in 1..4 {
-        let end = |id: &str| if id == "server-5" { Outcome::Failed } else { WELL };
-        send(&mut balancer, round * 100, 1, end);
+        let end = |id: &str| if id == "server-5" { Outcome::Failed } else { SUCCESS };
+        send_requests(&mut balancer, round * 100, 1, end);
     }
-    assert_eq!(send(&mut balancer, 20_000, 1, |_| WELL), baseline);
+    assert_eq!(send_requests(&mut balancer, 20_000, 1, |_| SUCCESS), baseline);
 }
 
 /// A server cannot be reached: it gets nothing for half a second, then longer.
@@ -100,11 +100,12 @@
 #[test]
 fn an_unreachable_server_is_left_alone_and_then_cold() {
     let mut balancer = balancer(0, 1, 6);
-    let baseline = send(&mut balancer, 0, 0, |_| WELL);
-    let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { WELL };
-    assert_eq!(send(&mut balancer, 0, 0, lost), 1);
-    assert_eq!(send(&mut balancer, 499, 0, lost), 0);
-    let cold = (500..900).step_by(100).map(|now_ms| send(&mut balancer, now_ms, 0, |_| WELL));
+    let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
+    let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { SUCCESS };
+    assert_eq!(send_requests(&mut balancer, 0, 0, lost), 1);
+    assert_eq!(send_requests(&mut balancer, 499, 0, lost), 0);
+    let cold =
+        (500..900).step_by(100).map(|now_ms| send_requests(&mut balancer, now_ms, 0, |_| SUCCESS));
     let cold: usize = cold.sum();
     assert!(baseline * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
 }
@@ -115,17 +116,17 @@
 #[test]
 fn one_lost_answer_moves_no_objects() {
     let mut balancer = balancer(0, 1, 6);
-    let baseline = send(&mut balancer, 0, 0, |_| WELL);
+    let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
     for round in 1..5 {
-        lose_answers(&mut balancer, 1, round);
-        assert_eq!(send(&mut balancer, round, 0, |_| WELL), baseline, "round {round}");
+        lose_responses(&mut balancer, 1, round);
+        assert_eq!(send_requests(&mut balancer, round, 0, |_| SUCCESS), baseline, "round {round}");
     }
-    lose_answers(&mut balancer, 2, 10);
-    assert_eq!(send(&mut balancer, 10, 0, |_| WELL), 0);
+    lose_responses(&mut balancer, 2, 10);
+    assert_eq!(send_requests(&mut balancer, 10, 0, |_| SUCCESS), 0);
 }
 
 /// Loses `count` answers of `server-5` in a row.
-fn lose_answers(balancer: &mut Balancer, count: usize, now_ms: u64) {
+fn lose_responses(balancer: &mut Balancer, count: usize, now_ms: u64) {
     let service = service();
     let mut lost = 0;
     for object in (0..100).cycle() {
--- a/crates/azuregate-core/tests/balance/large.rs
+++ b/crates/azuregate-core/tests/balance/large_bodies.rs
@@ -14,14 +14,14 @@
     names::ZoneName,
 };
 
-use crate::world::{backend, balancer_by, query, service, tell_others};
+use crate::fixtures::{backend, balancer_with, exchange_reports, query, service};
 
 const ZONES: [&str; 4] = ["a1", "a2", "b1", "b2"];
-const SERVERS_OF_ZONES: [usize; 4] = [4, 4, 1, 1];
+const SERVERS_PER_ZONE: [usize; 4] = [4, 4, 1, 1];
 const WORK_MS: u64 = 120;
-const PER_S: f64 = 30.0;
+const RATE_PER_S: f64 = 30.0;
 const OBJECTS: u64 = 40;
-const TELL_EVERY_MS: u64 = 100;
+const REPORT_INTERVAL_MS: u64 = 100;
 const END_MS: u64 = 10_000;
 
 /// An earlier rule, to be played beside the one that is used: a large body goes to
@@ -43,7 +43,7 @@
 }
 
 fn backends() -> impl Iterator<Item = Backend> {
-    let zones = ZONES.iter().zip(SERVERS_OF_ZONES);
+    let zones = ZONES.iter().zip(SERVERS_PER_ZONE);
     let zones = zones.flat_map(|(&zone, count)| std::iter::repeat_n(zone, count));
     zones.enumerate().map(|(number, zone)| Backend { zone: ZoneName::new(zone), ..backend(number) })
 }
@@ -56,7 +56,7 @@
 
 impl Server {
     /// When a request is done that comes now.
-    fn add(&mut self, now_ms: u64) -> u64 {
+    fn enqueue(&mut self, now_ms: u64) -> u64 {
         let slots = 3;
         let busy = self.ends_at_ms.len();
         let starts_ms = match busy < slots {
@@ -71,21 +71,21 @@
 /// What became of the load.
 #[derive(Debug, Default)]
 struct Outcomes {
-    asked: u32,
+    requests: u32,
     refused: u32,
     in_zone: u32,
 }
 
 impl Outcomes {
     fn share(&self, part: u32) -> f64 {
-        f64::from(part) / f64::from(self.asked)
+        f64::from(part) / f64::from(self.requests)
     }
 }
 
-fn replay(rule: fn() -> Box<dyn LoadBalancingPolicy>) -> Outcomes {
+fn simulate(policy: fn() -> Box<dyn LoadBalancingPolicy>) -> Outcomes {
     let mut random = fastrand::Rng::with_seed(1);
     let mut balancers: Vec<Balancer> =
-        (0..ZONES.len()).map(|own| balancer_by(rule(), own, ZONES.len(), backends())).collect();
+        (0..ZONES.len()).map(|own| balancer_with(policy(), own, ZONES.len(), backends())).collect();
     let mut servers: BTreeMap<String, Server> = BTreeMap::new();
     let mut running: Vec<(u64, usize, BackendHandle)> = Vec::new();
     let mut outcomes = Outcomes::default();
@@ -101,23 +101,23 @@
             server.ends_at_ms.retain(|&at_ms| at_ms > now_ms);
         }
         for own in 0..ZONES.len() {
-            if random.f64() >= PER_S / 1_000.0 {
+            if random.f64() >= RATE_PER_S / 1_000.0 {
                 continue;
             }
-            outcomes.asked += 1;
+            outcomes.requests += 1;
             let service = service();
-            let wish =
+            let backend_query =
                 BackendQuery { has_large_body: true, ..query(&service, random.u64(..OBJECTS)) };
-            let Some(choice) = balancers[own].choose(&wish, now_ms) else {
+            let Some(choice) = balancers[own].choose(&backend_query, now_ms) else {
                 outcomes.refused += 1;
                 continue;
             };
             outcomes.in_zone += u32::from(choice.backend.zone.as_str() == ZONES[own]);
             let server = servers.entry(choice.backend.id.as_str().to_owned()).or_default();
-            running.push((server.add(now_ms), own, choice.handle));
+            running.push((server.enqueue(now_ms), own, choice.handle));
         }
-        if now_ms.is_multiple_of(TELL_EVERY_MS) {
-            tell_others(&mut balancers, now_ms);
+        if now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
+            exchange_reports(&mut balancers, now_ms);
         }
     }
     outcomes
@@ -128,9 +128,9 @@
 /// choice nobody is, and most bodies still stay in their zone.
 #[test]
 fn a_zone_with_few_servers_refuses_nobody_while_others_are_idle() {
-    let nearest = replay(|| Box::new(NearestOnly));
+    let nearest = simulate(|| Box::new(NearestOnly));
     assert!(nearest.share(nearest.refused) > 0.02, "{nearest:?}");
-    let by_object = replay(|| Box::new(ObjectAffinity));
-    assert_eq!(by_object.refused, 0, "{by_object:?}");
-    assert!(by_object.share(by_object.in_zone) > 0.75, "{by_object:?}");
+    let object_affinity = simulate(|| Box::new(ObjectAffinity));
+    assert_eq!(object_affinity.refused, 0, "{object_affinity:?}");
+    assert!(object_affinity.share(object_affinity.in_zone) > 0.75, "{object_affinity:?}");
 }
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -7,7 +7,7 @@
     names::StartNumber,
 };
 
-use crate::world::{instance, member, members};
+use crate::fixtures::{instance, member, members};
 
 /// A heartbeat of an instance that lives and has the store.
 fn status(instance: &str, start: u64) -> HeartbeatStatus<'_> {
@@ -29,10 +29,10 @@
     addrs
 }
 
-fn named(members: &Members, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
-    let mut named = members.lookup(zone, region, now_ms);
-    named.sort();
-    named
+fn sorted_lookup(members: &Members, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
+    let mut found = members.lookup(zone, region, now_ms);
+    found.sort();
+    found
 }
 
 #[test]
@@ -47,22 +47,30 @@
     ];
     for (silent, zone, region, expected) in cases {
         let members = live_members_except(silent);
-        assert_eq!(named(&members, zone, region, 1_500), addrs(expected), "{silent:?} {zone}");
+        assert_eq!(
+            sorted_lookup(&members, zone, region, 1_500),
+            addrs(expected),
+            "{silent:?} {zone}"
+        );
     }
 }
 
 #[test]
 fn an_instance_is_named_until_it_was_silent_for_too_long() {
     let members = live_members_except(&[]);
-    assert_eq!(named(&members, "b2", "b", 3_000), addrs(&[3]));
-    assert_eq!(named(&members, "b2", "b", 3_001), addrs(&[0]), "only the own instance is sure");
+    assert_eq!(sorted_lookup(&members, "b2", "b", 3_000), addrs(&[3]));
+    assert_eq!(
+        sorted_lookup(&members, "b2", "b", 3_001),
+        addrs(&[0]),
+        "only the own instance is sure"
+    );
 }
 
 #[test]
 fn an_instance_that_leaves_is_not_named() {
     let mut members = live_members_except(&[]);
     members.record_heartbeat(&HeartbeatStatus { is_leaving: true, ..status("entry-6", 1) }, 1_100);
-    assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
 }
 
 /// An instance starts anew at another address. Heartbeats of its earlier start,
@@ -74,9 +82,9 @@
     anew.start = StartNumber(2);
     members.put(anew);
     assert!(!members.record_heartbeat(&status("entry-6", 1), 1_100));
-    assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
     assert!(members.record_heartbeat(&status("entry-6", 2), 1_300));
-    assert_eq!(named(&members, "a1", "a", 1_400), addrs(&[0, 6]));
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_400), addrs(&[0, 6]));
 }
 
 #[test]
@@ -90,7 +98,7 @@
 }
 
 /// The instances that `own` follows when all live; empty if it watches the store.
-fn followed(members: &Members, now_ms: u64) -> Vec<String> {
+fn followed_instances(members: &Members, now_ms: u64) -> Vec<String> {
     match members.replication_source(now_ms) {
         ReplicationSource::Store => Vec::new(),
         ReplicationSource::Instances(chosen) => {
@@ -123,10 +131,10 @@
         .filter(|&own| views[own].replication_source(1_100) == ReplicationSource::Store)
         .collect();
     assert_eq!(watchers.len(), 2, "{watchers:?}");
-    let region = |number: usize| crate::world::ZONES[number % 6].1;
+    let region = |number: usize| crate::fixtures::ZONES[number % 6].1;
     assert_ne!(region(watchers[0]), region(watchers[1]));
     for own in (0..9).filter(|own| !watchers.contains(own)) {
-        let mut chosen = followed(&views[own], 1_100);
+        let mut chosen = followed_instances(&views[own], 1_100);
         chosen.sort();
         assert_eq!(chosen, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
     }
@@ -141,7 +149,7 @@
         .collect();
     let views = views(&watchers);
     for view in &views {
-        let chosen = followed(view, 1_100);
+        let chosen = followed_instances(view, 1_100);
         assert!(watchers.iter().all(|n| !chosen.contains(&format!("entry-{n}"))), "{chosen:?}");
     }
     // Everyone is silent: the own store is all there is.
@@ -168,15 +176,16 @@
         members
     };
     let views: Vec<Members> = (0..COUNT).map(view).collect();
-    let sources: Vec<Vec<String>> = views.iter().map(|view| followed(view, 1_100)).collect();
+    let sources: Vec<Vec<String>> =
+        views.iter().map(|view| followed_instances(view, 1_100)).collect();
     let watchers: Vec<usize> = (0..COUNT).filter(|&own| sources[own].is_empty()).collect();
     assert_eq!(watchers.len(), 2);
-    let zone = |number: usize| number % crate::world::ZONES.len();
-    let in_zone = COUNT / crate::world::ZONES.len();
+    let zone = |number: usize| number % crate::fixtures::ZONES.len();
+    let in_zone = COUNT / crate::fixtures::ZONES.len();
     for own in 0..COUNT {
         let followers =
             sources.iter().filter(|all| all.iter().any(|name| name == instance(own).as_str()));
-        assert!(followers.count() <= in_zone + 2 * crate::world::ZONES.len(), "{own}");
+        assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{own}");
         // Whoever follows others than the two follows them through its own zone only.
         let hears_from =
             |name: &String| (0..COUNT).find(|&number| instance(number).as_str() == name);
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -9,26 +9,26 @@
 use azuregate_core::balance::{Candidate, Decision, LoadBalancingPolicy, ObjectAffinity};
 
 use crate::{
-    replay::{Class, Load, Remembers, Second, in_time, play},
-    world::backend,
+    fixtures::backend,
+    simulation::{CacheInsertion, Class, Scenario, SecondStats, on_time, simulate},
 };
 
-const USUAL_PER_S: f64 = 300.0;
-const BURST_PER_S: f64 = 900.0;
+const BASE_RATE_PER_S: f64 = 300.0;
+const BURST_RATE_PER_S: f64 = 900.0;
 
-fn load(tells_others: bool, rule: fn() -> Box<dyn LoadBalancingPolicy>) -> Load {
-    Load {
+fn scenario(exchanges_reports: bool, policy: fn() -> Box<dyn LoadBalancingPolicy>) -> Scenario {
+    Scenario {
         seed: 1,
         end_ms: 18_000,
         instances: 9,
         servers: (0..10).map(backend).collect(),
         server_queue: 9,
-        remembered: 43,
-        remembers: Remembers::AtEnd,
-        return_ms: 250..=250,
-        rejected: |_| 0.0,
-        tries: 1,
-        asks_again: |_| false,
+        cache_capacity: 43,
+        cache_insertion: CacheInsertion::AtEnd,
+        retry_after_ms: 250..=250,
+        rejection_rate: |_| 0.0,
+        max_attempts: 1,
+        may_retry_same_backend: |_| false,
         classes: vec![Class {
             route: "read",
             share: 1.0,
@@ -39,29 +39,31 @@
             deadline_ms: 1_000,
         }],
         is_regional: false,
-        tells_others,
-        per_s: |now_ms| if (6_000..8_000).contains(&now_ms) { BURST_PER_S } else { USUAL_PER_S },
+        exchanges_reports,
+        rate_per_s: |now_ms| {
+            if (6_000..8_000).contains(&now_ms) { BURST_RATE_PER_S } else { BASE_RATE_PER_S }
+        },
         hash: |_, object| object,
-        rule,
+        policy,
     }
 }
 
 /// The mean share that is in time in the seconds after the burst.
-fn afterwards(seconds: &[Second]) -> f64 {
-    let shares = seconds[11..17].iter().map(|second| in_time(std::slice::from_ref(second)));
+fn on_time_after_burst(seconds: &[SecondStats]) -> f64 {
+    let shares = seconds[11..17].iter().map(|second| on_time(std::slice::from_ref(second)));
     shares.sum::<f64>() / 6.0
 }
 
-fn by_object() -> Box<dyn LoadBalancingPolicy> {
+fn object_affinity() -> Box<dyn LoadBalancingPolicy> {
     Box::new(ObjectAffinity)
 }
 
 /// An earlier rule, to be played beside the one that is used: a full server is
 /// left for the object's second at any load of that.
 #[derive(Debug)]
-struct SecondAtAnyLoad;
+struct UnconditionalSpillover;
 
-impl LoadBalancingPolicy for SecondAtAnyLoad {
+impl LoadBalancingPolicy for UnconditionalSpillover {
     fn choose(&self, _has_large_body: bool, candidates: &[Candidate]) -> Decision {
         let mut ranked: Vec<&Candidate> = candidates.iter().collect();
         ranked.sort_by_key(|server| (server.status, !server.hash));
@@ -77,22 +79,26 @@
 /// answers three seconds after it is as before.
 #[test]
 fn an_overload_ends_with_its_cause() {
-    let seconds = play(&load(true, by_object));
-    assert!(afterwards(&seconds) > 0.8, "{seconds:?}");
+    let seconds = simulate(&scenario(true, object_affinity));
+    assert!(on_time_after_burst(&seconds) > 0.8, "{seconds:?}");
 }
 
 /// The same load, and a full server is left for a full one: each server sees more
 /// objects than it remembers, all work is cold, and the overload stays.
 #[test]
 fn a_second_server_at_any_load_keeps_the_overload_up() {
-    let seconds = play(&load(true, || Box::new(SecondAtAnyLoad)));
-    assert!(afterwards(&seconds) < 0.6, "{seconds:?}");
+    let seconds = simulate(&scenario(true, || Box::new(UnconditionalSpillover)));
+    assert!(on_time_after_burst(&seconds) < 0.6, "{seconds:?}");
 }
 
 /// The same load, and the instances do not tell each other what they have in
 /// flight: queues grow unseen, and a third of the answers is late for good.
 #[test]
 fn knowing_what_others_have_in_flight_keeps_queues_short() {
-    let (told, untold) = (play(&load(true, by_object)), play(&load(false, by_object)));
-    assert!(afterwards(&told) > afterwards(&untold) + 0.1, "{told:?} and {untold:?}");
+    let (with_reports, without_reports) =
+        (simulate(&scenario(true, object_affinity)), simulate(&scenario(false, object_affinity)));
+    assert!(
+        on_time_after_burst(&with_reports) > on_time_after_burst(&without_reports) + 0.1,
+        "{with_reports:?} and {without_reports:?}"
+    );
 }
--- a/crates/azuregate-core/tests/balance/shared_objects.rs
+++ b/crates/azuregate-core/tests/balance/shared_objects.rs
@@ -2,20 +2,20 @@
 
 use azuregate_core::balance::Balancer;
 
-use crate::world::balancer;
+use crate::fixtures::balancer;
 
 /// Five seconds of requests, of which another region has `shared` in 100 as well;
 /// returns what the balancer says of it.
-fn hear(balancer: &mut Balancer, from_ms: u64, shared: u64) -> Option<bool> {
-    let mut said = None;
+fn replay_requests(balancer: &mut Balancer, from_ms: u64, shared: u64) -> Option<bool> {
+    let mut preference = None;
     for number in 0..100_u64 {
         let now_ms = from_ms + number * 60;
         let object = number << 32;
         balancer.record_request(object, now_ms);
-        let told = if number < shared { number as u32 } else { 1_000 + number as u32 };
-        said = balancer.record_remote_requests(&[told], now_ms).or(said);
+        let remote_object = if number < shared { number as u32 } else { 1_000 + number as u32 };
+        preference = balancer.record_remote_requests(&[remote_object], now_ms).or(preference);
     }
-    said
+    preference
 }
 
 /// Other regions request the same objects: a region that goes on preferring its own
@@ -36,6 +36,6 @@
     for (round, (shared, expected)) in cases.into_iter().enumerate() {
         // Far enough apart that objects of the round before are forgotten.
         let from_ms = 10_000 + round as u64 * 30_000;
-        assert_eq!(hear(&mut balancer, from_ms, shared), expected, "round {round}");
+        assert_eq!(replay_requests(&mut balancer, from_ms, shared), expected, "round {round}");
     }
 }
--- a/crates/azuregate-core/tests/balance/uneven.rs
+++ b/crates/azuregate-core/tests/balance/skewed_load.rs
@@ -10,14 +10,14 @@
 };
 
 use crate::{
-    replay::{Class, Load, Remembers, at_home, in_time, play},
-    world::backend,
+    fixtures::backend,
+    simulation::{CacheInsertion, Class, Scenario, in_region, on_time, simulate},
 };
 
 /// Loads that a result is the mean of.
 const SEEDS: u64 = 4;
 
-pub(crate) fn load(seed: u64) -> Load {
+pub(crate) fn scenario(seed: u64) -> Scenario {
     let read = Class {
         route: "read",
         share: 0.75,
@@ -35,24 +35,24 @@
         target_latency_ms: 800,
         ..read
     };
-    Load {
+    Scenario {
         seed,
         end_ms: 16_000,
         instances: 8,
         servers: (0..20).map(|number| server(seed, number)).collect(),
         server_queue: 12,
-        remembered: 28,
-        remembers: Remembers::AtStart,
-        return_ms: RetryReason::NoCapacity.retry_after_ms(),
-        rejected: |_| 0.0,
-        tries: 2,
-        asks_again: Choice::had_free_slot,
+        cache_capacity: 28,
+        cache_insertion: CacheInsertion::AtStart,
+        retry_after_ms: RetryReason::NoCapacity.retry_after_ms(),
+        rejection_rate: |_| 0.0,
+        max_attempts: 2,
+        may_retry_same_backend: Choice::had_free_slot,
         classes: vec![read, book],
         is_regional: true,
-        tells_others: true,
-        per_s: |_| 160.0,
+        exchanges_reports: true,
+        rate_per_s: |_| 160.0,
         hash: |class, object| object_hash(class.route, &object.to_be_bytes()),
-        rule: || Box::new(ObjectAffinity),
+        policy: || Box::new(ObjectAffinity),
     }
 }
 
@@ -63,11 +63,11 @@
 }
 
 /// The mean over some loads of what is in time once all is warm.
-fn when_warm(change: fn(&mut Load)) -> f64 {
+fn mean_on_time_when_warm(change: fn(&mut Scenario)) -> f64 {
     let share = |seed| {
-        let mut load = load(seed);
-        change(&mut load);
-        in_time(&play(&load)[6..15])
+        let mut scenario = scenario(seed);
+        change(&mut scenario);
+        on_time(&simulate(&scenario)[6..15])
     };
     (1..=SEEDS).map(share).sum::<f64>() / SEEDS as f64
 }
@@ -77,9 +77,10 @@
 /// route of an object the same work comes in smaller parts, which spread better.
 #[test]
 fn routes_of_a_busy_object_are_served_apart() {
-    let by_object =
-        when_warm(|load| load.hash = |_, object| object_hash("", &object.to_be_bytes()));
-    let by_route = when_warm(|_| {});
+    let by_object = mean_on_time_when_warm(|scenario| {
+        scenario.hash = |_, object| object_hash("", &object.to_be_bytes())
+    });
+    let by_route = mean_on_time_when_warm(|_| {});
     assert!(by_route > by_object + 0.02, "{by_route:.3} and {by_object:.3}");
 }
 
@@ -88,15 +89,16 @@
 /// object is asked again; elsewhere the same request is cold and late.
 #[test]
 fn a_rejection_without_cause_does_not_move_the_request() {
-    fn rejecting(load: &mut Load) {
-        load.rejected = |now_ms| if (7_000..13_000).contains(&now_ms) { 0.5 } else { 0.0 };
+    fn rejecting(scenario: &mut Scenario) {
+        scenario.rejection_rate =
+            |now_ms| if (7_000..13_000).contains(&now_ms) { 0.5 } else { 0.0 };
     }
-    let asked_again = when_warm(rejecting);
-    let moved = when_warm(|load| {
-        rejecting(load);
-        load.asks_again = |_| false;
+    let same_backend = mean_on_time_when_warm(rejecting);
+    let other_backend = mean_on_time_when_warm(|scenario| {
+        rejecting(scenario);
+        scenario.may_retry_same_backend = |_| false;
     });
-    assert!(asked_again > moved + 0.02, "{asked_again:.3} and {moved:.3}");
+    assert!(same_backend > other_backend + 0.02, "{same_backend:.3} and {other_backend:.3}");
 }
 
 /// Twice the usual number of clients come for half a second, every second and a half. Those
@@ -104,15 +106,18 @@
 /// after a quarter of a second in the mean more of them are late.
 #[test]
 fn clients_that_are_told_to_come_back_soon_are_in_time() {
-    fn bursts(load: &mut Load) {
-        load.per_s = |now_ms| if now_ms % 1_500 < 500 { 340.0 } else { 120.0 };
+    fn bursts(scenario: &mut Scenario) {
+        scenario.rate_per_s = |now_ms| if now_ms % 1_500 < 500 { 340.0 } else { 120.0 };
     }
-    let soon = when_warm(bursts);
-    let later = when_warm(|load| {
-        bursts(load);
-        load.return_ms = 100..=400;
+    let short_retry_after = mean_on_time_when_warm(bursts);
+    let long_retry_after = mean_on_time_when_warm(|scenario| {
+        bursts(scenario);
+        scenario.retry_after_ms = 100..=400;
     });
-    assert!(soon > later + 0.01, "{soon:.3} and {later:.3}");
+    assert!(
+        short_retry_after > long_retry_after + 0.01,
+        "{short_retry_after:.3} and {long_retry_after:.3}"
+    );
 }
 
 /// Clients of an object are in one region. Requests that leave it cost their way and
@@ -120,8 +125,8 @@
 /// in place of a third, with as many in time.
 #[test]
 fn half_of_the_requests_stay_in_the_region_of_their_clients() {
-    let load = load(1);
-    let seconds = play(&load);
-    assert!(at_home(&seconds) > 0.45, "{:.3}", at_home(&seconds));
-    assert!(in_time(&seconds[6..15]) > 0.9, "{:.3}", in_time(&seconds[6..15]));
+    let scenario = scenario(1);
+    let seconds = simulate(&scenario);
+    assert!(in_region(&seconds) > 0.45, "{:.3}", in_region(&seconds));
+    assert!(on_time(&seconds[6..15]) > 0.9, "{:.3}", on_time(&seconds[6..15]));
 }
