--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -9,7 +9,7 @@
     /// Any set of registered instances: the parts of a cold server's rate add up to
     /// no more than the rate, and to most of it.
     #[test]
-    fn parts_of_a_cold_servers_rate_add_up(count in 1..400_usize, rate in 1.0..60.0_f64, server in 0..50_u8) {
+    fn instance_limits_sum_to_the_cold_start_rate(count in 1..400_usize, rate in 1.0..60.0_f64, server in 0..50_u8) {
         let names: Vec<String> = (0..count).map(|n| instance(n).as_str().to_owned()).collect();
         let all = || names.iter().map(String::as_str);
         let server = format!("server-{server}");
@@ -22,7 +22,7 @@
     /// Any pattern of requests and wishes to retry: over any window, retries stay
     /// within the share of the requests in that window and the one before.
     #[test]
-    fn retries_stay_within_their_share(steps in proptest::collection::vec((0..40_u64, 0..4_u8), 1..2_000)) {
+    fn retries_stay_within_the_ratio(steps in proptest::collection::vec((0..40_u64, 0..4_u8), 1..2_000)) {
         let (ratio, window_ms) = (0.2, 10_000);
         let mut budget = RetryBudget::new(ratio, window_ms);
         let (mut now_ms, mut requests, mut retries) = (0, Vec::new(), Vec::new());
@@ -44,7 +44,7 @@
 
     /// Any weights: each destination has had its share, give or take one request.
     #[test]
-    fn a_split_is_exact(weights in proptest::collection::vec(0..100_u32, 2..5), requests in 1..500_u32) {
+    fn weighted_round_robin_follows_the_weights(weights in proptest::collection::vec(0..100_u32, 2..5), requests in 1..500_u32) {
         let total: u32 = weights.iter().sum();
         prop_assume!(total > 0);
         let destinations: Vec<Destination> = weights
@@ -67,7 +67,7 @@
 /// A server is cold, and nine instances send to it whatever they may, ten times a
 /// second for three seconds. In no second does it get more than it tolerates.
 #[test]
-fn a_cold_server_gets_no_more_than_it_tolerates() {
+fn cold_backend_rate_is_bounded_across_instances() {
     let mut instances: Vec<_> = (0..9).map(|own| balancer(own, 9, 1)).collect();
     let members: Vec<_> = (0..9).map(|own| crate::fixtures::members(own, 9)).collect();
     let service = service();
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -24,7 +24,7 @@
 /// Instances of a region send an object to the same server. Those of other regions
 /// prefer servers of theirs, and still agree on most objects.
 #[test]
-fn all_instances_of_a_region_send_an_object_to_the_same_server() {
+fn instances_of_a_region_choose_the_same_backend() {
     for first in [0, 2, 4] {
         let expected = chosen_servers(&mut balancer(first, 12, 24));
         for own in 0..12 {
@@ -39,7 +39,7 @@
 
 /// Requests from a region stay there twice as often as its share of the servers says.
 #[test]
-fn servers_of_the_own_region_count_twice() {
+fn backends_of_the_own_region_have_double_weight() {
     for (own, &(_, region)) in ZONES.iter().enumerate() {
         let mut balancer = balancer(own, 6, 24);
         let service = service();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn objects_of_other_servers_stay_when_one_leaves() {
+fn removing_a_backend_moves_only_its_objects() {
     let mut balancer = balancer(0, 9, 24);
     let before = chosen_servers(&mut balancer);
     balancer.remove("server-5");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_server_that_must_get_nothing_gets_nothing() {
+fn ineligible_backends_are_never_chosen() {
     type Change = fn(&mut Balancer);
     let cases: [(&str, Change); 4] = [
         ("draining", |balancer| {
@@ -99,7 +99,7 @@
 /// The first server of an object is full. The second is used while it has a free
 /// slot; then requests wait at the first, and then they are refused.
 #[test]
-fn a_full_server_is_passed_over_for_a_free_slot_only() {
+fn full_backend_spills_over_only_to_a_free_slot() {
     let mut balancer = balancer(0, 9, 24);
     let service = service();
     let mut servers = Vec::new();
@@ -118,7 +118,7 @@
 /// Another instance says that it has eight requests at an object's server. This
 /// one passes the server over, until the word is too old to be believed.
 #[test]
-fn what_others_have_in_flight_counts() {
+fn remote_in_flight_counts_until_the_report_expires() {
     let (mut local, mut remote) = (balancer(0, 2, 24), balancer(1, 2, 24));
     let service = service();
     let first = local.choose(&query(&service, 7), 0).unwrap();
@@ -151,7 +151,7 @@
     /// Whatever was tried and wherever the route is at home, the choice is neither
     /// a server that had the request nor one outside the home regions.
     #[test]
-    fn no_server_twice_and_none_away_from_home(object: u64, tries in 1..8_usize, home in 0..4_usize) {
+    fn tried_backends_and_other_regions_are_excluded(object: u64, tries in 1..8_usize, home in 0..4_usize) {
         let mut balancer = balancer(0, 9, 24);
         let service = service();
         let homes: Vec<RegionName> =
--- a/crates/azuregate-core/tests/balance/config.rs
+++ b/crates/azuregate-core/tests/balance/config.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_configuration_that_does_not_hold_together_is_refused() {
+fn inconsistent_configurations_are_rejected() {
     type Change = fn(&mut ConfigParts);
     fn change_route(parts: &mut ConfigParts, change: impl FnOnce(&mut Route)) {
         change(Arc::make_mut(&mut parts.routes[0].1));
--- a/crates/azuregate-core/tests/balance/datagrams.rs
+++ b/crates/azuregate-core/tests/balance/datagrams.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn datagrams_are_read_as_they_were_written() {
+fn datagrams_round_trip() {
     let cases = [
         Datagram::Heartbeat(heartbeat()),
         Datagram::Heartbeat(Heartbeat::default()),
@@ -41,7 +41,7 @@
 /// dozens of instances they are most of what goes between them. With its headers one
 /// may not take more than a hundred bytes, without the objects that few carry.
 #[test]
-fn a_heartbeat_is_small() {
+fn heartbeat_fits_in_100_bytes() {
     const HEADERS_BYTES: usize = 28;
     let heartbeat = Heartbeat { requested: Vec::new(), ..heartbeat() };
     let bytes = encoded(&Datagram::Heartbeat(heartbeat)).len();
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -29,7 +29,7 @@
 /// One of six servers rejects or fails half of its requests, or takes five times
 /// as long. Its objects go elsewhere after a few requests.
 #[test]
-fn a_server_that_does_worse_than_others_is_avoided() {
+fn outliers_are_avoided() {
     let cases = [
         Outcome::Failed,
         Outcome::Rejected,
@@ -50,7 +50,7 @@
 /// Two of five servers take nine times as long, and answer. Neither is 2.5 times
 /// slower than the mean, so that a comparison with it would find nothing unusual.
 #[test]
-fn two_slow_servers_of_five_are_both_avoided() {
+fn two_slow_backends_of_five_are_both_outliers() {
     let mut balancer = balancer(0, 1, 5);
     let is_slow = |id: &str| matches!(id, "server-3" | "server-4");
     let end = |id: &str| match is_slow(id) {
@@ -72,7 +72,7 @@
 /// All servers reject and answer late, as under overload. Nobody does worse than
 /// the others, so each object stays with its server, which knows it.
 #[test]
-fn under_overload_objects_stay_with_their_servers() {
+fn uniform_overload_moves_no_objects() {
     for bad in [Outcome::Rejected, Outcome::TimedOut { taken_ms: 1_000 }] {
         let mut balancer = balancer(0, 1, 6);
         let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
@@ -85,7 +85,7 @@
 /// A server that was avoided gets requests again after some seconds: without any,
 /// nothing could show that it is well again.
 #[test]
-fn an_avoided_server_is_tried_again() {
+fn outlier_statistics_decay() {
     let mut balancer = balancer(0, 1, 6);
     let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
     for round in 1..4 {
@@ -98,7 +98,7 @@
 /// A server cannot be reached: it gets nothing for half a second, then longer.
 /// When it answers again it may have started anew, and counts as cold.
 #[test]
-fn an_unreachable_server_is_left_alone_and_then_cold() {
+fn unreachable_backend_is_in_backoff_and_then_cold() {
     let mut balancer = balancer(0, 1, 6);
     let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
     let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { SUCCESS };
@@ -114,7 +114,7 @@
 /// with it: elsewhere they are not known, and their requests would be late. When the
 /// next answer is lost as well, the server may be down and gets nothing for a while.
 #[test]
-fn one_lost_answer_moves_no_objects() {
+fn one_lost_response_moves_no_objects() {
     let mut balancer = balancer(0, 1, 6);
     let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
     for round in 1..5 {
--- a/crates/azuregate-core/tests/balance/large_bodies.rs
+++ b/crates/azuregate-core/tests/balance/large_bodies.rs
@@ -127,7 +127,7 @@
 /// idle, for as long as the load lasts. With the object's server as the second
 /// choice nobody is, and most bodies still stay in their zone.
 #[test]
-fn a_zone_with_few_servers_refuses_nobody_while_others_are_idle() {
+fn small_zone_spills_over_while_other_zones_are_idle() {
     let nearest = simulate(|| Box::new(NearestOnly));
     assert!(nearest.share(nearest.refused) > 0.02, "{nearest:?}");
     let object_affinity = simulate(|| Box::new(ObjectAffinity));
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn lookups_name_what_is_near_and_lives() {
+fn lookup_returns_the_nearest_live_instances() {
     // Instance n stands in zone n modulo 6: a1, a2, b1, b2, c1, c2, a1, a2, b1.
     let cases: [(&[usize], &str, &str, &[usize]); 5] = [
         (&[], "a1", "a", &[0, 6]),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_instance_is_named_until_it_was_silent_for_too_long() {
+fn lookup_drops_instances_after_the_heartbeat_timeout() {
     let members = live_members_except(&[]);
     assert_eq!(sorted_lookup(&members, "b2", "b", 3_000), addrs(&[3]));
     assert_eq!(
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn an_instance_that_leaves_is_not_named() {
+fn lookup_drops_leaving_instances() {
     let mut members = live_members_except(&[]);
     members.record_heartbeat(&HeartbeatStatus { is_leaving: true, ..status("entry-6", 1) }, 1_100);
     assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
@@ -76,7 +76,7 @@
 /// An instance starts anew at another address. Heartbeats of its earlier start,
 /// which were on the way, say nothing of the new one.
 #[test]
-fn heartbeats_of_another_start_say_nothing() {
+fn heartbeats_of_another_start_are_ignored() {
     let mut members = live_members_except(&[]);
     let mut anew = member(6);
     anew.start = StartNumber(2);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn members_whose_rows_are_gone_are_forgotten() {
+fn removed_members_are_dropped() {
     let mut members = live_members_except(&[]);
     members.remove("entry-6");
     assert_eq!((members.len(), members.others().count()), (8, 7));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn two_instances_in_two_regions_watch_the_store_for_all() {
+fn watchers_are_two_instances_in_different_regions() {
     let views = views(&[]);
     let watchers: Vec<usize> = (0..9)
         .filter(|&own| views[own].replication_source(1_100) == ReplicationSource::Store)
@@ -143,7 +143,7 @@
 /// The two that watch the store lose it, or are silent. The others choose two
 /// that have it.
 #[test]
-fn an_instance_without_the_store_is_not_followed() {
+fn instances_without_store_access_are_not_followed() {
     let watchers: Vec<usize> = (0..9)
         .filter(|&own| views(&[])[own].replication_source(1_100) == ReplicationSource::Store)
         .collect();
@@ -158,14 +158,14 @@
 }
 
 #[test]
-fn nobody_is_followed_while_nobody_has_the_store() {
+fn no_source_while_no_instance_has_the_store() {
     let all: Vec<usize> = (0..9).collect();
     assert_eq!(views(&all)[3].replication_source(1_100), ReplicationSource::Instances(Vec::new()));
 }
 
 /// Guards against an instance of a large deployment sending every change to all others.
 #[test]
-fn in_a_large_deployment_zones_pass_changes_on() {
+fn large_deployments_relay_changes_within_zones() {
     const COUNT: usize = 96;
     let view = |own| {
         let mut members = members(own, COUNT);
--- a/crates/azuregate-core/tests/balance/missing_backends.rs
+++ b/crates/azuregate-core/tests/balance/missing_backends.rs
@@ -7,12 +7,12 @@
 }
 
 #[test]
-fn a_row_that_is_removed_in_calm_is_gone() {
+fn removal_outside_an_outage_is_immediate() {
     assert!(MissingBackends::default().mark_missing(&id(), 5_000));
 }
 
 /// The store was away and is back at 10 s; the row is missing.
-fn missing() -> MissingBackends {
+fn missing_since_outage() -> MissingBackends {
     let mut backends = MissingBackends::default();
     backends.mark_store_unreachable();
     assert!(backends.mark_store_reachable(10_000));
@@ -21,16 +21,16 @@
 }
 
 #[test]
-fn a_row_that_ran_out_is_believed_for_two_seconds() {
-    let mut backends = missing();
+fn missing_row_is_kept_for_the_grace_period() {
+    let mut backends = missing_since_outage();
     assert!(backends.take_expired(false, 11_999).is_empty());
     assert_eq!(backends.take_expired(false, 12_000), [id()].into());
     assert!(backends.take_expired(false, 12_001).is_empty());
 }
 
 #[test]
-fn a_row_that_is_back_is_not_gone() {
-    let mut backends = missing();
+fn rewritten_row_is_kept() {
+    let mut backends = missing_since_outage();
     backends.mark_present("server-1");
     assert!(backends.take_expired(false, 13_000).is_empty());
 }
@@ -38,8 +38,8 @@
 /// This instance alone was cut off from the store: another had it all the time, so
 /// rows that are missing were removed, and their servers are leaving.
 #[test]
-fn a_row_is_gone_if_another_instance_had_the_store() {
-    let mut backends = missing();
+fn missing_row_expires_if_another_instance_had_the_store() {
+    let mut backends = missing_since_outage();
     assert_eq!(backends.take_expired(true, 10_200), [id()].into());
     assert!(backends.mark_missing(&id(), 10_300));
 }
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -78,7 +78,7 @@
 /// Clients see late answers and refusals while the load is too high, and good
 /// answers three seconds after it is as before.
 #[test]
-fn an_overload_ends_with_its_cause() {
+fn on_time_share_recovers_after_a_burst() {
     let seconds = simulate(&scenario(true, object_affinity));
     assert!(on_time_after_burst(&seconds) > 0.8, "{seconds:?}");
 }
@@ -86,7 +86,7 @@
 /// The same load, and a full server is left for a full one: each server sees more
 /// objects than it remembers, all work is cold, and the overload stays.
 #[test]
-fn a_second_server_at_any_load_keeps_the_overload_up() {
+fn unconditional_spillover_sustains_the_overload() {
     let seconds = simulate(&scenario(true, || Box::new(UnconditionalSpillover)));
     assert!(on_time_after_burst(&seconds) < 0.6, "{seconds:?}");
 }
@@ -94,7 +94,7 @@
 /// The same load, and the instances do not tell each other what they have in
 /// flight: queues grow unseen, and a third of the answers is late for good.
 #[test]
-fn knowing_what_others_have_in_flight_keeps_queues_short() {
+fn load_reports_keep_queues_short() {
     let (with_reports, without_reports) =
         (simulate(&scenario(true, object_affinity)), simulate(&scenario(false, object_affinity)));
     assert!(
--- a/crates/azuregate-core/tests/balance/shared_objects.rs
+++ b/crates/azuregate-core/tests/balance/shared_objects.rs
@@ -22,7 +22,7 @@
 /// servers would make each object known to servers in all regions. Clients that move
 /// for a while are no reason, and the preference comes back.
 #[test]
-fn objects_that_all_regions_request_end_the_preference() {
+fn shared_objects_end_the_regional_preference() {
     let cases = [
         (0, None),
         (40, None),
--- a/crates/azuregate-core/tests/balance/skewed_load.rs
+++ b/crates/azuregate-core/tests/balance/skewed_load.rs
@@ -76,7 +76,7 @@
 /// by the object alone, one server gets all routes of it. With a server for each
 /// route of an object the same work comes in smaller parts, which spread better.
 #[test]
-fn routes_of_a_busy_object_are_served_apart() {
+fn hashing_by_route_spreads_a_hot_object() {
     let by_object = mean_on_time_when_warm(|scenario| {
         scenario.hash = |_, object| object_hash("", &object.to_be_bytes())
     });
@@ -88,7 +88,7 @@
 /// slots. Most clients still get their answer in time if the server that knows the
 /// object is asked again; elsewhere the same request is cold and late.
 #[test]
-fn a_rejection_without_cause_does_not_move_the_request() {
+fn rejection_below_capacity_is_retried_on_the_same_backend() {
     fn rejecting(scenario: &mut Scenario) {
         scenario.rejection_rate =
             |now_ms| if (7_000..13_000).contains(&now_ms) { 0.5 } else { 0.0 };
@@ -105,7 +105,7 @@
 /// that are refused and come back as soon as places are free get their answer in time;
 /// after a quarter of a second in the mean more of them are late.
 #[test]
-fn clients_that_are_told_to_come_back_soon_are_in_time() {
+fn short_retry_after_serves_more_requests_on_time() {
     fn bursts(scenario: &mut Scenario) {
         scenario.rate_per_s = |now_ms| if now_ms % 1_500 < 500 { 340.0 } else { 120.0 };
     }
@@ -124,7 +124,7 @@
 /// the bytes on it, so a region's servers count twice, and half of the requests stay
 /// in place of a third, with as many in time.
 #[test]
-fn half_of_the_requests_stay_in_the_region_of_their_clients() {
+fn half_of_the_requests_stay_in_the_client_region() {
     let scenario = scenario(1);
     let seconds = simulate(&scenario);
     assert!(in_region(&seconds) > 0.45, "{:.3}", in_region(&seconds));
