--- a/crates/azuregate-core/src/balance/health.rs
+++ b/crates/azuregate-core/src/balance/health.rs
@@ -1,56 +1,53 @@
-//! What answers tell about a backend server.
+//! Passive health checks: request outcomes, backoff and outlier detection.
 
-/// Time without requests after the first failure in a row.
+/// Backoff after the first of several connection failures in a row; doubled for each further one.
 const INITIAL_BACKOFF_MS: u64 = 500;
-/// The longest time without requests.
 const MAX_BACKOFF_MS: u64 = 4_000;
-/// Answers in a row that may be lost before a server counts as unreachable.
+/// Lost responses in a row that do not start a backoff.
 ///
-/// The failure: a server that is well loses one answer in some, each loss ends all
-/// requests to it for a while, and its objects are handled by servers that do not
-/// know them. A server that is down loses all answers and opens no connection, so
-/// that it is found out by the next request.
+/// Without this, a single broken connection to a healthy server would move its objects to
+/// servers that do not have them cached.
 const TOLERATED_LOST_RESPONSES: u32 = 1;
-/// Time in which what is known of a server loses half of its weight. One that is
-/// avoided gets no requests that could show that it is well again.
+/// Half-life of the statistics. They decay because an outlier gets no requests that could
+/// show its recovery.
 const STATS_HALF_LIFE_MS: f64 = 3_000.0;
-/// Requests that must be known of a server before it is compared with others.
+/// Number of recent requests below which a server is not compared with others.
 const MIN_REQUESTS: f64 = 3.0;
-/// How many times more often than others a server must fail to be avoided.
+/// An outlier's failure rate exceeds `baseline * FAILURE_RATE_FACTOR + FAILURE_RATE_MARGIN`.
 const FAILURE_RATE_FACTOR: f64 = 1.5;
-/// How much more often it must fail besides: a few chance failures are no sign.
+/// Keeps a few chance failures from making an outlier where the baseline is near zero.
 const FAILURE_RATE_MARGIN: f64 = 0.25;
-/// How many times longer than others it must take.
+/// An outlier's mean latency exceeds `baseline * LATENCY_FACTOR + LATENCY_MARGIN_MS`.
 const LATENCY_FACTOR: f64 = 2.5;
-/// How much longer it must take besides: answers differ by the way alone.
+/// Covers differences in network latency between servers.
 const LATENCY_MARGIN_MS: f64 = 50.0;
 
 /// How a request to a backend server ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered, after this time.
+    /// The server responded, without a server error.
     Succeeded {
-        /// Time from sending to the answer.
+        /// Time from sending the request to the response head.
         taken_ms: u64,
     },
-    /// It answered with a failure of its own.
+    /// The server responded with an error, or with a response that cannot be used.
     Failed,
-    /// It rejected the request because it is full.
+    /// The server rejected the request without running it.
     Rejected,
-    /// No connection could be opened.
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke after the request was sent, and its answer is lost.
+    /// The connection broke after the request was sent and before the response.
     ResponseLost,
-    /// It had not answered when the request's time was over.
+    /// The request's deadline passed before the response.
     TimedOut {
-        /// Time from sending.
+        /// Time from sending the request to its deadline.
         taken_ms: u64,
     },
-    /// The client left; nothing is known.
+    /// The client went away; says nothing about the server.
     Cancelled,
 }
 
-/// Requests of the last seconds; older ones count less.
+/// Exponentially decaying sums over recent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct DecayingStats {
     requests: f64,
@@ -76,7 +73,7 @@
     }
 }
 
-/// What answers tell about one backend server.
+/// Health of one backend server, derived from the outcomes of its requests.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     consecutive_backoffs: u32,
@@ -86,7 +83,7 @@
     updated_at_ms: u64,
 }
 
-/// What is usual among the backend servers of a service.
+/// Median failure rate and latency of the backend servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Baseline {
     failure_rate: f64,
@@ -94,10 +91,10 @@
 }
 
 impl Baseline {
-    /// The medians over the servers of which enough is known.
+    /// Returns the medians over the servers with enough recent requests.
     ///
-    /// Not the means: when two servers in five are ten times slower, each of them
-    /// takes less than three times the mean.
+    /// Medians, because outliers raise a mean: with two of five servers ten times slower
+    /// than the others, neither takes three times the mean.
     pub fn of<'a>(healths: impl Iterator<Item = &'a Health>, now_ms: u64) -> Baseline {
         let stats = healths.map(|health| health.stats(now_ms));
         let sampled: Vec<DecayingStats> =
@@ -108,12 +105,10 @@
         }
     }
 
-    /// Whether a server does so much worse than is usual that its requests are
-    /// better off elsewhere.
+    /// Returns whether a server's failure rate or latency is far above the baseline.
     ///
-    /// The comparison is what matters: under overload all servers reject requests
-    /// and answer late. Leaving them for it would send every object to servers
-    /// that do not know it, which makes the overload worse and keeps it up.
+    /// The thresholds are relative: under a general overload all servers fail and are slow,
+    /// and moving every object to another server would make all caches cold.
     pub fn is_outlier(&self, health: &Health, now_ms: u64) -> bool {
         let own = health.stats(now_ms);
         if own.requests < MIN_REQUESTS {
@@ -128,7 +123,7 @@
 
 fn median(mut values: Vec<f64>) -> f64 {
     if values.is_empty() {
-        // Nothing is known, so nothing is out of the usual.
+        // Without a baseline no server is an outlier.
         return f64::INFINITY;
     }
     let middle = values.len() / 2;
@@ -136,7 +131,7 @@
 }
 
 impl Health {
-    /// Takes in how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, outcome: Outcome, now_ms: u64) {
         match outcome {
             Outcome::Succeeded { taken_ms } => {
@@ -169,12 +164,12 @@
         self.consecutive_backoffs += 1;
     }
 
-    /// Whether no request should be sent at `now_ms`, because none got through.
+    /// Returns whether the server gets no requests at `now_ms`, after connection failures.
     pub fn is_in_backoff(&self, now_ms: u64) -> bool {
         now_ms < self.backoff_until_ms
     }
 
-    /// Whether the server could not be reached when it was last tried.
+    /// Returns whether the server was unreachable at the last attempt.
     pub fn was_unreachable(&self) -> bool {
         self.consecutive_backoffs > 0
     }
