--- a/crates/azuregate-core/src/balance/remote_load.rs
+++ b/crates/azuregate-core/src/balance/remote_load.rs
@@ -1,4 +1,4 @@
-//! What other instances report that they have at the backend servers.
+//! Load reports from other instances.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,21 +6,21 @@
 
 use crate::names::InstanceId;
 
-/// A report is believed for this long. Instances report several times a second
-/// while they have requests.
+/// Age after which a load report is discarded. Instances with requests in flight report
+/// several times a second.
 const REPORT_TTL_MS: u64 = 1_500;
 
-/// Requests that an instance has at one backend server.
+/// Number of requests that an instance has in flight at one backend server.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InFlightCount {
-    /// A hash of the server's name, the same on all instances. Two servers with
-    /// the same hash would look busier than they are.
+    /// Hash of the server's name, the same on all instances. Servers whose hashes collide
+    /// are charged each other's requests.
     pub backend: u32,
-    /// How many requests.
+    /// Number of requests.
     pub count: u32,
 }
 
-/// The last report of each of the other instances.
+/// Latest load report of each other instance.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RemoteLoad {
     reports: BTreeMap<InstanceId, LoadReport>,
@@ -47,13 +47,13 @@
             .retain(|_, report| now_ms.saturating_sub(report.received_at_ms) <= REPORT_TTL_MS);
     }
 
-    /// The age of the oldest report that is believed; 0 if there is none.
+    /// Returns the age of the oldest report, 0 if there is none.
     pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
         let ages = self.reports.values().map(|report| now_ms.saturating_sub(report.received_at_ms));
         ages.max().unwrap_or_default()
     }
 
-    /// The requests of all of them at each server.
+    /// Sums the requests of all reports by the hash of the server's name.
     pub(super) fn counts(&self) -> HashMap<u32, u32> {
         let mut counts = HashMap::new();
         for at in self.reports.values().flat_map(|report| &report.in_flight) {
