--- a/crates/azuregate-core/src/balance/retry_budget.rs
+++ b/crates/azuregate-core/src/balance/retry_budget.rs
@@ -1,18 +1,17 @@
-//! Bounds what is sent beyond the first try of each request.
+//! Limits retries to a ratio of the requests in a sliding window.
 
 use std::collections::VecDeque;
 
-/// How many parts a window is counted in.
+/// Number of buckets in a window.
 const BUCKETS: u64 = 20;
 
-/// A share of the retries that all instances may make together.
+/// An instance's retry budget for one service.
 ///
-/// The failure: many backend servers fail at once, every request is sent again,
-/// and the load of the retries keeps the service from coming back. Each instance
-/// stays within a share of its own requests, so the sum stays within the same
-/// share of all requests with no message between instances, whoever they are. It
-/// holds for any span of the window, which [`crate::retry::RetryBudget`] does not
-/// promise: that one may be full after a quiet time.
+/// Guards against retry storms: when many backend servers fail, retries of every request
+/// would keep the service from recovering. Each instance limits retries to a ratio of its own
+/// requests, so the ratio also holds across all instances, without coordination. Unlike
+/// [`crate::retry::RetryBudget`], which may be full after idle time, the limit holds over
+/// every span of one window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -28,17 +27,17 @@
 }
 
 impl RetryBudget {
-    /// Allows `ratio` retries for each request, over any span of `window_ms`.
+    /// Creates a budget of `ratio` retries per request over any span of `window_ms`.
     pub fn new(ratio: f64, window_ms: u64) -> RetryBudget {
         RetryBudget { ratio, window_ms: window_ms.max(BUCKETS), buckets: VecDeque::new() }
     }
 
-    /// Counts a request of a client.
+    /// Counts a client's request.
     pub fn record_request(&mut self, now_ms: u64) {
         self.bucket(now_ms).requests += 1;
     }
 
-    /// Takes one retry; returns whether the budget has room for it.
+    /// Counts a retry if the budget allows it, and returns whether it does.
     pub fn try_acquire(&mut self, now_ms: u64) -> bool {
         self.bucket(now_ms);
         let requests: u32 = self.buckets.iter().map(|bucket| bucket.requests).sum();
