--- a/crates/azuregate-core/src/balance/weighted_round_robin.rs
+++ b/crates/azuregate-core/src/balance/weighted_round_robin.rs
@@ -1,22 +1,21 @@
-//! Divides the requests of a route among its services by weight.
+//! Smooth weighted round robin over the destinations of a route.
 
 use super::Destination;
 
-/// Deals requests out so that after each one every service has had its share,
-/// give or take one request.
+/// State of a smooth weighted round robin.
 ///
-/// Choosing by chance would miss the shares by several percent over a few
-/// hundred requests.
+/// Deterministic, because random selection would miss the weights by several percent over a
+/// few hundred requests.
 #[derive(Clone, Debug, Default)]
 pub struct WeightedRoundRobin {
     credits: Vec<f64>,
 }
 
 impl WeightedRoundRobin {
-    /// The index of the destination of the next request.
+    /// Returns the index of the destination of the next request.
     ///
-    /// Each destination gains its weight, and the one that is owed most pays for
-    /// the request with the sum of all weights.
+    /// Every destination is credited its weight; the one with the most credit is selected and
+    /// debited the sum of all weights.
     pub fn next(&mut self, destinations: &[Destination]) -> usize {
         if destinations.len() < 2 {
             return 0;
