--- a/crates/azuregate-core/src/balance/shared_objects.rs
+++ b/crates/azuregate-core/src/balance/shared_objects.rs
@@ -1,28 +1,25 @@
-//! Whether the clients of an object are in one region.
+//! Detects whether several regions request the same objects.
 
 use std::collections::{HashSet, VecDeque};
 
-/// For how long an object counts as requested here, at least.
+/// Duration of one generation of recorded objects; the current and the previous one are kept.
 const GENERATION_MS: u64 = 10_000;
-/// Objects that are kept for each such time: some hundred kilobytes at the most.
+/// Bounds the memory of a generation to some hundred kilobytes.
 const MAX_OBJECTS_PER_GENERATION: usize = 8_192;
-/// Objects that are told to the others at a time.
+/// Objects sent to the other instances at a time.
 const SAMPLE_SIZE: usize = 4;
-/// How often what was heard is judged.
 const EVALUATION_INTERVAL_MS: u64 = 5_000;
-/// Objects that must have been heard of for a judgement.
+/// Number of remote samples below which there is no evaluation.
 const MIN_REMOTE_SAMPLES: u32 = 32;
 
-/// Finds out whether objects are requested in one region each or in several.
+/// Compares samples of the objects requested in other regions with those requested here.
 ///
-/// The failure: a region that prefers its own servers for objects that other regions
-/// request as well makes each object known to a server in every region. Servers see
-/// more objects than they remember, and an overload outlasts its cause. Instances
-/// tell each other some of the objects that they got requests for; where another
-/// region often requests the same ones, the preference ends.
+/// Each region prefers its own servers while its objects are not requested elsewhere. If they
+/// are, the preference would cache every object once per region, and the caches would
+/// overflow.
 ///
-/// It begins as if objects were regional, so that a restart of all instances moves
-/// nothing.
+/// Objects count as regional until there are samples, so that a restart of all instances
+/// moves none.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SharedObjectDetector {
     current: HashSet<u32>,
@@ -36,7 +33,7 @@
 }
 
 impl SharedObjectDetector {
-    /// Takes in that a client requested `object` here.
+    /// Records that a client requested `object` from this instance.
     pub(super) fn record_local(&mut self, object: u32, now_ms: u64) {
         if now_ms >= self.generation_started_at_ms + GENERATION_MS {
             self.previous = std::mem::take(&mut self.current);
@@ -51,13 +48,13 @@
         }
     }
 
-    /// Objects to tell the other instances; each is told once.
+    /// Takes the objects to send to the other instances.
     pub(super) fn take_sample(&mut self) -> Vec<u32> {
         self.sample.drain(..).collect()
     }
 
-    /// Takes in what an instance of another region got requests for; returns whether
-    /// the judgement has changed.
+    /// Records objects requested in another region, and returns whether
+    /// [`is_shared`](SharedObjectDetector::is_shared) has changed.
     pub(super) fn record_remote(&mut self, objects: &[u32], now_ms: u64) -> bool {
         for object in objects {
             let is_local = self.current.contains(object) || self.previous.contains(object);
@@ -70,8 +67,8 @@
             return false;
         }
         let was_shared = self.is_shared;
-        // Between a quarter and a half it stays as it was: clients that move from one
-        // region to another request the same objects in both for a while.
+        // Hysteresis between a quarter and a half: clients that move to another region
+        // request the same objects in both for a while.
         self.is_shared = match was_shared {
             true => self.remote_matches * 4 > self.remote_samples,
             false => self.remote_matches * 2 > self.remote_samples,
@@ -80,7 +77,7 @@
         self.is_shared != was_shared
     }
 
-    /// Whether other regions request the same objects.
+    /// Returns whether other regions request the same objects.
     pub(super) fn is_shared(&self) -> bool {
         self.is_shared
     }
