--- a/crates/azuregate-core/src/balance/missing_backends.rs
+++ b/crates/azuregate-core/src/balance/missing_backends.rs
@@ -1,22 +1,18 @@
-//! Rows of backend servers that ran out while the store was away.
+//! Backend servers whose rows expired during an outage of the store.
 
 use std::collections::BTreeSet;
 
 use crate::names::BackendId;
 
-/// How long after the store's return rows that are missing are still believed:
-/// backend servers that live write theirs again within that time.
+/// Time after an outage in which live backend servers write their rows again.
 const GRACE_PERIOD_MS: u64 = 2_000;
 
-/// Backend servers whose rows are missing, but may come back.
+/// Backend servers whose rows are missing, kept for a grace period after an outage.
 ///
-/// The failure: the store is away, no backend server can renew its row, and all
-/// rows run out. Taking them for gone at once would leave nothing to serve with,
-/// though every server is well. The opposite failure: this instance alone was cut
-/// off from the store, rows were removed meanwhile because their servers left, and
-/// keeping them would send requests to servers that are leaving. Other instances
-/// tell the two apart: if one of them had the store all the time, the store was
-/// not away.
+/// During an outage of the store no server can renew its row and all rows expire; removing
+/// the servers would leave none to serve requests. If another instance could reach the store
+/// all the time, there was no outage: the rows were removed because their servers left, and
+/// the grace period ends at once.
 #[derive(Clone, Debug, Default)]
 pub struct MissingBackends {
     is_store_unreachable: bool,
@@ -25,12 +21,13 @@
 }
 
 impl MissingBackends {
-    /// Notes that the store does not answer.
+    /// Records that the store does not respond.
     pub fn mark_store_unreachable(&mut self) {
         self.is_store_unreachable = true;
     }
 
-    /// Notes that the store answers; returns whether it had been away.
+    /// Records that the store responds; starts the grace period and returns `true` if it did not
+    /// before.
     pub fn mark_store_reachable(&mut self, now_ms: u64) -> bool {
         let was_unreachable = std::mem::take(&mut self.is_store_unreachable);
         if was_unreachable {
@@ -39,8 +36,8 @@
         was_unreachable
     }
 
-    /// Takes in that a row is missing. Returns whether its server is gone, which
-    /// it is unless the row may have run out while the store was away.
+    /// Records that a row is missing. Returns whether its server is to be removed now, which is
+    /// the case outside the grace period.
     pub fn mark_missing(&mut self, id: &BackendId, now_ms: u64) -> bool {
         if now_ms >= self.grace_until_ms {
             return true;
@@ -49,13 +46,13 @@
         false
     }
 
-    /// Takes in that a row is there.
+    /// Records that a row exists.
     pub fn mark_present(&mut self, id: &str) {
         self.missing.remove(id);
     }
 
-    /// The servers that are gone by `now_ms`; all that are missing if another
-    /// instance had the store all the time.
+    /// Takes the missing servers once the grace period is over, which is at once if
+    /// `another_had_store`: another instance could reach the store all the time.
     pub fn take_expired(&mut self, another_had_store: bool, now_ms: u64) -> BTreeSet<BackendId> {
         if another_had_store {
             self.grace_until_ms = self.grace_until_ms.min(now_ms);
