--- a/crates/azuregate-core/src/balance/config.rs
+++ b/crates/azuregate-core/src/balance/config.rs
@@ -1,100 +1,100 @@
-//! The operator's configuration: routes, services and limits.
+//! The operator's configuration: routes, services and client limits.
 
 use std::{collections::BTreeMap, fmt, sync::Arc};
 
 use crate::names::{RegionName, ServiceName};
 
-/// What may be repeated.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// Runs at most once.
+    /// The request must run at most once.
     NonIdempotent,
 }
 
-/// A service that may serve a route, and its share of the requests.
+/// A service that serves a weighted share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Destination {
     /// The service.
     pub service: ServiceName,
-    /// Its share, relative to the other destinations.
+    /// Its weight relative to the other destinations.
     pub weight: f64,
 }
 
-/// Where requests for a host and a path prefix go.
+/// A rule for the requests to a host whose path has a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name.
     pub name: String,
-    /// What the path begins with; begins and ends with a slash.
+    /// The path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be repeated.
     pub kind: RequestKind,
-    /// The longest time for which a client is kept waiting.
+    /// Upper bound of the time to respond to a client.
     pub timeout_ms: u64,
-    /// The time within which an answer is worth most.
+    /// Latency that responses should stay within.
     pub target_latency_ms: u64,
-    /// How many backend servers may run one request.
+    /// Maximum number of backend servers that may run one request.
     pub attempts: u32,
-    /// The urgency, 0 being the most urgent.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Whether backend servers work faster on objects that they handled recently.
+    /// Whether requests for one object go to the same backend server, which has it cached.
     pub has_session_affinity: bool,
-    /// The services, at least one.
+    /// The services; at least one.
     pub destinations: Vec<Destination>,
-    /// The only regions that may serve the route; all if empty.
+    /// The regions that may serve the route; all if empty.
     pub home_regions: Vec<RegionName>,
 }
 
-/// What the operator says of a service.
+/// The operator's settings of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Connections that one of its backend servers accepts from all callers.
+    /// Maximum number of connections to one backend server from all instances.
     pub connection_limit: u32,
-    /// How long a backend server is cold after its start.
+    /// Duration of a backend server's warm-up after its start.
     pub cold_ms: u64,
-    /// Requests a second that a cold backend server tolerates; 0 for any number.
+    /// Maximum rate of requests to a backend server during its warm-up; 0 for no limit.
     pub cold_rate_per_s: f64,
 }
 
-/// What clients may send.
+/// Limits on client requests and connections.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ClientLimits {
-    /// The longest head of a request.
+    /// Maximum size of a request head.
     pub header_bytes: usize,
-    /// The longest body of a request.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// How long a client may take to send a head.
+    /// Maximum time to receive a request head.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout_ms: u64,
 }
 
-/// What a [`Config`] is made of.
+/// The unvalidated parts of a [`Config`].
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigParts {
-    /// The version; a higher one replaces a lower one.
+    /// The version; a higher one supersedes a lower one.
     pub version: u64,
-    /// What clients may send.
+    /// Limits on clients.
     pub limits: ClientLimits,
     /// The services.
     pub services: BTreeMap<ServiceName, Service>,
-    /// The routes, each with its host.
+    /// The routes, each with the host that it belongs to.
     pub routes: Vec<(String, Arc<Route>)>,
 }
 
-/// A configuration that holds together.
+/// A validated configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
     version: u64,
     limits: ClientLimits,
     services: BTreeMap<ServiceName, Service>,
-    /// For each host its routes, those with the longest prefix first.
+    /// The routes of each host, by descending length of the prefix.
     hosts: BTreeMap<String, Vec<Arc<Route>>>,
 }
 
-/// A configuration that does not hold together.
+/// The error for an inconsistent configuration.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ConfigError(String);
 
@@ -107,12 +107,12 @@
 impl std::error::Error for ConfigError {}
 
 impl Config {
-    /// Checks and sorts a configuration.
+    /// Validates a configuration.
     ///
     /// # Errors
     ///
-    /// When a route names an unknown service, has a malformed prefix, no
-    /// attempts or no weight, or stands twice.
+    /// Returns an error if a route refers to an undefined service, has a malformed prefix, zero
+    /// attempts or no positive weight, or if two routes have the same host and prefix.
     pub fn new(parts: ConfigParts) -> Result<Config, ConfigError> {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for (host, route) in parts.routes {
@@ -129,23 +129,22 @@
         Ok(Config { version: parts.version, limits: parts.limits, services: parts.services, hosts })
     }
 
-    /// The version.
+    /// Returns the version.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// What clients may send.
+    /// Returns the limits on clients.
     pub fn limits(&self) -> ClientLimits {
         self.limits
     }
 
-    /// What the operator says of `service`.
+    /// Returns the settings of `service`.
     pub fn service(&self, service: &ServiceName) -> Option<&Service> {
         self.services.get(service)
     }
 
-    /// The route of a request: among those of its host the one with the longest
-    /// prefix that begins `path`. A port in `host` is ignored.
+    /// Returns the route of `host` with the longest prefix of `path`. A port in `host` is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
