--- a/crates/azuregate-core/src/balance/datagrams.rs
+++ b/crates/azuregate-core/src/balance/datagrams.rs
@@ -1,4 +1,4 @@
-//! What entry instances tell each other by datagrams.
+//! Datagrams between entry instances.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,48 +6,48 @@
 
 /// A datagram from one entry instance to another.
 ///
-/// Each is sent to all others several times a second, so its bytes count: fields go
-/// without their names, in the order of the types below.
+/// Datagrams go to all instances several times a second, so fields are encoded by position to
+/// keep them small.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub enum Datagram {
-    /// That an instance lives, and what it has seen.
+    /// Liveness and state of an instance.
     Heartbeat(Heartbeat),
-    /// What an instance has at the backend servers.
+    /// Requests that an instance has in flight.
     Load(Load),
 }
 
-/// What an instance has at the backend servers.
+/// Requests that an instance has in flight at the backend servers.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Load(
     /// The instance.
     pub String,
-    /// A hash of each server's name, and the number of requests there.
+    /// The hash of each server's name and its number of requests.
     pub Vec<(u32, u32)>,
 );
 
-/// That an instance lives, and what it has seen.
+/// Liveness and state of an instance.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq, Serialize)]
 #[serde(from = "Fields", into = "Fields")]
 pub struct Heartbeat {
     /// The instance.
     pub instance: String,
-    /// Tells its starts apart.
+    /// Identifies this run of the instance.
     pub start: StartNumber,
-    /// Whether it ends by a planned stop.
+    /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// The version of the last change of the operator's table that it has seen.
+    /// Version of the latest change that it has seen in the operator's table.
     pub operator_version: u64,
-    /// The same of the table of backend servers.
+    /// Version of the latest change that it has seen in the table of backend servers.
     pub backends_version: u64,
-    /// For how long it has had the store without a break, in milliseconds.
+    /// For how long it has been in contact with the store without interruption.
     pub had_store_ms: u64,
-    /// Whether it may watch the store for others.
+    /// Whether it may watch the store on behalf of other instances.
     pub can_watch: bool,
-    /// Some objects that it got requests for, by a hash.
+    /// Hashes of a sample of the objects that clients requested from it.
     pub requested: Vec<u32>,
 }
 
-/// The fields of a [`Heartbeat`] as they are sent.
+/// The encoded form of a [`Heartbeat`].
 type Fields = (String, StartNumber, bool, u64, u64, u64, bool, Vec<u32>);
 
 impl From<Fields> for Heartbeat {
