--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -1,4 +1,4 @@
-//! Which entry instances there are, and which of them clients should use.
+//! Membership of entry instances, and the lookup of their addresses by clients.
 
 use std::{
     collections::BTreeMap,
@@ -10,14 +10,15 @@
     route::hash::score,
 };
 
-/// How many addresses a lookup names at the most.
+/// Maximum number of addresses in a lookup's result.
 const MAX_LOOKUP_ADDRS: usize = 64;
-/// An entry instance as it registered itself.
+
+/// The registration of an entry instance.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
     /// Its name.
     pub instance: InstanceId,
-    /// Tells its starts apart.
+    /// Identifies this run of the instance.
     pub start: StartNumber,
     /// Its address for other instances.
     pub ip: IpAddr,
@@ -27,16 +28,16 @@
     pub zone: ZoneName,
 }
 
-/// What an instance says of itself in a heartbeat.
+/// The part of a heartbeat that concerns membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatStatus<'a> {
-    /// Who says it.
+    /// The sender.
     pub instance: &'a str,
-    /// Its start.
+    /// Identifies this run of the sender.
     pub start: StartNumber,
-    /// Whether it ends by a planned stop.
+    /// Whether it is shutting down.
     pub is_leaving: bool,
-    /// Whether it may watch the store for others.
+    /// Whether it may watch the store on behalf of other instances.
     pub can_watch: bool,
 }
 
@@ -48,7 +49,7 @@
     can_watch: bool,
 }
 
-/// All registered instances, and when each was last heard.
+/// All registered instances and their liveness, as one instance sees them.
 #[derive(Clone, Debug)]
 pub struct Members {
     own: InstanceId,
@@ -59,8 +60,8 @@
 }
 
 impl Members {
-    /// The members of a deployment with these `zones`, seen from `own`; one that
-    /// is silent for `heartbeat_timeout_ms` is not named to clients.
+    /// Creates an empty membership as seen by `own`. A lookup leaves out instances whose last
+    /// heartbeat is older than `heartbeat_timeout_ms`.
     pub fn new(
         own: InstanceId,
         zones: BTreeMap<ZoneName, RegionName>,
@@ -69,7 +70,7 @@
         Members { own, zones, heartbeat_timeout_ms, own_can_watch: false, states: BTreeMap::new() }
     }
 
-    /// Takes in the row of an instance.
+    /// Adds or updates the registration of an instance.
     pub fn put(&mut self, member: Member) {
         if let Some(state) = self.states.get_mut(&member.instance)
             && state.member.start == member.start
@@ -82,14 +83,15 @@
         self.states.insert(state.member.instance.clone(), state);
     }
 
-    /// Forgets an instance whose row was removed.
+    /// Removes an instance.
     pub fn remove(&mut self, instance: &str) {
         self.states.remove(instance);
     }
 
-    /// Takes in a heartbeat. One of an earlier or later start than the row's is
-    /// of no use: its address may be another's by now. Returns whether the
-    /// instance is known in that start.
+    /// Records a heartbeat; returns whether its sender is registered with the same start.
+    ///
+    /// A heartbeat of another start is ignored, since the registered address may belong to
+    /// another process by now.
     pub fn record_heartbeat(&mut self, status: &HeartbeatStatus<'_>, now_ms: u64) -> bool {
         let Some(state) = self.states.get_mut(status.instance) else { return false };
         if state.member.start != status.start {
@@ -101,12 +103,12 @@
         true
     }
 
-    /// Takes in whether this instance itself may watch the store for others.
+    /// Sets whether this instance may watch the store on behalf of others.
     pub fn set_own_can_watch(&mut self, can_watch: bool) {
         self.own_can_watch = can_watch;
     }
 
-    /// Whether an instance is registered in another region than this one.
+    /// Returns whether an instance is registered in another region than this one.
     pub fn is_in_other_region(&self, instance: &str) -> bool {
         let region = |instance: &str| {
             let state = self.states.get(instance)?;
@@ -118,28 +120,28 @@
         }
     }
 
-    /// How many instances are registered.
+    /// Returns the number of registered instances.
     pub fn len(&self) -> usize {
         self.states.len()
     }
 
-    /// Whether no instance is registered.
+    /// Returns whether no instance is registered.
     pub fn is_empty(&self) -> bool {
         self.states.is_empty()
     }
 
-    /// The registered instances, dead ones as well.
+    /// Iterates over the registered instances, live or not.
     pub fn registered(&self) -> impl Iterator<Item = &Member> {
         self.states.values().map(|state| &state.member)
     }
 
-    /// The other instances, to which heartbeats go.
+    /// Iterates over the registered instances other than this one.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.registered().filter(|member| member.instance != self.own)
     }
 
-    /// The addresses that a client in `zone` should use at `now_ms`: those of its
-    /// zone, else those of its region, else all.
+    /// Returns the addresses of the live instances nearest to a client: those in its zone if
+    /// there are any, else those in its region, else all.
     pub fn lookup(&self, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
         let mut ranked: Vec<(u8, u64, &MemberState)> = self
             .states
@@ -156,7 +158,7 @@
         named.map(|(.., state)| state.member.traffic_addr).collect()
     }
 
-    /// The live instances that may watch the store for others.
+    /// Iterates over the live instances that may watch the store on behalf of others.
     pub(super) fn eligible_watchers(&self, now_ms: u64) -> impl Iterator<Item = &Member> {
         let available = self.states.values().filter(move |state| self.is_available(state, now_ms));
         let can_watch = |state: &&MemberState| match state.member.instance == self.own {
