--- a/crates/azuregate-core/src/balance/replication_source.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -1,34 +1,30 @@
-//! Which instances watch the store for all.
+//! Selection of the instances that watch the store and of those that relay its changes.
 
 use super::{Member, Members};
 use crate::{names::RegionName, route::hash::score};
 
-/// Up to so many instances all follow the two that watch the store.
+/// Up to this number of instances, all follow the watchers directly.
 const MAX_INSTANCES_WITHOUT_RELAYS: usize = 16;
 
-/// From where an instance gets the changes of the store's tables.
+/// Where an instance gets the changes of the store's tables from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ReplicationSource {
-    /// From the store, which it watches for the others.
+    /// The store, which it watches on behalf of others.
     Store,
-    /// From these instances, which watch the store or pass on what others do.
+    /// These instances, which watch the store or relay its changes.
     Instances(Vec<Member>),
 }
 
 impl Members {
-    /// From where this instance gets changes at `now_ms`.
+    /// Returns where this instance gets changes from at `now_ms`.
     ///
-    /// Two of the live instances that can reach the store watch it, the same two in the
-    /// eyes of all by rendezvous hashing. They stand in different regions if there
-    /// are several, so that the loss of one place leaves the other.
+    /// Rendezvous hashing elects two watchers among the live instances that can reach the
+    /// store, in different regions if there are several. In a large deployment two relays per
+    /// availability zone follow the watchers and serve their zone; without them a large row
+    /// sent to all instances would saturate the watchers' links for seconds.
     ///
-    /// In a large deployment two instances of each availability zone pass changes on
-    /// inside it. What an instance sends then grows with the zones or with the instances
-    /// of one zone, and not with all instances: a large row that two of them send to
-    /// everyone fills their links for seconds.
-    ///
-    /// Instances that disagree for a moment do no harm: whoever is followed says how old
-    /// its knowledge is, and whoever finds that too old watches the store itself.
+    /// Instances need not agree on the result: a followed instance reports the age of its
+    /// state, and a follower that finds it too old watches the store itself.
     pub fn replication_source(&self, now_ms: u64) -> ReplicationSource {
         let watchers = self.watchers(now_ms);
         if self.includes_own(&watchers) {
@@ -50,7 +46,7 @@
         [Some(first), second].into_iter().flatten().collect()
     }
 
-    /// The instances that pass changes on inside the own availability zone.
+    /// Returns the instances that relay changes within the own availability zone.
     fn relays(&self, now_ms: u64) -> Vec<&Member> {
         let Some(zone) = self.own_zone() else { return Vec::new() };
         let in_zone = self.eligible_watchers(now_ms).filter(|member| member.zone == *zone);
