--- a/crates/azuregate-core/src/balance/cold_start.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -1,38 +1,33 @@
-//! Bounds the requests that a cold backend server gets from all instances.
+//! Limits the rate of requests to a cold backend server across all instances.
 
 use std::collections::VecDeque;
 
 use crate::route::hash::score;
 
-/// How many instances send to one cold backend server at the most.
-///
-/// A rate that all instances share leaves each of many less than one request a
-/// second. A few senders with some requests each use the rate better, and bound
-/// the work that is spread over cold servers.
+/// Maximum number of instances that send to one cold backend server. Shared by all instances,
+/// the rate would leave each of them less than one request per second.
 const MAX_SENDERS_PER_BACKEND: usize = 4;
-/// The share of the allowed rate that is used; requests that are on their way
-/// when a second begins arrive inside it.
+/// Leaves room for requests that are in transit when a window begins.
 const USED_RATE_FRACTION: f64 = 0.8;
-/// Any span of this length is bounded.
+/// The limit holds over every span of this length.
 const WINDOW_MS: u64 = 1_000;
-/// What requests that left at different times may gain on each other on the way.
+/// Allowance for variation in network latency between requests.
 const MAX_TRANSIT_VARIATION_MS: u64 = 150;
 
-/// What one instance may send to one cold backend server.
+/// One instance's budget of requests to one cold backend server.
 ///
-/// The failure: a server that has just started is slow, and one that gets its
-/// usual rate crashes; all instances send to it, and none sees the others. Each
-/// server has a few senders, found by rendezvous hashing among the registered
-/// instances, and each sender has an equal part of the rate. An instance that is
-/// down keeps its part, so the parts never add up to more than the rate.
+/// A server that has just started is slow and would crash at its usual rate. Rendezvous hashing
+/// picks a few senders among the registered instances, and each gets an equal part of the
+/// rate. The part of an instance that is down is not redistributed, so the total never exceeds
+/// the rate.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStartBudget {
     sent_at_ms: VecDeque<u64>,
 }
 
 impl ColdStartBudget {
-    /// How many requests `instance` may send to `backend` in a second, if all of
-    /// `instances` together may send `rate_per_s`.
+    /// Returns how many requests per second `instance` may send to `backend`, given the total
+    /// of `rate_per_s` for all `instances`.
     pub fn instance_limit<'a>(
         backend: &str,
         instance: &str,
@@ -55,7 +50,7 @@
         all / senders + u32::from(rank < all % senders)
     }
 
-    /// Whether one more request may be sent, with `limit` of them in a second.
+    /// Returns whether another request may be sent within `limit` per second.
     pub fn has_capacity(&mut self, limit: u32, now_ms: u64) -> bool {
         let window_ms = WINDOW_MS + MAX_TRANSIT_VARIATION_MS;
         while self.sent_at_ms.front().is_some_and(|&at| at + window_ms < now_ms) {
@@ -64,7 +59,7 @@
         self.sent_at_ms.len() < limit as usize
     }
 
-    /// Counts a request that is sent.
+    /// Records a sent request.
     pub fn record_sent(&mut self, now_ms: u64) {
         self.sent_at_ms.push_back(now_ms);
     }
