--- a/crates/azuregate-core/src/balance/policy.rs
+++ b/crates/azuregate-core/src/balance/policy.rs
@@ -1,88 +1,84 @@
-//! The rules by which one of the open servers is chosen.
+//! Load-balancing policies: the choice among the eligible servers.
 
 use std::fmt;
 
 use super::BackendHandle;
 use crate::topology::Distance;
 
-/// How well a server has done lately, the best first.
+/// Health of a server relative to the others of its service, best first.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum HealthStatus {
-    /// Like the others.
+    /// Performs like the others.
     Healthy,
-    /// Much worse than the other servers of its service.
+    /// Performs much worse than the others.
     Outlier,
-    /// The last requests did not get through.
+    /// Was unreachable and is in backoff.
     InBackoff,
 }
 
-/// A server that may get a request.
+/// A server that is eligible for a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Names it to the balancer.
+    /// Identifies it to the balancer.
     pub handle: BackendHandle,
-    /// A hash of the server and the request's object, the same on all instances of a
+    /// Rendezvous hash of the server and the request's object, the same on all instances of a
     /// region.
     pub hash: u64,
-    /// How far it is from the instance that decides.
+    /// Its distance from this instance.
     pub distance: Distance,
-    /// How well it has done.
+    /// Its health.
     pub status: HealthStatus,
-    /// Requests of all instances that it has, as far as is known.
+    /// Requests in flight there from all instances, as far as known.
     pub in_flight: u32,
-    /// Requests that it processes at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
 }
 
 impl Candidate {
-    /// Whether it has a place, with at most `queue` requests beyond its slots.
+    /// Returns whether it accepts a request with at most `queue` requests beyond its slots.
     pub fn has_capacity(&self, queue: u32) -> bool {
         self.in_flight < self.slots + queue
     }
 }
 
-/// What a rule made of the candidates.
+/// The result of a policy.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Decision {
-    /// The server that gets the request; `None` if it is refused.
+    /// The chosen server; `None` if the request is refused.
     pub chosen: Option<BackendHandle>,
-    /// The servers that were considered, the preferred one first.
+    /// The servers considered, the preferred one first.
     pub considered: [Option<Candidate>; 2],
-    /// How many candidates there were.
+    /// Number of candidates.
     pub eligible_servers: usize,
 }
 
-/// A rule of placement. It has no state: what it goes by is in the candidates, so
-/// that all instances come to the same choice.
+/// A load-balancing policy. It is stateless, so that all instances make the same choice from
+/// the same candidates.
 pub trait LoadBalancingPolicy: fmt::Debug {
-    /// Chooses among `candidates` for a request. `has_large_body` says that its body is so
-    /// large that the way counts more than a server that knows the object.
+    /// Chooses among `candidates` for a request. With `has_large_body`, transferring the body
+    /// costs more than a server that does not have the object cached.
     fn choose(&self, has_large_body: bool, candidates: &[Candidate]) -> Decision;
 }
 
-/// Requests beyond its slots that may wait at the first server of an object before
-/// the second is used: about what is done within one request's time.
+/// Queue length at an object's first server up to which the second is not used.
 ///
-/// A short queue at the server that knows the object is worth more than a free
-/// slot at one that does not: work on an unknown object takes about three times
-/// as long, and pushes other objects out of that server's memory.
+/// Waiting in a short queue is faster than a cache miss, which takes about three times as long
+/// as a hit and evicts other objects.
 const SHORT_QUEUE: u32 = 3;
-/// The same for large bodies. Most of the cost of leaving is the way of the bytes,
-/// and a zone with few servers would be full for good if it could not be left sooner.
+/// The same for large bodies; shorter, since a zone with few servers would stay overloaded if
+/// requests could not leave it early.
 const SHORT_QUEUE_LARGE: u32 = 2;
-/// Requests beyond its slots that may wait at a server at all. Those behind them
-/// would be late, and are better told at once.
+/// Queue length at which requests are refused, since they would be served late.
 const QUEUE_LIMIT: u32 = 5;
 
 /// Sends the requests for one object to the same two servers.
 ///
-/// An object has two servers, the first two by rendezvous hashing among those that
-/// do well. A large body has a server of the own zone as its first, and the object's
-/// first as its second. The second is used when the first is full and it has a
-/// free slot itself. Otherwise the request waits at the first or is refused: under
-/// overload requests would wander over all servers, each would see more objects
-/// than it remembers, all work would be cold, and the overload would outlast its
-/// cause.
+/// They are the first two by rendezvous hashing among the healthiest. A large body prefers a
+/// server of the own zone, with the object's first server as the second choice.
+///
+/// The second server is used only if the first is full and the second has a free slot;
+/// otherwise the request waits at the first or is refused. Spreading an overload over all
+/// servers would overflow their caches, and the cache misses would sustain the overload.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ObjectAffinity;
 
@@ -106,8 +102,7 @@
     }
 }
 
-/// A server of the own zone comes first; any other is as good as the one that knows
-/// the object, whatever its way.
+/// Distinguishes only servers inside and outside the own zone.
 fn zone_or_far(server: &Candidate) -> Distance {
     match server.distance {
         Distance::SameZone => Distance::SameZone,
@@ -115,15 +110,14 @@
     }
 }
 
-/// Orders servers: by their status, then by how far they are, then by the object.
-/// The lowest rank is the best. One number, since the order is asked for each
-/// server at each choice; the hash keeps 56 of its bits.
+/// Ranks a server by health status, `distance` and hash; the lowest rank is the best. Packed into
+/// one integer because it is computed for every server at every choice; the hash keeps 56 bits.
 fn rank(server: &Candidate, distance: Distance) -> u64 {
     let group = (server.status as u64) << 2 | distance as u64;
     group << 56 | !server.hash >> 8
 }
 
-/// The best two servers in some order.
+/// The two servers with the lowest rank.
 struct Best<'a> {
     first: Option<&'a Candidate>,
     second: Option<&'a Candidate>,
