--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -13,12 +13,10 @@
     topology::Distance,
 };
 
-/// A hash of what a backend server remembers of a request: the object that it is
-/// about, as `route` works on it.
+/// Returns the affinity hash of an object as requested through `route`.
 ///
-/// Servers work faster on an object that they handled for the same route. With a
-/// server for each route of an object, the work on a busy object comes in smaller
-/// parts, and no server gets all of it.
+/// Servers cache an object per route. Hashing the route as well spreads the load of a hot object
+/// over several servers.
 pub fn object_hash(route: &str, object: &[u8]) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(route.as_bytes());
@@ -27,54 +25,52 @@
     hasher.digest()
 }
 
-/// A request that needs a backend server.
+/// A request to choose a backend server for.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendQuery<'a> {
-    /// The service that it goes to.
+    /// The service.
     pub service: &'a ServiceName,
-    /// What it is about, by [`object_hash`].
+    /// Affinity hash of the object, from [`object_hash`].
     pub object: u64,
-    /// Whether its body is so large that the way counts more than a server that
-    /// knows the object.
+    /// Whether transferring the body costs more than a server that does not have the object
+    /// cached.
     pub has_large_body: bool,
-    /// Servers that have had the request already.
+    /// Servers that are excluded because the request was sent there before.
     pub tried: &'a [BackendHandle],
-    /// The only regions that may serve it; all if empty.
+    /// The regions that may serve it; all if empty.
     pub home_regions: &'a [RegionName],
 }
 
 /// The server that was chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Choice {
-    /// Names the server to the balancer.
+    /// Identifies the server to the balancer.
     pub handle: BackendHandle,
     /// The server.
     pub backend: Arc<Backend>,
-    /// Requests of all instances that were there already, as far as is known.
+    /// Requests that were in flight there before this one, from all instances as far as known.
     pub in_flight: u32,
 }
 
 impl Choice {
-    /// Whether a rejection by the server is no sign that it is full.
+    /// Returns whether the server had a free slot, so that a rejection is worth a retry there.
     ///
-    /// The failure: servers reject a part of their requests although they have free
-    /// slots, and each rejected one is sent to a server that does not know its
-    /// object, where it is late. The server that knows the object is then worth
-    /// another try, which the retry budget and the attempts of the route bound.
+    /// A server that does not have the object cached would serve the retry late. The retry
+    /// budget and the route's attempts limit such retries.
     pub fn had_free_slot(&self) -> bool {
         self.in_flight < self.backend.slots
     }
 }
 
-/// What a choice is based on, to explain a refusal.
+/// The state that a choice was based on, for the log line of a refusal.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Explanation {
-    /// Servers that the request may use.
+    /// Number of servers that were eligible.
     pub eligible_servers: usize,
-    /// The servers that were considered, the preferred one first, with the requests of
-    /// all instances there and the server's slots.
+    /// The servers considered, the preferred one first, with their requests in flight and
+    /// their slots.
     pub servers: Vec<(BackendId, u32, u32)>,
-    /// The age of the oldest report of another instance that is believed.
+    /// Age of the oldest load report in use.
     pub oldest_report_ms: u64,
 }
 
@@ -89,8 +85,9 @@
 }
 
 impl Balancer {
-    /// Chooses a server for a request by the balancer's [`super::LoadBalancingPolicy`] and counts
-    /// the request there until [`Balancer::complete`]; `None` if no server may get it.
+    /// Chooses a server by the balancer's [`LoadBalancingPolicy`](super::LoadBalancingPolicy)
+    /// and counts the request there until [`Balancer::complete`]. Returns `None` if the request
+    /// is refused.
     pub fn choose(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Option<Choice> {
         let handle = self.decide(query, now_ms).chosen?;
         let state = self.pool_backend_mut(query.service, handle)?;
@@ -102,7 +99,7 @@
         Some(Choice { handle, backend: Arc::clone(&state.backend), in_flight })
     }
 
-    /// What [`Balancer::choose`] goes by for `query`.
+    /// Returns the state that [`Balancer::choose`] would base a choice for `query` on.
     pub fn explain(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Explanation {
         let decision = self.decide(query, now_ms);
         let servers = decision.considered.into_iter().flatten().filter_map(|server| {
@@ -168,18 +165,17 @@
     }
 }
 
-/// A hash by which a server comes first as often as two servers would.
+/// Returns a hash that gives a server twice the weight in rendezvous hashing: the square root
+/// of a uniform number is distributed as the larger of two.
 ///
-/// Servers of the own region have it while the clients of an object are in one
-/// region: what leaves the region costs the way and the bytes on it. With a larger
-/// weight a region with few servers would overload them. The square root of a uniform
-/// number is distributed as the larger of two.
+/// Servers of the own region get it while no other region requests the same objects, to save
+/// latency and traffic between regions. A larger weight would overload a region with few
+/// servers.
 fn counted_twice(hash: u64) -> u64 {
     ((hash as f64).sqrt() * (u64::MAX as f64).sqrt()) as u64
 }
 
-/// Mixes the bits of `x` so that neighbouring values have unrelated results; the
-/// finalizer of MurmurHash3.
+/// The finalizer of MurmurHash3.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
