--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -1,4 +1,4 @@
-//! The state of all backend servers.
+//! State of all backend servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -17,10 +17,9 @@
     topology::Distance,
 };
 
-/// How often the servers of a service are compared with each other.
 const OUTLIER_DETECTION_INTERVAL_MS: u64 = 100;
 
-/// A backend server as it registered itself.
+/// The registration of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     /// Its name.
@@ -31,32 +30,32 @@
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How many requests it processes at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get nothing new.
+    /// Whether it is draining and gets no new requests.
     pub is_draining: bool,
-    /// How long it stays cold from when this was read.
+    /// Remaining time of its warm-up when this was read.
     pub cold_left_ms: u64,
-    /// When it started, by its own clock.
+    /// Its start time by its own clock; identifies the run.
     pub start_epoch_ms: u64,
 }
 
-/// Names one backend server for as long as it is registered.
+/// Identifies a backend server while it is registered.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BackendHandle(pub(super) u64);
 
-/// What the balancer needs to know of its own instance and deployment.
+/// Settings of a [`Balancer`]: its own instance and the deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance that decides.
+    /// The own instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
     /// The regions of all availability zones.
     pub zones: BTreeMap<ZoneName, RegionName>,
-    /// Factor on the rate that a cold backend server tolerates.
+    /// Factor on the configured rate of requests to a cold backend server.
     pub cold_rate_factor: f64,
-    /// Requests a second that a cold backend server may get beyond that.
+    /// Requests per second added to that rate.
     pub cold_rate_slack: f64,
 }
 
@@ -76,7 +75,7 @@
     }
 }
 
-/// One backend server and what is known of it.
+/// State of one backend server.
 #[derive(Clone, Debug)]
 pub(super) struct BackendState {
     pub(super) handle: BackendHandle,
@@ -88,16 +87,16 @@
     pub(super) cold_limit: u32,
     pub(super) cold_start_budget: ColdStartBudget,
     pub(super) in_flight: u32,
-    /// Requests that other instances have at the server.
+    /// Requests in flight there from other instances.
     pub(super) remote_in_flight: u32,
     pub(super) health: Health,
-    /// Whether it does much worse than the other servers of its service.
+    /// Result of the last outlier detection.
     pub(super) is_outlier: bool,
     was_unreachable: bool,
 }
 
 impl BackendState {
-    /// Requests that all instances together have at the server.
+    /// Returns the requests in flight there from all instances.
     pub(super) fn total_in_flight(&self) -> u32 {
         self.in_flight + self.remote_in_flight
     }
@@ -110,13 +109,12 @@
         now_ms < self.cold_until_ms
     }
 
-    /// Takes in that the server is cold for `cold_ms` from now on, or for as long as
-    /// was known before if that is longer.
+    /// Marks the server as cold for at least `cold_ms` from now on.
     fn set_cold(&mut self, cold_ms: u64, now_ms: u64) {
         self.cold_until_ms = self.cold_until_ms.max(now_ms + cold_ms);
     }
 
-    /// The same for as long as the operator says of a server that has just started.
+    /// Marks the server as cold for the service's configured warm-up.
     fn start_cold_period(&mut self, config: Option<&Config>, now_ms: u64) {
         let service = config.and_then(|config| config.service(&self.backend.service));
         self.set_cold(service.map_or(0, |service| service.cold_ms), now_ms);
@@ -131,9 +129,7 @@
 }
 
 impl ServicePool {
-    /// Works out now and then which servers do much worse than the others. A choice
-    /// only reads it: to compare all servers for each choice makes that half as long
-    /// again.
+    /// Detects outliers at most once per interval, which keeps choices fast.
     pub(super) fn detect_outliers(&mut self, now_ms: u64) {
         if now_ms < self.outliers_valid_until_ms {
             return;
@@ -146,7 +142,7 @@
     }
 }
 
-/// Holds the state of all backend servers and chooses among them.
+/// Tracks all backend servers and chooses one for each request.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) settings: Settings,
@@ -157,17 +153,17 @@
     remote_load: RemoteLoad,
     pub(super) shared_objects: SharedObjectDetector,
     next_handle: u64,
-    /// Kept, so that a choice allocates nothing.
+    /// Reused, so that a choice does not allocate.
     pub(super) candidates: Vec<Candidate>,
 }
 
 impl Balancer {
-    /// A balancer that knows no backend server yet and chooses [`ObjectAffinity`].
+    /// Creates a balancer without backend servers that uses [`ObjectAffinity`].
     pub fn new(settings: Settings) -> Balancer {
         Balancer::with_policy(settings, Box::new(ObjectAffinity))
     }
 
-    /// A balancer that knows no backend server yet and chooses by `policy`.
+    /// Creates a balancer without backend servers that uses `policy`.
     pub fn with_policy(settings: Settings, policy: Box<dyn LoadBalancingPolicy>) -> Balancer {
         Balancer {
             settings,
@@ -182,13 +178,12 @@
         }
     }
 
-    /// Takes in a configuration.
+    /// Replaces the configuration.
     pub fn set_config(&mut self, config: Arc<Config>) {
         self.config = Some(config);
     }
 
-    /// Takes in a backend server's row; returns whether the server is new or has
-    /// started anew.
+    /// Adds or updates a backend server; returns whether it is new or has restarted.
     pub fn put(&mut self, backend: Backend, members: &Members, now_ms: u64) -> bool {
         if let Some(state) = self.find_same_start(&backend) {
             state.set_cold(backend.cold_left_ms, now_ms);
@@ -217,7 +212,7 @@
         true
     }
 
-    /// Forgets a backend server; returns whether it was known.
+    /// Removes a backend server; returns whether it was registered.
     pub fn remove(&mut self, id: &str) -> bool {
         let mut was_known = false;
         for pool in self.services.values_mut() {
@@ -228,10 +223,10 @@
         was_known
     }
 
-    /// Sends nothing more to the backend servers of `zone`, or takes them back.
+    /// Evacuates a zone or ends its evacuation; returns whether that is a change.
     ///
-    /// Servers that got nothing for a while have forgotten their objects and may
-    /// be cold, so those that are taken back count as cold.
+    /// The backend servers of an evacuated zone get no requests. After an evacuation they count
+    /// as cold, since their caches have expired meanwhile.
     pub fn set_evacuated(&mut self, zone: &ZoneName, is_evacuated: bool, now_ms: u64) -> bool {
         let has_changed = match is_evacuated {
             true => self.evacuated.insert(zone.clone()),
@@ -251,16 +246,16 @@
         true
     }
 
-    /// Changes how the rate that a cold server tolerates is stretched.
+    /// Sets the factor and the addend of the rate of requests to cold servers.
     pub fn set_cold_rates(&mut self, factor: f64, slack: f64) {
         self.settings.cold_rate_factor = factor;
         self.settings.cold_rate_slack = slack;
     }
 
-    /// Works out again what this instance may send to each cold server, after
-    /// the members or the configuration have changed.
+    /// Recomputes this instance's limit for each cold server; to be called when the members or
+    /// the configuration have changed.
     pub fn set_cold_limits(&mut self, members: &Members) {
-        // Taken out, since the limits are worked out from the rest.
+        // Moved out, because `cold_limit` borrows `self`.
         let mut services = std::mem::take(&mut self.services);
         for state in services.values_mut().flat_map(|pool| &mut pool.backends) {
             state.cold_limit = self.cold_limit(&state.backend, members);
@@ -268,8 +263,8 @@
         self.services = services;
     }
 
-    /// What this instance may send to a server in a second while that is cold;
-    /// nothing before there is a configuration.
+    /// Returns the requests per second that this instance may send to a cold server, 0 without
+    /// a configuration.
     fn cold_limit(&self, backend: &Backend, members: &Members) -> u32 {
         let Some(config) = &self.config else { return 0 };
         let rate = config.service(&backend.service).map_or(0.0, |s| s.cold_rate_per_s);
@@ -286,19 +281,19 @@
         )
     }
 
-    /// The backend server behind a handle, while it is registered.
+    /// Returns the backend server with a handle while it is registered.
     pub fn backend(&self, handle: BackendHandle) -> Option<Arc<Backend>> {
         self.backends().find(|state| state.handle == handle).map(|state| Arc::clone(&state.backend))
     }
 
-    /// The requests that this instance has at each server where it has any.
+    /// Returns the requests in flight from this instance, for each server that has any.
     pub fn in_flight(&self) -> Vec<InFlightCount> {
         let busy = self.backends().filter(|state| state.in_flight > 0);
         busy.map(|state| InFlightCount { backend: state.id_hash(), count: state.in_flight })
             .collect()
     }
 
-    /// Takes in what another instance has at each server.
+    /// Records the load report of another instance.
     pub fn record_load_report(
         &mut self,
         instance: &InstanceId,
@@ -309,25 +304,25 @@
         self.update_remote_in_flight();
     }
 
-    /// Forgets what instances said that have been silent for too long.
+    /// Discards load reports that are too old.
     pub fn expire_load_reports(&mut self, now_ms: u64) {
         self.remote_load.expire(now_ms);
         self.update_remote_in_flight();
     }
 
-    /// Takes in that a client requested an object, by its hash.
+    /// Records that a client requested an object, given by its hash.
     pub fn record_request(&mut self, object: u64, now_ms: u64) {
         self.shared_objects.record_local(short_hash(object), now_ms);
     }
 
-    /// Some objects that were requested here since the last call, for instances of
-    /// other regions.
+    /// Takes a sample of the objects requested since the last call, for instances of other
+    /// regions.
     pub fn take_request_sample(&mut self) -> Vec<u32> {
         self.shared_objects.take_sample()
     }
 
-    /// Takes in objects that were requested in another region; returns whether the
-    /// servers of the own region are preferred from now on, if that has changed.
+    /// Records objects requested in another region. If the preference for servers of the own
+    /// region changes, returns whether they are preferred now.
     pub fn record_remote_requests(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
         let has_changed = self.shared_objects.record_remote(objects, now_ms);
         has_changed.then(|| !self.shared_objects.is_shared())
@@ -344,25 +339,24 @@
         }
     }
 
-    /// Takes in that a server says that it is cold.
+    /// Records that a server reported to be cold for `cold_left_ms`.
     pub fn set_cold(&mut self, handle: BackendHandle, cold_left_ms: u64, now_ms: u64) {
         if let Some(state) = self.backend_state_mut(handle) {
             state.set_cold(cold_left_ms, now_ms);
         }
     }
 
-    /// Stops sending to a server that said itself that it is leaving, or is
-    /// another one by now.
+    /// Marks a server as draining because it said so or another server has its address by now.
     pub fn set_leaving(&mut self, handle: BackendHandle) {
         if let Some(state) = self.backend_state_mut(handle) {
             Arc::make_mut(&mut state.backend).is_draining = true;
         }
     }
 
-    /// Ends a request that [`Balancer::choose`] sent to a server.
+    /// Completes a request that [`Balancer::choose`] assigned to a server.
     ///
-    /// A server that answers after it could not be reached may have started anew
-    /// under the same name before its row says so, and counts as cold.
+    /// A server that responds after it was unreachable counts as cold, since it may have
+    /// restarted before its registration says so.
     pub fn complete(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
         let Balancer { config, services, .. } = self;
         let mut backends = services.values_mut().flat_map(|pool| &mut pool.backends);
@@ -408,7 +402,7 @@
     }
 }
 
-/// The upper half of an object's hash; two with the same look alike.
+/// Returns the upper half of an object's hash.
 fn short_hash(object: u64) -> u32 {
     (object >> 32) as u32
 }
