--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -1,22 +1,22 @@
 /*!
-Chooses backend servers by the object that a request is about.
+Cache-aware load balancing over backend servers.
 
-Backend servers work several times faster on an object that they handled
-recently. [`Balancer`] therefore sends requests for one object to the same
-server on all instances of a region, by rendezvous hashing and without any message
-between them, and leaves that server only when it is full, failing or leaving.
+Backend servers work several times faster on an object that they have cached. [`Balancer`]
+therefore sends requests for one object to the same server, chosen by rendezvous hashing
+without coordination between instances, and moves them only when that server is full,
+unhealthy or draining.
 
 # Design
 
-* [`Config`] is the operator's configuration; [`Backend`] and [`Member`] are what
-  backend servers and entry instances say of themselves.
-* [`Balancer`] holds the state of all backend servers and decides where a request
-  goes, by the rule of a [`LoadBalancingPolicy`], which is [`ObjectAffinity`].
-* [`RetryBudget`] and [`ColdStartBudget`] bound what all instances do together, each
-  by a share of its own.
-* [`Members`] tells which entry instances clients should use.
-* [`Datagram`] is what entry instances tell each other.
-* [`RetryReason`] tells refused clients when to come back.
+* [`Config`] is the operator's configuration; [`Backend`] and [`Member`] are the
+  registrations of backend servers and entry instances.
+* [`Balancer`] holds the state of all backend servers and chooses one per request by a
+  [`LoadBalancingPolicy`], by default [`ObjectAffinity`].
+* [`RetryBudget`] and [`ColdStartBudget`] enforce limits over all instances, each within its
+  own share.
+* [`Members`] tracks the entry instances and answers clients' lookups.
+* [`Datagram`] is the message between entry instances.
+* [`RetryReason`] determines the retry delay of refused clients.
 */
 
 mod backends;
