--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -1,4 +1,4 @@
-//! What all instances do together stays within bounds that each keeps alone.
+//! Limits that each instance enforces alone hold over all instances together.
 
 use azuregate_core::balance::{ColdStartBudget, Destination, RetryBudget, WeightedRoundRobin};
 use proptest::prelude::*;
@@ -6,8 +6,7 @@
 use crate::fixtures::{balancer, instance, query, service};
 
 proptest! {
-    /// Any set of registered instances: the parts of a cold server's rate add up to
-    /// no more than the rate, and to most of it.
+    /// The instances' limits for a cold server sum to at most its rate, and to most of it.
     #[test]
     fn instance_limits_sum_to_the_cold_start_rate(count in 1..400_usize, rate in 1.0..60.0_f64, server in 0..50_u8) {
         let names: Vec<String> = (0..count).map(|n| instance(n).as_str().to_owned()).collect();
@@ -19,8 +18,8 @@
         prop_assert!(f64::from(sum) >= (rate * 0.8).floor());
     }
 
-    /// Any pattern of requests and wishes to retry: over any window, retries stay
-    /// within the share of the requests in that window and the one before.
+    /// Retries in any window stay within the ratio of the requests in that window and the one
+    /// before.
     #[test]
     fn retries_stay_within_the_ratio(steps in proptest::collection::vec((0..40_u64, 0..4_u8), 1..2_000)) {
         let (ratio, window_ms) = (0.2, 10_000);
@@ -42,7 +41,7 @@
         }
     }
 
-    /// Any weights: each destination has had its share, give or take one request.
+    /// Each destination's count deviates from its weight by at most the number of destinations.
     #[test]
     fn weighted_round_robin_follows_the_weights(weights in proptest::collection::vec(0..100_u32, 2..5), requests in 1..500_u32) {
         let total: u32 = weights.iter().sum();
@@ -64,8 +63,8 @@
     }
 }
 
-/// A server is cold, and nine instances send to it whatever they may, ten times a
-/// second for three seconds. In no second does it get more than it tolerates.
+/// Nine instances send to a cold server whenever their budgets allow. In no second does it get
+/// more than its configured rate, with the factor and the slack.
 #[test]
 fn cold_backend_rate_is_bounded_across_instances() {
     let mut instances: Vec<_> = (0..9).map(|own| balancer(own, 9, 1)).collect();
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Choice of a backend server for a request.
 
 use azuregate_core::{
     balance::{BackendQuery, Balancer, InFlightCount, Outcome},
@@ -10,7 +10,7 @@
 
 const OBJECTS: u64 = 200;
 
-/// The server of each object while nothing else is in flight.
+/// Returns the server of each object while nothing else is in flight.
 fn chosen_servers(balancer: &mut Balancer) -> Vec<String> {
     let service = service();
     let chosen_server = |object| {
@@ -21,8 +21,7 @@
     (0..OBJECTS).map(chosen_server).collect()
 }
 
-/// Instances of a region send an object to the same server. Those of other regions
-/// prefer servers of theirs, and still agree on most objects.
+/// Instances of other regions prefer servers of their own, and still agree on most objects.
 #[test]
 fn instances_of_a_region_choose_the_same_backend() {
     for first in [0, 2, 4] {
@@ -37,7 +36,7 @@
     }
 }
 
-/// Requests from a region stay there twice as often as its share of the servers says.
+/// A region has a third of the servers, which get half of its requests.
 #[test]
 fn backends_of_the_own_region_have_double_weight() {
     for (own, &(_, region)) in ZONES.iter().enumerate() {
@@ -96,8 +95,8 @@
     }
 }
 
-/// The first server of an object is full. The second is used while it has a free
-/// slot; then requests wait at the first, and then they are refused.
+/// The second server of an object is used while it has a free slot; then requests queue at the
+/// first, and then they are refused.
 #[test]
 fn full_backend_spills_over_only_to_a_free_slot() {
     let mut balancer = balancer(0, 9, 24);
@@ -110,13 +109,11 @@
     assert_ne!(first, second);
     let expected = [&[first; 6][..], &[second; 3], &[first; 2]].concat();
     assert_eq!(servers.iter().collect::<Vec<_>>(), expected);
-    // Whoever asks why gets what the refusal went by.
     let explanation = balancer.explain(&query(&service, 7), 0).to_string();
     assert_eq!(explanation, format!("open:24 oldest_report_ms:0 {first}:8/3 {second}:3/3"));
 }
 
-/// Another instance says that it has eight requests at an object's server. This
-/// one passes the server over, until the word is too old to be believed.
+/// Another instance reports a full queue at an object's server.
 #[test]
 fn remote_in_flight_counts_until_the_report_expires() {
     let (mut local, mut remote) = (balancer(0, 2, 24), balancer(1, 2, 24));
@@ -148,8 +145,7 @@
 }
 
 proptest! {
-    /// Whatever was tried and wherever the route is at home, the choice is neither
-    /// a server that had the request nor one outside the home regions.
+    /// A choice is never a server that was tried or one outside the home regions.
     #[test]
     fn tried_backends_and_other_regions_are_excluded(object: u64, tries in 1..8_usize, home in 0..4_usize) {
         let mut balancer = balancer(0, 9, 24);
--- a/crates/azuregate-core/tests/balance/config.rs
+++ b/crates/azuregate-core/tests/balance/config.rs
@@ -1,4 +1,4 @@
-//! Configurations that hold together, and the routes that they give.
+//! Validation of configurations and matching of routes.
 
 use std::sync::Arc;
 
--- a/crates/azuregate-core/tests/balance/datagrams.rs
+++ b/crates/azuregate-core/tests/balance/datagrams.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other by datagrams.
+//! Encoding of datagrams.
 
 use azuregate_core::{
     balance::{Datagram, Heartbeat, Load},
@@ -37,9 +37,8 @@
     }
 }
 
-/// Every instance sends two heartbeats a second to every other, so that with some
-/// dozens of instances they are most of what goes between them. With its headers one
-/// may not take more than a hundred bytes, without the objects that few carry.
+/// Heartbeats are most of the traffic between dozens of instances. The limit includes the
+/// IP and UDP headers, and leaves out the sample of objects, which few heartbeats carry.
 #[test]
 fn heartbeat_fits_in_100_bytes() {
     const HEADERS_BYTES: usize = 28;
--- a/crates/azuregate-core/tests/balance/fixtures.rs
+++ b/crates/azuregate-core/tests/balance/fixtures.rs
@@ -1,4 +1,4 @@
-//! Balancers of several instances, and backend servers in several zones.
+//! Fixtures: instances, backend servers and balancers in six zones of three regions.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -11,7 +11,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
 };
 
-/// Zones, two in each of three regions.
+/// Zones and their regions.
 pub(crate) const ZONES: [(&str, &str); 6] =
     [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")];
 
@@ -86,13 +86,12 @@
     }
 }
 
-/// The balancer of one of `instances` instances, which knows `servers` servers.
+/// Returns the balancer of instance `own` of `instances`, with `servers` backend servers.
 pub(crate) fn balancer(own: usize, instances: usize, servers: usize) -> Balancer {
     balancer_with(Box::new(ObjectAffinity), own, instances, (0..servers).map(backend))
 }
 
-/// The balancer of one of `instances` instances, with a rule and servers of the
-/// test's own.
+/// Returns the balancer of instance `own` of `instances`, with this policy and these servers.
 pub(crate) fn balancer_with(
     policy: Box<dyn LoadBalancingPolicy>,
     own: usize,
@@ -115,8 +114,8 @@
     balancer
 }
 
-/// Each instance tells all others what it has in flight, and those of other regions
-/// what was requested of it.
+/// Exchanges load reports between all instances, and samples of requested objects between
+/// regions.
 pub(crate) fn exchange_reports(balancers: &mut [Balancer], now_ms: u64) {
     let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
     let region = |own: usize| ZONES[own % ZONES.len()].1;
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -1,11 +1,11 @@
-//! Servers that do worse than the others.
+//! Outlier detection and backoff.
 
 use azuregate_core::balance::{Balancer, Outcome};
 
 use crate::fixtures::{balancer, query, service};
 
-/// Sends requests for 100 objects, `gap_ms` apart, each of which ends at once as
-/// `end` says; returns how many went to `server-5`.
+/// Sends requests for 100 objects, `gap_ms` apart, each completed at once with the outcome that
+/// `end` returns for its server; returns how many went to `server-5`.
 fn send_requests(
     balancer: &mut Balancer,
     from_ms: u64,
@@ -26,8 +26,7 @@
 
 const SUCCESS: Outcome = Outcome::Succeeded { taken_ms: 100 };
 
-/// One of six servers rejects or fails half of its requests, or takes five times
-/// as long. Its objects go elsewhere after a few requests.
+/// One of six servers fails, rejects or times out its requests, or is five times slower.
 #[test]
 fn outliers_are_avoided() {
     let cases = [
@@ -47,8 +46,8 @@
     }
 }
 
-/// Two of five servers take nine times as long, and answer. Neither is 2.5 times
-/// slower than the mean, so that a comparison with it would find nothing unusual.
+/// Guards against a baseline of means: two of five servers are nine times slower than the
+/// others, but neither is 2.5 times slower than the mean.
 #[test]
 fn two_slow_backends_of_five_are_both_outliers() {
     let mut balancer = balancer(0, 1, 5);
@@ -69,8 +68,8 @@
     assert_eq!(slow.count(), 0);
 }
 
-/// All servers reject and answer late, as under overload. Nobody does worse than
-/// the others, so each object stays with its server, which knows it.
+/// Guards against cold caches under overload: no server performs worse than the others, so
+/// each object stays with its server.
 #[test]
 fn uniform_overload_moves_no_objects() {
     for bad in [Outcome::Rejected, Outcome::TimedOut { taken_ms: 1_000 }] {
@@ -82,8 +81,7 @@
     }
 }
 
-/// A server that was avoided gets requests again after some seconds: without any,
-/// nothing could show that it is well again.
+/// An outlier gets requests again after some seconds, since nothing else shows its recovery.
 #[test]
 fn outlier_statistics_decay() {
     let mut balancer = balancer(0, 1, 6);
@@ -95,8 +93,8 @@
     assert_eq!(send_requests(&mut balancer, 20_000, 1, |_| SUCCESS), baseline);
 }
 
-/// A server cannot be reached: it gets nothing for half a second, then longer.
-/// When it answers again it may have started anew, and counts as cold.
+/// An unreachable server gets no requests for half a second. When it responds again it may
+/// have restarted, so it gets requests at the rate of a cold server.
 #[test]
 fn unreachable_backend_is_in_backoff_and_then_cold() {
     let mut balancer = balancer(0, 1, 6);
@@ -110,9 +108,8 @@
     assert!(baseline * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
 }
 
-/// A server answers, but one answer is lost with its connection. Its objects stay
-/// with it: elsewhere they are not known, and their requests would be late. When the
-/// next answer is lost as well, the server may be down and gets nothing for a while.
+/// A single lost response must not move a server's objects to servers with cold caches; two
+/// in a row start a backoff.
 #[test]
 fn one_lost_response_moves_no_objects() {
     let mut balancer = balancer(0, 1, 6);
@@ -125,7 +122,7 @@
     assert_eq!(send_requests(&mut balancer, 10, 0, |_| SUCCESS), 0);
 }
 
-/// Loses `count` answers of `server-5` in a row.
+/// Loses `count` responses of `server-5` in a row.
 fn lose_responses(balancer: &mut Balancer, count: usize, now_ms: u64) {
     let service = service();
     let mut lost = 0;
--- a/crates/azuregate-core/tests/balance/large_bodies.rs
+++ b/crates/azuregate-core/tests/balance/large_bodies.rs
@@ -1,8 +1,7 @@
-//! A load of large bodies in zones with unequal numbers of servers.
+//! Simulation of large bodies in zones with unequal numbers of servers.
 //!
-//! Two zones have four servers and two zones one, of three slots each, and work
-//! takes 120 ms. An instance in each zone gets 30 large bodies a second, which is
-//! more than one server does and a third of what four do.
+//! Each zone gets 30 requests per second: more than one server of three slots and 120 ms per
+//! request can handle, and a third of the capacity of four.
 
 use std::collections::BTreeMap;
 
@@ -24,8 +23,7 @@
 const REPORT_INTERVAL_MS: u64 = 100;
 const END_MS: u64 = 10_000;
 
-/// An earlier rule, to be played beside the one that is used: a large body goes to
-/// the nearest two servers or nowhere.
+/// A policy for comparison: a large body goes to one of the nearest two servers or is refused.
 #[derive(Debug)]
 struct NearestOnly;
 
@@ -48,14 +46,14 @@
     zones.enumerate().map(|(number, zone)| Backend { zone: ZoneName::new(zone), ..backend(number) })
 }
 
-/// Requests at a server: those that are served end at these times.
+/// A server, with the end times of its requests in order of arrival.
 #[derive(Default)]
 struct Server {
     ends_at_ms: Vec<u64>,
 }
 
 impl Server {
-    /// When a request is done that comes now.
+    /// Adds a request and returns the time at which it ends.
     fn enqueue(&mut self, now_ms: u64) -> u64 {
         let slots = 3;
         let busy = self.ends_at_ms.len();
@@ -68,7 +66,6 @@
     }
 }
 
-/// What became of the load.
 #[derive(Debug, Default)]
 struct Outcomes {
     requests: u32,
@@ -123,9 +120,8 @@
     outcomes
 }
 
-/// Clients in the zones with one server are refused though servers elsewhere are
-/// idle, for as long as the load lasts. With the object's server as the second
-/// choice nobody is, and most bodies still stay in their zone.
+/// Guards against refusals in zones with one server while others are idle. Most bodies still
+/// stay in their zone.
 #[test]
 fn small_zone_spills_over_while_other_zones_are_idle() {
     let nearest = simulate(|| Box::new(NearestOnly));
--- a/crates/azuregate-core/tests/balance/main.rs
+++ b/crates/azuregate-core/tests/balance/main.rs
@@ -1,4 +1,4 @@
-//! The choice of backend servers by object, and what bounds it.
+//! Load balancing: choice of backend servers, health, budgets, membership and configuration.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -1,4 +1,4 @@
-//! Which instances clients are told to use.
+//! Lookups, heartbeats and replication sources.
 
 use std::net::SocketAddr;
 
@@ -9,12 +9,12 @@
 
 use crate::fixtures::{instance, member, members};
 
-/// A heartbeat of an instance that lives and has the store.
+/// Returns a heartbeat of a live instance that can watch the store.
 fn status(instance: &str, start: u64) -> HeartbeatStatus<'_> {
     HeartbeatStatus { instance, start: StartNumber(start), is_leaving: false, can_watch: true }
 }
 
-/// Nine instances seen from the first, all heard at 1 s but for `silent` ones.
+/// Returns nine instances as seen by the first, with heartbeats at 1 s except from `silent`.
 fn live_members_except(silent: &[usize]) -> Members {
     let mut members = members(0, 9);
     for number in (0..9).filter(|number| !silent.contains(number)) {
@@ -37,7 +37,7 @@
 
 #[test]
 fn lookup_returns_the_nearest_live_instances() {
-    // Instance n stands in zone n modulo 6: a1, a2, b1, b2, c1, c2, a1, a2, b1.
+    // Instance n is in zone n modulo 6: a1, a2, b1, b2, c1, c2, a1, a2, b1.
     let cases: [(&[usize], &str, &str, &[usize]); 5] = [
         (&[], "a1", "a", &[0, 6]),
         (&[6], "a1", "a", &[0]),
@@ -73,8 +73,7 @@
     assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
 }
 
-/// An instance starts anew at another address. Heartbeats of its earlier start,
-/// which were on the way, say nothing of the new one.
+/// Guards against a delayed heartbeat of the previous run making a restarted instance live.
 #[test]
 fn heartbeats_of_another_start_are_ignored() {
     let mut members = live_members_except(&[]);
@@ -97,7 +96,7 @@
     assert!(!members.is_empty());
 }
 
-/// The instances that `own` follows when all live; empty if it watches the store.
+/// Returns the instances that are followed; none if the own instance watches the store.
 fn followed_instances(members: &Members, now_ms: u64) -> Vec<String> {
     match members.replication_source(now_ms) {
         ReplicationSource::Store => Vec::new(),
@@ -107,7 +106,7 @@
     }
 }
 
-/// Nine instances as each of them sees them; all but `lost` have the store.
+/// Returns nine instances as seen by each; all but `lost` can watch the store.
 fn views(lost: &[usize]) -> Vec<Members> {
     let view = |own| {
         let mut members = members(own, 9);
@@ -140,8 +139,8 @@
     }
 }
 
-/// The two that watch the store lose it, or are silent. The others choose two
-/// that have it.
+/// When the watchers lose the store, others are elected; without any live watcher an instance
+/// watches the store itself.
 #[test]
 fn instances_without_store_access_are_not_followed() {
     let watchers: Vec<usize> = (0..9)
@@ -152,7 +151,7 @@
         let chosen = followed_instances(view, 1_100);
         assert!(watchers.iter().all(|n| !chosen.contains(&format!("entry-{n}"))), "{chosen:?}");
     }
-    // Everyone is silent: the own store is all there is.
+    // No heartbeat is recent: only the own instance is live.
     let alone = views.iter().enumerate().find(|(own, _)| !watchers.contains(own)).unwrap().1;
     assert_eq!(alone.replication_source(9_000), ReplicationSource::Store);
 }
@@ -186,7 +185,7 @@
         let followers =
             sources.iter().filter(|all| all.iter().any(|name| name == instance(own).as_str()));
         assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{own}");
-        // Whoever follows others than the two follows them through its own zone only.
+        // Instances other than the watchers are followed only within their zone.
         let hears_from =
             |name: &String| (0..COUNT).find(|&number| instance(number).as_str() == name);
         for source in sources[own].iter().filter_map(hears_from) {
--- a/crates/azuregate-core/tests/balance/missing_backends.rs
+++ b/crates/azuregate-core/tests/balance/missing_backends.rs
@@ -1,4 +1,4 @@
-//! Rows that run out while the store is away.
+//! Rows of backend servers that expire during an outage of the store.
 
 use azuregate_core::{balance::MissingBackends, names::BackendId};
 
@@ -11,7 +11,7 @@
     assert!(MissingBackends::default().mark_missing(&id(), 5_000));
 }
 
-/// The store was away and is back at 10 s; the row is missing.
+/// Returns the state after an outage that ended at 10 s, with one row missing.
 fn missing_since_outage() -> MissingBackends {
     let mut backends = MissingBackends::default();
     backends.mark_store_unreachable();
@@ -35,8 +35,8 @@
     assert!(backends.take_expired(false, 13_000).is_empty());
 }
 
-/// This instance alone was cut off from the store: another had it all the time, so
-/// rows that are missing were removed, and their servers are leaving.
+/// Guards against requests to servers that left while only this instance was cut off from the
+/// store.
 #[test]
 fn missing_row_expires_if_another_instance_had_the_store() {
     let mut backends = missing_since_outage();
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -1,10 +1,7 @@
-//! A load that replays how an overload outlasts its cause.
+//! Simulation of a metastable overload.
 //!
-//! Ten servers of three slots remember 43 objects each and work 72 ms on one that
-//! they remember, 240 ms on another. Nine instances send 300 requests a second
-//! about 261 objects, three quarters of what warm servers can take and more than
-//! twice of what cold ones can. At 6 s the load is three times as high, for two
-//! seconds. Requests that were refused come back once.
+//! The base load is three quarters of the servers' capacity with warm caches and more than
+//! twice that with cold ones. A burst of three times the load lasts from 6 s to 8 s.
 
 use azuregate_core::balance::{Candidate, Decision, LoadBalancingPolicy, ObjectAffinity};
 
@@ -48,7 +45,7 @@
     }
 }
 
-/// The mean share that is in time in the seconds after the burst.
+/// Returns the mean share of requests served on time from 3 s after the burst.
 fn on_time_after_burst(seconds: &[SecondStats]) -> f64 {
     let shares = seconds[11..17].iter().map(|second| on_time(std::slice::from_ref(second)));
     shares.sum::<f64>() / 6.0
@@ -58,8 +55,7 @@
     Box::new(ObjectAffinity)
 }
 
-/// An earlier rule, to be played beside the one that is used: a full server is
-/// left for the object's second at any load of that.
+/// A policy for comparison: a full server is left for the second, even if that is full.
 #[derive(Debug)]
 struct UnconditionalSpillover;
 
@@ -75,24 +71,22 @@
     }
 }
 
-/// Clients see late answers and refusals while the load is too high, and good
-/// answers three seconds after it is as before.
+/// Guards against an overload that outlasts the burst.
 #[test]
 fn on_time_share_recovers_after_a_burst() {
     let seconds = simulate(&scenario(true, object_affinity));
     assert!(on_time_after_burst(&seconds) > 0.8, "{seconds:?}");
 }
 
-/// The same load, and a full server is left for a full one: each server sees more
-/// objects than it remembers, all work is cold, and the overload stays.
+/// Checks that the scenario is metastable: with unconditional spillover each server gets more
+/// objects than its cache holds.
 #[test]
 fn unconditional_spillover_sustains_the_overload() {
     let seconds = simulate(&scenario(true, || Box::new(UnconditionalSpillover)));
     assert!(on_time_after_burst(&seconds) < 0.6, "{seconds:?}");
 }
 
-/// The same load, and the instances do not tell each other what they have in
-/// flight: queues grow unseen, and a third of the answers is late for good.
+/// Without load reports, queues grow unseen and responses stay late after the burst.
 #[test]
 fn load_reports_keep_queues_short() {
     let (with_reports, without_reports) =
--- a/crates/azuregate-core/tests/balance/shared_objects.rs
+++ b/crates/azuregate-core/tests/balance/shared_objects.rs
@@ -1,11 +1,11 @@
-//! Whether a region prefers its own servers.
+//! Detection of objects that several regions request.
 
 use azuregate_core::balance::Balancer;
 
 use crate::fixtures::balancer;
 
-/// Five seconds of requests, of which another region has `shared` in 100 as well;
-/// returns what the balancer says of it.
+/// Records six seconds of requests, `shared` percent of which another region has as well;
+/// returns the last change of the preference for servers of the own region.
 fn replay_requests(balancer: &mut Balancer, from_ms: u64, shared: u64) -> Option<bool> {
     let mut preference = None;
     for number in 0..100_u64 {
@@ -18,9 +18,8 @@
     preference
 }
 
-/// Other regions request the same objects: a region that goes on preferring its own
-/// servers would make each object known to servers in all regions. Clients that move
-/// for a while are no reason, and the preference comes back.
+/// Guards against every region caching the objects that all regions request. A share between
+/// a quarter and a half, as from clients that move, changes nothing.
 #[test]
 fn shared_objects_end_the_regional_preference() {
     let cases = [
@@ -34,7 +33,7 @@
     ];
     let mut balancer = balancer(0, 6, 6);
     for (round, (shared, expected)) in cases.into_iter().enumerate() {
-        // Far enough apart that objects of the round before are forgotten.
+        // Far enough apart that the objects of the previous round have expired.
         let from_ms = 10_000 + round as u64 * 30_000;
         assert_eq!(replay_requests(&mut balancer, from_ms, shared), expected, "round {round}");
     }
--- a/crates/azuregate-core/tests/balance/simulation.rs
+++ b/crates/azuregate-core/tests/balance/simulation.rs
@@ -1,8 +1,7 @@
-//! Replays a load on balancers and on servers that remember objects.
+//! Discrete-time simulation of balancers and backend servers with caches.
 //!
-//! Instances choose servers and tell each other what they have in flight. A server
-//! has slots, a queue, and a memory of the objects that it handled last: work on
-//! one that it remembers is shorter. Requests that were refused come back once.
+//! A server has slots, a queue and an LRU cache of objects; a request for a cached object takes
+//! less time. Refused requests are retried once.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -15,23 +14,22 @@
 
 use crate::fixtures::{ZONES, balancer_with, exchange_reports, query, service};
 
-/// How often instances tell each other what they have in flight.
 const REPORT_INTERVAL_MS: u64 = 100;
 
-/// When a server remembers an object.
+/// When an object enters a server's cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum CacheInsertion {
-    /// As soon as work on it has begun.
+    /// When the server starts a request for it.
     AtStart,
-    /// Once work on it is done.
+    /// When the server has completed a request for it.
     AtEnd,
 }
 
-/// One kind of request.
+/// A class of requests.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Class {
     pub(crate) route: &'static str,
-    /// Its share of all requests.
+    /// Its share of all requests, from 0 to 1.
     pub(crate) share: f64,
     pub(crate) objects: u64,
     pub(crate) warm_ms: u64,
@@ -40,7 +38,7 @@
     pub(crate) deadline_ms: u64,
 }
 
-/// The servers, the instances and what clients send.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub(crate) struct Scenario {
     pub(crate) seed: u64,
@@ -48,52 +46,52 @@
     pub(crate) instances: usize,
     pub(crate) servers: Vec<Backend>,
     pub(crate) server_queue: usize,
-    /// Objects that a server remembers.
+    /// Number of objects in a server's cache.
     pub(crate) cache_capacity: usize,
     pub(crate) cache_insertion: CacheInsertion,
-    /// After which clients come back that were refused.
+    /// Range of the delay before a refused request is retried.
     pub(crate) retry_after_ms: RangeInclusive<u64>,
-    /// The share of requests that a server rejects although it is not full.
+    /// Probability, by time, that a server rejects a request although it is not full.
     pub(crate) rejection_rate: fn(u64) -> f64,
-    /// Servers that a request may be sent to.
+    /// Maximum number of servers that a request is sent to before it is refused.
     pub(crate) max_attempts: u32,
-    /// Whether a server that rejected a request may be asked again.
+    /// Whether a server that rejected a request may get it again.
     pub(crate) may_retry_same_backend: fn(&Choice) -> bool,
     pub(crate) classes: Vec<Class>,
-    /// Whether the clients of an object are all in one region.
+    /// Whether all clients of an object are in one region.
     pub(crate) is_regional: bool,
     pub(crate) exchanges_reports: bool,
     pub(crate) rate_per_s: fn(u64) -> f64,
-    /// The hash by which a request is placed.
+    /// Affinity hash of an object.
     pub(crate) hash: fn(&Class, u64) -> u64,
     pub(crate) policy: fn() -> Box<dyn LoadBalancingPolicy>,
 }
 
-/// What became of the requests that began in one second.
+/// Results of the requests that arrived in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct SecondStats {
     pub(crate) requests: u32,
     pub(crate) on_time: u32,
-    /// Requests that were sent to a server of the client's region.
+    /// Requests that were sent to a server of their instance's region.
     pub(crate) in_region: u32,
     pub(crate) sent: u32,
 }
 
-/// The share of requests that were answered within their objective.
+/// Returns the share of requests that met their latency target.
 pub(crate) fn on_time(seconds: &[SecondStats]) -> f64 {
     let requests: u32 = seconds.iter().map(|second| second.requests).sum();
     let on_time: u32 = seconds.iter().map(|second| second.on_time).sum();
     f64::from(on_time) / f64::from(requests)
 }
 
-/// The share of sent requests that stayed in the client's region.
+/// Returns the share of sent requests that stayed in the region of their instance.
 pub(crate) fn in_region(seconds: &[SecondStats]) -> f64 {
     let sent: u32 = seconds.iter().map(|second| second.sent).sum();
     let in_region: u32 = seconds.iter().map(|second| second.in_region).sum();
     f64::from(in_region) / f64::from(sent)
 }
 
-/// Plays `load` to its end; what became of the requests of each second.
+/// Runs a simulation and returns its results by second.
 pub(crate) fn simulate(scenario: &Scenario) -> Vec<SecondStats> {
     let mut simulation = Simulation::new(scenario);
     for now_ms in 0..scenario.end_ms {
@@ -156,7 +154,7 @@
         self.cached.truncate(scenario.cache_capacity);
     }
 
-    /// The jobs that are done, or whose client has left, and which of these it is.
+    /// Removes the jobs that are done or past their deadline; the flag says whether one is done.
     fn finish(&mut self, scenario: &Scenario, now_ms: u64) -> Vec<(Job, bool)> {
         let is_late = |job: &Job| {
             now_ms >= job.request.arrived_at_ms + scenario.classes[job.request.class].deadline_ms
@@ -258,8 +256,7 @@
         self.nearby_instance(object, instance)
     }
 
-    /// `instance`, or if the clients of `object` are all in another region the next
-    /// instance of that.
+    /// Returns `instance`, or the next one in the region of the object's clients.
     fn nearby_instance(&self, object: u64, instance: usize) -> usize {
         if !self.scenario.is_regional {
             return instance;
@@ -287,7 +284,7 @@
         second.in_region += u32::from(is_in_region);
     }
 
-    /// A server that takes the request, after one more try if the first rejects it.
+    /// Chooses a server that accepts the request, within the scenario's attempts.
     fn choose(&mut self, request: &Request, now_ms: u64) -> Option<Choice> {
         let service = service();
         let class = &self.scenario.classes[request.class];
--- a/crates/azuregate-core/tests/balance/skewed_load.rs
+++ b/crates/azuregate-core/tests/balance/skewed_load.rs
@@ -1,8 +1,6 @@
-//! A load in which few objects have most of the requests.
+//! Simulation of few hot objects, requested through two routes that are cached apart.
 //!
-//! Twenty servers of four slots get 160 requests a second about 75 objects, by two
-//! routes. What servers remember is of use to the route that the work was for. Warm
-//! work takes 270 and 350 ms and all of it needs three fifths of the slots.
+//! With warm caches the load takes three fifths of the servers' capacity.
 
 use azuregate_core::{
     balance::{Backend, Choice, ObjectAffinity, RetryReason, object_hash},
@@ -14,7 +12,7 @@
     simulation::{CacheInsertion, Class, Scenario, in_region, on_time, simulate},
 };
 
-/// Loads that a result is the mean of.
+/// Number of simulations that a result is the mean of.
 const SEEDS: u64 = 4;
 
 pub(crate) fn scenario(seed: u64) -> Scenario {
@@ -56,13 +54,14 @@
     }
 }
 
-/// Other names for each seed, so that no result hangs on how some names are hashed.
+/// Returns a server whose name depends on the seed, so that results do not depend on certain
+/// hashes.
 fn server(seed: u64, number: usize) -> Backend {
     let id = BackendId::new(&format!("server-{seed}-{number}"));
     Backend { id, slots: 4, ..backend(number) }
 }
 
-/// The mean over some loads of what is in time once all is warm.
+/// Returns the mean share of requests served on time once the caches are warm.
 fn mean_on_time_when_warm(change: fn(&mut Scenario)) -> f64 {
     let share = |seed| {
         let mut scenario = scenario(seed);
@@ -72,9 +71,7 @@
     (1..=SEEDS).map(share).sum::<f64>() / SEEDS as f64
 }
 
-/// Clients of the busiest objects wait or are refused while other servers are idle:
-/// by the object alone, one server gets all routes of it. With a server for each
-/// route of an object the same work comes in smaller parts, which spread better.
+/// Guards against one server getting all requests for a hot object while others are idle.
 #[test]
 fn hashing_by_route_spreads_a_hot_object() {
     let by_object = mean_on_time_when_warm(|scenario| {
@@ -84,9 +81,8 @@
     assert!(by_route > by_object + 0.02, "{by_route:.3} and {by_object:.3}");
 }
 
-/// All servers reject half of their requests for six seconds although they have free
-/// slots. Most clients still get their answer in time if the server that knows the
-/// object is asked again; elsewhere the same request is cold and late.
+/// Servers reject half of their requests despite free slots. A retry at another server would
+/// miss the cache and be late.
 #[test]
 fn rejection_below_capacity_is_retried_on_the_same_backend() {
     fn rejecting(scenario: &mut Scenario) {
@@ -101,9 +97,8 @@
     assert!(same_backend > other_backend + 0.02, "{same_backend:.3} and {other_backend:.3}");
 }
 
-/// Twice the usual number of clients come for half a second, every second and a half. Those
-/// that are refused and come back as soon as places are free get their answer in time;
-/// after a quarter of a second in the mean more of them are late.
+/// Under short bursts, refused clients are served on time if they retry as soon as slots are
+/// free.
 #[test]
 fn short_retry_after_serves_more_requests_on_time() {
     fn bursts(scenario: &mut Scenario) {
@@ -120,9 +115,8 @@
     );
 }
 
-/// Clients of an object are in one region. Requests that leave it cost their way and
-/// the bytes on it, so a region's servers count twice, and half of the requests stay
-/// in place of a third, with as many in time.
+/// Regional objects stay in their region in half of the cases instead of a third, without
+/// more late responses.
 #[test]
 fn half_of_the_requests_stay_in_the_client_region() {
     let scenario = scenario(1);
