--- a/crates/azuregate-core/benches/balance.rs
+++ b/crates/azuregate-core/benches/balance.rs
@@ -1,4 +1,4 @@
-//! The time of one choice of a backend server by its object.
+//! Time to choose a backend server and complete a request, by number of servers.
 //!
 //! `cargo bench -p azuregate-core --bench balance`
 
