--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -312,7 +312,7 @@
 
     /// Records that a client requested an object, given by its hash.
     pub fn record_request(&mut self, object: u64, now_ms: u64) {
-        self.shared_objects.record_local(short_hash(object), now_ms);
+        self.shared_objects.record_local(upper_half(object), now_ms);
     }
 
     /// Takes a sample of the objects requested since the last call, for instances of other
@@ -347,7 +347,7 @@
     }
 
     /// Marks a server as draining because it said so or another server has its address by now.
-    pub fn set_leaving(&mut self, handle: BackendHandle) {
+    pub fn set_draining(&mut self, handle: BackendHandle) {
         if let Some(state) = self.backend_state_mut(handle) {
             Arc::make_mut(&mut state.backend).is_draining = true;
         }
@@ -403,6 +403,6 @@
 }
 
 /// Returns the upper half of an object's hash.
-fn short_hash(object: u64) -> u32 {
+fn upper_half(object: u64) -> u32 {
     (object >> 32) as u32
 }
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -153,11 +153,11 @@
         (false, true) => HealthStatus::Outlier,
         (false, false) => HealthStatus::Healthy,
     };
-    let hash = mix(state.seed ^ query.object);
+    let hash = fmix64(state.seed ^ query.object);
     let is_preferred = prefers_region && state.distance != Distance::OtherRegion;
     Candidate {
         handle: state.handle,
-        hash: if is_preferred { counted_twice(hash) } else { hash },
+        hash: if is_preferred { with_double_weight(hash) } else { hash },
         distance: state.distance,
         status,
         in_flight: state.total_in_flight(),
@@ -171,12 +171,12 @@
 /// Servers of the own region get it while no other region requests the same objects, to save
 /// latency and traffic between regions. A larger weight would overload a region with few
 /// servers.
-fn counted_twice(hash: u64) -> u64 {
+fn with_double_weight(hash: u64) -> u64 {
     ((hash as f64).sqrt() * (u64::MAX as f64).sqrt()) as u64
 }
 
 /// The finalizer of MurmurHash3.
-fn mix(mut x: u64) -> u64 {
+fn fmix64(mut x: u64) -> u64 {
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
     x ^ (x >> 33)
--- a/crates/azuregate-core/src/balance/cold_start.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -35,19 +35,19 @@
         rate_per_s: f64,
     ) -> u32 {
         let own = score(&[backend, instance]);
-        let (mut total, mut higher) = (0, 0);
+        let (mut total, mut higher_ranked) = (0, 0);
         for other in instances {
             total += 1;
-            higher += usize::from(other != instance && score(&[backend, other]) > own);
+            higher_ranked += usize::from(other != instance && score(&[backend, other]) > own);
         }
         let senders = MAX_SENDERS_PER_BACKEND.min(total.max(1));
-        if higher >= senders {
+        if higher_ranked >= senders {
             return 0;
         }
-        let all = (rate_per_s * USED_RATE_FRACTION).floor() as u32;
-        let rank = u32::try_from(higher).unwrap_or(u32::MAX);
+        let total_rate = (rate_per_s * USED_RATE_FRACTION).floor() as u32;
+        let rank = u32::try_from(higher_ranked).unwrap_or(u32::MAX);
         let senders = u32::try_from(senders).unwrap_or(u32::MAX);
-        all / senders + u32::from(rank < all % senders)
+        total_rate / senders + u32::from(rank < total_rate % senders)
     }
 
     /// Returns whether another request may be sent within `limit` per second.
--- a/crates/azuregate-core/src/balance/policy.rs
+++ b/crates/azuregate-core/src/balance/policy.rs
@@ -64,12 +64,12 @@
 ///
 /// Waiting in a short queue is faster than a cache miss, which takes about three times as long
 /// as a hit and evicts other objects.
-const SHORT_QUEUE: u32 = 3;
+const SPILLOVER_QUEUE: u32 = 3;
 /// The same for large bodies; shorter, since a zone with few servers would stay overloaded if
 /// requests could not leave it early.
-const SHORT_QUEUE_LARGE: u32 = 2;
+const SPILLOVER_QUEUE_LARGE: u32 = 2;
 /// Queue length at which requests are refused, since they would be served late.
-const QUEUE_LIMIT: u32 = 5;
+const MAX_QUEUE_LENGTH: u32 = 5;
 
 /// Sends the requests for one object to the same two servers.
 ///
@@ -84,16 +84,17 @@
 
 impl LoadBalancingPolicy for ObjectAffinity {
     fn choose(&self, has_large_body: bool, candidates: &[Candidate]) -> Decision {
-        let owners = Best::of(candidates, |server| rank(server, Distance::SameZone));
+        let ranked = TopTwo::of(candidates, |server| rank(server, Distance::SameZone));
         let (first, second, queue) = if has_large_body {
-            let nearest = Best::of(candidates, |server| rank(server, zone_or_far(server))).first;
-            (nearest, nearest.and_then(|near| owners.other_than(near)), SHORT_QUEUE_LARGE)
+            let nearest =
+                TopTwo::of(candidates, |server| rank(server, own_zone_first(server))).first;
+            (nearest, nearest.and_then(|near| ranked.other_than(near)), SPILLOVER_QUEUE_LARGE)
         } else {
-            (owners.first, owners.second, SHORT_QUEUE)
+            (ranked.first, ranked.second, SPILLOVER_QUEUE)
         };
         let at_first = |queue| first.filter(|server| server.has_capacity(queue));
         let at_second = || second.filter(|server| server.has_capacity(0));
-        let chosen = at_first(queue).or_else(at_second).or_else(|| at_first(QUEUE_LIMIT));
+        let chosen = at_first(queue).or_else(at_second).or_else(|| at_first(MAX_QUEUE_LENGTH));
         Decision {
             chosen: chosen.map(|server| server.handle),
             considered: [first.copied(), second.copied()],
@@ -103,7 +104,7 @@
 }
 
 /// Distinguishes only servers inside and outside the own zone.
-fn zone_or_far(server: &Candidate) -> Distance {
+fn own_zone_first(server: &Candidate) -> Distance {
     match server.distance {
         Distance::SameZone => Distance::SameZone,
         Distance::SameRegion | Distance::OtherRegion => Distance::OtherRegion,
@@ -118,25 +119,25 @@
 }
 
 /// The two servers with the lowest rank.
-struct Best<'a> {
+struct TopTwo<'a> {
     first: Option<&'a Candidate>,
     second: Option<&'a Candidate>,
 }
 
-impl<'a> Best<'a> {
-    fn of(candidates: &'a [Candidate], rank: impl Fn(&Candidate) -> u64) -> Best<'a> {
-        let mut best = Best { first: None, second: None };
+impl<'a> TopTwo<'a> {
+    fn of(candidates: &'a [Candidate], rank: impl Fn(&Candidate) -> u64) -> TopTwo<'a> {
+        let mut top = TopTwo { first: None, second: None };
         let (mut first_rank, mut second_rank) = (u64::MAX, u64::MAX);
         for candidate in candidates {
             let rank = rank(candidate);
             if rank < first_rank {
-                (best.second, second_rank) = (best.first, first_rank);
-                (best.first, first_rank) = (Some(candidate), rank);
+                (top.second, second_rank) = (top.first, first_rank);
+                (top.first, first_rank) = (Some(candidate), rank);
             } else if rank < second_rank {
-                (best.second, second_rank) = (Some(candidate), rank);
+                (top.second, second_rank) = (Some(candidate), rank);
             }
         }
-        best
+        top
     }
 
     fn other_than(&self, server: &Candidate) -> Option<&'a Candidate> {
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -85,7 +85,7 @@
                 .filter_map(|object| balancer.choose(&query(&service, object), 0))
                 .find(|choice| choice.backend.id.as_str() == "server-5")
                 .map(|choice| choice.handle);
-            balancer.set_leaving(handle.unwrap());
+            balancer.set_draining(handle.unwrap());
         }),
     ];
     for (name, change) in cases {
--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -177,7 +177,7 @@
     if is_rejection {
         let is_other = head.status() == StatusCode::MISDIRECTED_REQUEST;
         if is_other {
-            state.balancer.borrow_mut().set_leaving(choice.handle);
+            state.balancer.borrow_mut().set_draining(choice.handle);
         }
         in_flight.set_outcome(Outcome::Rejected);
         if head.into_body().collect().await.is_ok() {
