--- a/crates/azuregate-core/src/balance/config.rs
+++ b/crates/azuregate-core/src/balance/config.rs
@@ -123,7 +123,7 @@
             routes
                 .sort_by(|a, b| b.prefix.len().cmp(&a.prefix.len()).then(a.prefix.cmp(&b.prefix)));
             if let Some(pair) = routes.windows(2).find(|pair| pair[0].prefix == pair[1].prefix) {
-                return Err(ConfigError(format!("{host}{} stands twice", pair[0].prefix)));
+                return Err(ConfigError(format!("two routes for {host}{}", pair[0].prefix)));
             }
         }
         Ok(Config { version: parts.version, limits: parts.limits, services: parts.services, hosts })
@@ -158,17 +158,17 @@
 fn check(route: &Route, services: &BTreeMap<ServiceName, Service>) -> Result<(), ConfigError> {
     let problem = |problem: &str| Err(ConfigError(format!("route {}: {problem}", route.name)));
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return problem("the prefix does not begin and end with a slash");
+        return problem("the prefix must begin and end with a slash");
     }
     if route.attempts == 0 {
-        return problem("no attempts");
+        return problem("attempts must be at least 1");
     }
     if let Some(unknown) = route.destinations.iter().find(|d| !services.contains_key(&d.service)) {
         return problem(&format!("service {} is not defined", unknown.service));
     }
     let weights = route.destinations.iter().map(|d| d.weight);
     if weights.clone().any(|w| !w.is_finite() || w < 0.0) || weights.sum::<f64>() <= 0.0 {
-        return problem("the weights do not add up to a share");
+        return problem("weights must be finite and not negative, with a positive sum");
     }
     Ok(())
 }
--- a/crates/azuregate-core/tests/balance/config.rs
+++ b/crates/azuregate-core/tests/balance/config.rs
@@ -53,9 +53,9 @@
         ("service shop is not defined", |parts| parts.services.clear()),
         ("slash", |parts| change_route(parts, |route| route.prefix = "/x".to_owned())),
         ("slash", |parts| change_route(parts, |route| route.prefix = "x/".to_owned())),
-        ("no attempts", |parts| change_route(parts, |route| route.attempts = 0)),
+        ("attempts must be at least 1", |parts| change_route(parts, |route| route.attempts = 0)),
         ("weights", |parts| change_route(parts, |route| route.destinations[0].weight = 0.0)),
-        ("stands twice", |parts| parts.routes.push(parts.routes[0].clone())),
+        ("two routes for a.example/x/", |parts| parts.routes.push(parts.routes[0].clone())),
     ];
     for (problem, change) in cases {
         let mut parts = parts(&[("a.example", "/x/")]);
