--- a/crates/azuregate-core/benches/balance.rs
+++ b/crates/azuregate-core/benches/balance.rs
@@ -54,7 +54,7 @@
                     tried: &[],
                     home_regions: &[],
                 };
-                let choice = balancer.choose(&query, 1_000).expect("there is room");
+                let choice = balancer.choose(&query, 1_000).expect("a backend server has capacity");
                 balancer.complete(choice.handle, Outcome::Succeeded { taken_ms: 100 }, 1_000);
             });
         });
--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -92,7 +92,7 @@
             }
         }
     }
-    assert!(sent.len() > 20, "some get through: {}", sent.len());
+    assert!(sent.len() > 20, "requests sent: {}", sent.len());
     for &start in &sent {
         let count = sent.iter().filter(|&&at| (start..start + 1_000).contains(&at)).count();
         assert!(count as f64 <= 9.0 * 1.5 + 5.0, "{count} from {start} ms");
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -79,7 +79,7 @@
         ("removed", |balancer| {
             balancer.remove("server-5");
         }),
-        ("leaving by its own word", |balancer| {
+        ("marked as draining", |balancer| {
             let service = service();
             let handle = (0..OBJECTS)
                 .filter_map(|object| balancer.choose(&query(&service, object), 0))
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -62,7 +62,7 @@
     assert_eq!(
         sorted_lookup(&members, "b2", "b", 3_001),
         addrs(&[0]),
-        "only the own instance is sure"
+        "only the own instance is live"
     );
 }
 
