--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -69,7 +69,7 @@
             return Distance::SameZone;
         }
         match (self.zones.get(zone), self.zones.get(&self.zone)) {
-            (Some(region), Some(own)) if region == own => Distance::SameRegion,
+            (Some(region), Some(local)) if region == local => Distance::SameRegion,
             _ => Distance::OtherRegion,
         }
     }
--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -52,22 +52,28 @@
 /// All registered instances and their liveness, as one instance sees them.
 #[derive(Clone, Debug)]
 pub struct Members {
-    own: InstanceId,
+    local: InstanceId,
     zones: BTreeMap<ZoneName, RegionName>,
     heartbeat_timeout_ms: u64,
-    own_can_watch: bool,
+    local_can_watch: bool,
     states: BTreeMap<InstanceId, MemberState>,
 }
 
 impl Members {
-    /// Creates an empty membership as seen by `own`. A lookup leaves out instances whose last
+    /// Creates an empty membership as seen by `local`. A lookup leaves out instances whose last
     /// heartbeat is older than `heartbeat_timeout_ms`.
     pub fn new(
-        own: InstanceId,
+        local: InstanceId,
         zones: BTreeMap<ZoneName, RegionName>,
         heartbeat_timeout_ms: u64,
     ) -> Members {
-        Members { own, zones, heartbeat_timeout_ms, own_can_watch: false, states: BTreeMap::new() }
+        Members {
+            local,
+            zones,
+            heartbeat_timeout_ms,
+            local_can_watch: false,
+            states: BTreeMap::new(),
+        }
     }
 
     /// Adds or updates the registration of an instance.
@@ -104,8 +110,8 @@
     }
 
     /// Sets whether this instance may watch the store on behalf of others.
-    pub fn set_own_can_watch(&mut self, can_watch: bool) {
-        self.own_can_watch = can_watch;
+    pub fn set_local_can_watch(&mut self, can_watch: bool) {
+        self.local_can_watch = can_watch;
     }
 
     /// Returns whether an instance is registered in another region than this one.
@@ -114,8 +120,8 @@
             let state = self.states.get(instance)?;
             self.zones.get(&state.member.zone)
         };
-        match (region(instance), region(self.own.as_str())) {
-            (Some(other), Some(own)) => other != own,
+        match (region(instance), region(self.local.as_str())) {
+            (Some(other), Some(local)) => other != local,
             _ => false,
         }
     }
@@ -137,7 +143,7 @@
 
     /// Iterates over the registered instances other than this one.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
-        self.registered().filter(|member| member.instance != self.own)
+        self.registered().filter(|member| member.instance != self.local)
     }
 
     /// Returns the addresses of the live instances nearest to a client: those in its zone if
@@ -161,19 +167,19 @@
     /// Iterates over the live instances that may watch the store on behalf of others.
     pub(super) fn eligible_watchers(&self, now_ms: u64) -> impl Iterator<Item = &Member> {
         let available = self.states.values().filter(move |state| self.is_available(state, now_ms));
-        let can_watch = |state: &&MemberState| match state.member.instance == self.own {
-            true => self.own_can_watch,
+        let can_watch = |state: &&MemberState| match state.member.instance == self.local {
+            true => self.local_can_watch,
             false => state.can_watch,
         };
         available.filter(can_watch).map(|state| &state.member)
     }
 
-    pub(super) fn own(&self) -> &InstanceId {
-        &self.own
+    pub(super) fn local(&self) -> &InstanceId {
+        &self.local
     }
 
-    pub(super) fn own_zone(&self) -> Option<&ZoneName> {
-        self.states.get(&self.own).map(|state| &state.member.zone)
+    pub(super) fn local_zone(&self) -> Option<&ZoneName> {
+        self.states.get(&self.local).map(|state| &state.member.zone)
     }
 
     pub(super) fn zones(&self) -> &BTreeMap<ZoneName, RegionName> {
@@ -184,8 +190,8 @@
         if state.is_leaving {
             return false;
         }
-        let is_own = state.member.instance == self.own;
-        is_own
+        let is_local = state.member.instance == self.local;
+        is_local
             || state
                 .last_heartbeat_ms
                 .is_some_and(|at| now_ms.saturating_sub(at) <= self.heartbeat_timeout_ms)
@@ -195,7 +201,7 @@
         if state.member.zone.as_str() == zone {
             return 0;
         }
-        let own_region = self.zones.get(&state.member.zone).map(RegionName::as_str);
-        if own_region == Some(region) { 1 } else { 2 }
+        let member_region = self.zones.get(&state.member.zone).map(RegionName::as_str);
+        if member_region == Some(region) { 1 } else { 2 }
     }
 }
--- a/crates/azuregate-core/src/balance/policy.rs
+++ b/crates/azuregate-core/src/balance/policy.rs
@@ -87,7 +87,7 @@
         let ranked = TopTwo::of(candidates, |server| rank(server, Distance::SameZone));
         let (first, second, queue) = if has_large_body {
             let nearest =
-                TopTwo::of(candidates, |server| rank(server, own_zone_first(server))).first;
+                TopTwo::of(candidates, |server| rank(server, local_zone_first(server))).first;
             (nearest, nearest.and_then(|near| ranked.other_than(near)), SPILLOVER_QUEUE_LARGE)
         } else {
             (ranked.first, ranked.second, SPILLOVER_QUEUE)
@@ -104,7 +104,7 @@
 }
 
 /// Distinguishes only servers inside and outside the own zone.
-fn own_zone_first(server: &Candidate) -> Distance {
+fn local_zone_first(server: &Candidate) -> Distance {
     match server.distance {
         Distance::SameZone => Distance::SameZone,
         Distance::SameRegion | Distance::OtherRegion => Distance::OtherRegion,
--- a/crates/azuregate-core/src/balance/replication_source.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -27,13 +27,13 @@
     /// state, and a follower that finds it too old watches the store itself.
     pub fn replication_source(&self, now_ms: u64) -> ReplicationSource {
         let watchers = self.watchers(now_ms);
-        if self.includes_own(&watchers) {
+        if self.includes_local(&watchers) {
             return ReplicationSource::Store;
         }
         let follows_watchers = self.len() <= MAX_INSTANCES_WITHOUT_RELAYS;
         let relays = if follows_watchers { Vec::new() } else { self.relays(now_ms) };
         let sources =
-            if relays.len() < 2 || self.includes_own(&relays) { watchers } else { relays };
+            if relays.len() < 2 || self.includes_local(&relays) { watchers } else { relays };
         ReplicationSource::Instances(sources.into_iter().cloned().collect())
     }
 
@@ -48,7 +48,7 @@
 
     /// Returns the instances that relay changes within the own availability zone.
     fn relays(&self, now_ms: u64) -> Vec<&Member> {
-        let Some(zone) = self.own_zone() else { return Vec::new() };
+        let Some(zone) = self.local_zone() else { return Vec::new() };
         let in_zone = self.eligible_watchers(now_ms).filter(|member| member.zone == *zone);
         let mut ranked: Vec<&Member> = in_zone.collect();
         ranked.sort_by_cached_key(|member| score(&["relay", member.instance.as_str()]));
@@ -56,8 +56,8 @@
         ranked
     }
 
-    fn includes_own(&self, sources: &[&Member]) -> bool {
-        sources.iter().any(|member| member.instance == *self.own())
+    fn includes_local(&self, sources: &[&Member]) -> bool {
+        sources.iter().any(|member| member.instance == *self.local())
     }
 
     fn region(&self, member: &Member) -> Option<&RegionName> {
--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -12,7 +12,7 @@
         let names: Vec<String> = (0..count).map(|n| instance(n).as_str().to_owned()).collect();
         let all = || names.iter().map(String::as_str);
         let server = format!("server-{server}");
-        let parts = all().map(|own| ColdStartBudget::instance_limit(&server, own, all(), rate));
+        let parts = all().map(|local| ColdStartBudget::instance_limit(&server, local, all(), rate));
         let sum: u32 = parts.sum();
         prop_assert!(f64::from(sum) <= rate);
         prop_assert!(f64::from(sum) >= (rate * 0.8).floor());
@@ -67,8 +67,8 @@
 /// more than its configured rate, with the factor and the slack.
 #[test]
 fn cold_backend_rate_is_bounded_across_instances() {
-    let mut instances: Vec<_> = (0..9).map(|own| balancer(own, 9, 1)).collect();
-    let members: Vec<_> = (0..9).map(|own| crate::fixtures::members(own, 9)).collect();
+    let mut instances: Vec<_> = (0..9).map(|local| balancer(local, 9, 1)).collect();
+    let members: Vec<_> = (0..9).map(|local| crate::fixtures::members(local, 9)).collect();
     let service = service();
     let mut sent = Vec::new();
     for (balancer, members) in instances.iter_mut().zip(&members) {
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -26,21 +26,21 @@
 fn instances_of_a_region_choose_the_same_backend() {
     for first in [0, 2, 4] {
         let expected = chosen_servers(&mut balancer(first, 12, 24));
-        for own in 0..12 {
-            let chosen = chosen_servers(&mut balancer(own, 12, 24));
+        for local in 0..12 {
+            let chosen = chosen_servers(&mut balancer(local, 12, 24));
             let same = chosen.iter().zip(&expected).filter(|(a, b)| a == b).count();
-            let is_own_region = ZONES[own % ZONES.len()].1 == ZONES[first].1;
-            let least = if is_own_region { chosen.len() } else { chosen.len() * 6 / 10 };
-            assert!(same >= least, "{same} of {} for {first} and {own}", chosen.len());
+            let is_same_region = ZONES[local % ZONES.len()].1 == ZONES[first].1;
+            let least = if is_same_region { chosen.len() } else { chosen.len() * 6 / 10 };
+            assert!(same >= least, "{same} of {} for {first} and {local}", chosen.len());
         }
     }
 }
 
 /// A region has a third of the servers, which get half of its requests.
 #[test]
-fn backends_of_the_own_region_have_double_weight() {
-    for (own, &(_, region)) in ZONES.iter().enumerate() {
-        let mut balancer = balancer(own, 6, 24);
+fn backends_of_the_local_region_have_double_weight() {
+    for (local, &(_, region)) in ZONES.iter().enumerate() {
+        let mut balancer = balancer(local, 6, 24);
         let service = service();
         let near = (0..2_000).filter(|&object| {
             let choice = balancer.choose(&query(&service, object), 0).unwrap();
--- a/crates/azuregate-core/tests/balance/fixtures.rs
+++ b/crates/azuregate-core/tests/balance/fixtures.rs
@@ -51,8 +51,8 @@
     Arc::new(Config::new(parts).unwrap())
 }
 
-pub(crate) fn members(own: usize, count: usize) -> Members {
-    let mut members = Members::new(instance(own), zones(), 2_000);
+pub(crate) fn members(local: usize, count: usize) -> Members {
+    let mut members = Members::new(instance(local), zones(), 2_000);
     for number in 0..count {
         members.put(member(number));
     }
@@ -86,28 +86,28 @@
     }
 }
 
-/// Returns the balancer of instance `own` of `instances`, with `servers` backend servers.
-pub(crate) fn balancer(own: usize, instances: usize, servers: usize) -> Balancer {
-    balancer_with(Box::new(ObjectAffinity), own, instances, (0..servers).map(backend))
+/// Returns the balancer of instance `local` of `instances`, with `servers` backend servers.
+pub(crate) fn balancer(local: usize, instances: usize, servers: usize) -> Balancer {
+    balancer_with(Box::new(ObjectAffinity), local, instances, (0..servers).map(backend))
 }
 
-/// Returns the balancer of instance `own` of `instances`, with this policy and these servers.
+/// Returns the balancer of instance `local` of `instances`, with this policy and these servers.
 pub(crate) fn balancer_with(
     policy: Box<dyn LoadBalancingPolicy>,
-    own: usize,
+    local: usize,
     instances: usize,
     backends: impl Iterator<Item = Backend>,
 ) -> Balancer {
     let settings = Settings {
-        instance: instance(own),
-        zone: ZoneName::new(ZONES[own % ZONES.len()].0),
+        instance: instance(local),
+        zone: ZoneName::new(ZONES[local % ZONES.len()].0),
         zones: zones(),
         cold_rate_factor: 1.5,
         cold_rate_slack: 5.0,
     };
     let mut balancer = Balancer::with_policy(settings, policy);
     balancer.set_config(config());
-    let members = members(own, instances);
+    let members = members(local, instances);
     backends.for_each(|backend| {
         balancer.put(backend, &members, 0);
     });
@@ -118,16 +118,17 @@
 /// regions.
 pub(crate) fn exchange_reports(balancers: &mut [Balancer], now_ms: u64) {
     let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
-    let region = |own: usize| ZONES[own % ZONES.len()].1;
-    for (own, balancer) in balancers.iter_mut().enumerate() {
-        let away = requested.iter().enumerate().filter(|&(other, _)| region(other) != region(own));
+    let region = |local: usize| ZONES[local % ZONES.len()].1;
+    for (local, balancer) in balancers.iter_mut().enumerate() {
+        let away =
+            requested.iter().enumerate().filter(|&(other, _)| region(other) != region(local));
         for (_, requested) in away {
             balancer.record_remote_requests(requested, now_ms);
         }
     }
     let reports: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
-    for (own, balancer) in balancers.iter_mut().enumerate() {
-        for (other, report) in reports.iter().enumerate().filter(|&(other, _)| other != own) {
+    for (local, balancer) in balancers.iter_mut().enumerate() {
+        for (other, report) in reports.iter().enumerate().filter(|&(other, _)| other != local) {
             balancer.record_load_report(&instance(other), report.clone(), now_ms);
         }
     }
--- a/crates/azuregate-core/tests/balance/large_bodies.rs
+++ b/crates/azuregate-core/tests/balance/large_bodies.rs
@@ -81,23 +81,24 @@
 
 fn simulate(policy: fn() -> Box<dyn LoadBalancingPolicy>) -> Outcomes {
     let mut random = fastrand::Rng::with_seed(1);
-    let mut balancers: Vec<Balancer> =
-        (0..ZONES.len()).map(|own| balancer_with(policy(), own, ZONES.len(), backends())).collect();
+    let mut balancers: Vec<Balancer> = (0..ZONES.len())
+        .map(|local| balancer_with(policy(), local, ZONES.len(), backends()))
+        .collect();
     let mut servers: BTreeMap<String, Server> = BTreeMap::new();
     let mut running: Vec<(u64, usize, BackendHandle)> = Vec::new();
     let mut outcomes = Outcomes::default();
     for now_ms in 0..END_MS {
-        running.retain(|&(ends_at_ms, own, handle)| {
+        running.retain(|&(ends_at_ms, local, handle)| {
             if ends_at_ms <= now_ms {
                 let outcome = Outcome::Succeeded { taken_ms: WORK_MS };
-                balancers[own].complete(handle, outcome, now_ms);
+                balancers[local].complete(handle, outcome, now_ms);
             }
             ends_at_ms > now_ms
         });
         for server in servers.values_mut() {
             server.ends_at_ms.retain(|&at_ms| at_ms > now_ms);
         }
-        for own in 0..ZONES.len() {
+        for local in 0..ZONES.len() {
             if random.f64() >= RATE_PER_S / 1_000.0 {
                 continue;
             }
@@ -105,13 +106,13 @@
             let service = service();
             let backend_query =
                 BackendQuery { has_large_body: true, ..query(&service, random.u64(..OBJECTS)) };
-            let Some(choice) = balancers[own].choose(&backend_query, now_ms) else {
+            let Some(choice) = balancers[local].choose(&backend_query, now_ms) else {
                 outcomes.refused += 1;
                 continue;
             };
-            outcomes.in_zone += u32::from(choice.backend.zone.as_str() == ZONES[own]);
+            outcomes.in_zone += u32::from(choice.backend.zone.as_str() == ZONES[local]);
             let server = servers.entry(choice.backend.id.as_str().to_owned()).or_default();
-            running.push((server.enqueue(now_ms), own, choice.handle));
+            running.push((server.enqueue(now_ms), local, choice.handle));
         }
         if now_ms.is_multiple_of(REPORT_INTERVAL_MS) {
             exchange_reports(&mut balancers, now_ms);
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -62,7 +62,7 @@
     assert_eq!(
         sorted_lookup(&members, "b2", "b", 3_001),
         addrs(&[0]),
-        "only the own instance is live"
+        "only the local instance is live"
     );
 }
 
@@ -108,8 +108,8 @@
 
 /// Returns nine instances as seen by each; all but `lost` can watch the store.
 fn views(lost: &[usize]) -> Vec<Members> {
-    let view = |own| {
-        let mut members = members(own, 9);
+    let view = |local| {
+        let mut members = members(local, 9);
         for number in 0..9 {
             let can_watch = !lost.contains(&number);
             members.record_heartbeat(
@@ -117,7 +117,7 @@
                 1_000,
             );
         }
-        members.set_own_can_watch(!lost.contains(&own));
+        members.set_local_can_watch(!lost.contains(&local));
         members
     };
     (0..9).map(view).collect()
@@ -127,13 +127,13 @@
 fn watchers_are_two_instances_in_different_regions() {
     let views = views(&[]);
     let watchers: Vec<usize> = (0..9)
-        .filter(|&own| views[own].replication_source(1_100) == ReplicationSource::Store)
+        .filter(|&local| views[local].replication_source(1_100) == ReplicationSource::Store)
         .collect();
     assert_eq!(watchers.len(), 2, "{watchers:?}");
     let region = |number: usize| crate::fixtures::ZONES[number % 6].1;
     assert_ne!(region(watchers[0]), region(watchers[1]));
-    for own in (0..9).filter(|own| !watchers.contains(own)) {
-        let mut chosen = followed_instances(&views[own], 1_100);
+    for local in (0..9).filter(|local| !watchers.contains(local)) {
+        let mut chosen = followed_instances(&views[local], 1_100);
         chosen.sort();
         assert_eq!(chosen, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
     }
@@ -144,7 +144,7 @@
 #[test]
 fn instances_without_store_access_are_not_followed() {
     let watchers: Vec<usize> = (0..9)
-        .filter(|&own| views(&[])[own].replication_source(1_100) == ReplicationSource::Store)
+        .filter(|&local| views(&[])[local].replication_source(1_100) == ReplicationSource::Store)
         .collect();
     let views = views(&watchers);
     for view in &views {
@@ -152,7 +152,7 @@
         assert!(watchers.iter().all(|n| !chosen.contains(&format!("entry-{n}"))), "{chosen:?}");
     }
     // No heartbeat is recent: only the own instance is live.
-    let alone = views.iter().enumerate().find(|(own, _)| !watchers.contains(own)).unwrap().1;
+    let alone = views.iter().enumerate().find(|(local, _)| !watchers.contains(local)).unwrap().1;
     assert_eq!(alone.replication_source(9_000), ReplicationSource::Store);
 }
 
@@ -166,31 +166,31 @@
 #[test]
 fn large_deployments_relay_changes_within_zones() {
     const COUNT: usize = 96;
-    let view = |own| {
-        let mut members = members(own, COUNT);
+    let view = |local| {
+        let mut members = members(local, COUNT);
         for number in 0..COUNT {
             assert!(members.record_heartbeat(&status(instance(number).as_str(), 1), 1_000));
         }
-        members.set_own_can_watch(true);
+        members.set_local_can_watch(true);
         members
     };
     let views: Vec<Members> = (0..COUNT).map(view).collect();
     let sources: Vec<Vec<String>> =
         views.iter().map(|view| followed_instances(view, 1_100)).collect();
-    let watchers: Vec<usize> = (0..COUNT).filter(|&own| sources[own].is_empty()).collect();
+    let watchers: Vec<usize> = (0..COUNT).filter(|&local| sources[local].is_empty()).collect();
     assert_eq!(watchers.len(), 2);
     let zone = |number: usize| number % crate::fixtures::ZONES.len();
     let in_zone = COUNT / crate::fixtures::ZONES.len();
-    for own in 0..COUNT {
+    for local in 0..COUNT {
         let followers =
-            sources.iter().filter(|all| all.iter().any(|name| name == instance(own).as_str()));
-        assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{own}");
+            sources.iter().filter(|all| all.iter().any(|name| name == instance(local).as_str()));
+        assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{local}");
         // Instances other than the watchers are followed only within their zone.
         let hears_from =
             |name: &String| (0..COUNT).find(|&number| instance(number).as_str() == name);
-        for source in sources[own].iter().filter_map(hears_from) {
+        for source in sources[local].iter().filter_map(hears_from) {
             let is_direct = watchers.contains(&source);
-            assert!(is_direct || zone(source) == zone(own), "{own} follows {source}");
+            assert!(is_direct || zone(source) == zone(local), "{local} follows {source}");
             let passes_on = sources[source].iter().filter_map(hears_from);
             assert!(is_direct || passes_on.into_iter().all(|next| watchers.contains(&next)));
         }
--- a/crates/azuregate-core/tests/balance/simulation.rs
+++ b/crates/azuregate-core/tests/balance/simulation.rs
@@ -185,10 +185,10 @@
 
 impl<'a> Simulation<'a> {
     fn new(scenario: &'a Scenario) -> Simulation<'a> {
-        let balancer = |own| {
+        let balancer = |local| {
             balancer_with(
                 (scenario.policy)(),
-                own,
+                local,
                 scenario.instances,
                 scenario.servers.iter().cloned(),
             )
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -163,7 +163,7 @@
             (None, false) | (Some(_), true) => {}
         }
         let can_watch = self.contact.borrow().can_watch(now_ms);
-        self.members.borrow_mut().set_own_can_watch(can_watch);
+        self.members.borrow_mut().set_local_can_watch(can_watch);
     }
 
     /// Whether requests can be served.
