--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -149,7 +149,7 @@
     pub(super) policy: Box<dyn LoadBalancingPolicy>,
     config: Option<Arc<Config>>,
     evacuated: BTreeSet<ZoneName>,
-    pub(super) services: BTreeMap<ServiceName, ServicePool>,
+    pub(super) pools: BTreeMap<ServiceName, ServicePool>,
     remote_load: RemoteLoad,
     pub(super) shared_objects: SharedObjectDetector,
     next_handle: u64,
@@ -170,7 +170,7 @@
             policy,
             config: None,
             evacuated: BTreeSet::new(),
-            services: BTreeMap::new(),
+            pools: BTreeMap::new(),
             remote_load: RemoteLoad::default(),
             shared_objects: SharedObjectDetector::default(),
             next_handle: 0,
@@ -207,7 +207,7 @@
             was_unreachable: false,
             backend: Arc::new(backend),
         };
-        let pool = self.services.entry(state.backend.service.clone()).or_default();
+        let pool = self.pools.entry(state.backend.service.clone()).or_default();
         pool.backends.push(state);
         true
     }
@@ -215,7 +215,7 @@
     /// Removes a backend server; returns whether it was registered.
     pub fn remove(&mut self, id: &str) -> bool {
         let mut was_known = false;
-        for pool in self.services.values_mut() {
+        for pool in self.pools.values_mut() {
             let count = pool.backends.len();
             pool.backends.retain(|state| state.backend.id.as_str() != id);
             was_known |= pool.backends.len() < count;
@@ -235,8 +235,8 @@
         if !has_changed {
             return false;
         }
-        let Balancer { config, services, .. } = self;
-        let backends = services.values_mut().flat_map(|pool| &mut pool.backends);
+        let Balancer { config, pools, .. } = self;
+        let backends = pools.values_mut().flat_map(|pool| &mut pool.backends);
         for state in backends.filter(|state| state.backend.zone == *zone) {
             state.is_evacuated = is_evacuated;
             if !is_evacuated {
@@ -256,11 +256,11 @@
     /// the configuration have changed.
     pub fn set_cold_limits(&mut self, members: &Members) {
         // Moved out, because `cold_limit` borrows `self`.
-        let mut services = std::mem::take(&mut self.services);
-        for state in services.values_mut().flat_map(|pool| &mut pool.backends) {
+        let mut pools = std::mem::take(&mut self.pools);
+        for state in pools.values_mut().flat_map(|pool| &mut pool.backends) {
             state.cold_limit = self.cold_limit(&state.backend, members);
         }
-        self.services = services;
+        self.pools = pools;
     }
 
     /// Returns the requests per second that this instance may send to a cold server, 0 without
@@ -328,12 +328,12 @@
         has_changed.then(|| !self.shared_objects.is_shared())
     }
 
-    pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
-        self.remote_load.oldest_report_ms(now_ms)
+    pub(super) fn oldest_report_age_ms(&self, now_ms: u64) -> u64 {
+        self.remote_load.oldest_report_age_ms(now_ms)
     }
 
     fn update_remote_in_flight(&mut self) {
-        let counts = self.remote_load.counts();
+        let counts = self.remote_load.in_flight_by_backend();
         for state in self.backends_mut() {
             state.remote_in_flight = counts.get(&state.id_hash()).copied().unwrap_or_default();
         }
@@ -358,8 +358,8 @@
     /// A server that responds after it was unreachable counts as cold, since it may have
     /// restarted before its registration says so.
     pub fn complete(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
-        let Balancer { config, services, .. } = self;
-        let mut backends = services.values_mut().flat_map(|pool| &mut pool.backends);
+        let Balancer { config, pools, .. } = self;
+        let mut backends = pools.values_mut().flat_map(|pool| &mut pool.backends);
         let Some(state) = backends.find(|state| state.handle == handle) else { return };
         state.in_flight = state.in_flight.saturating_sub(1);
         state.health.record(outcome, now_ms);
@@ -372,7 +372,7 @@
     }
 
     fn backends(&self) -> impl Iterator<Item = &BackendState> {
-        self.services.values().flat_map(|pool| &pool.backends)
+        self.pools.values().flat_map(|pool| &pool.backends)
     }
 
     pub(super) fn pool_backend_mut(
@@ -380,7 +380,7 @@
         service: &ServiceName,
         handle: BackendHandle,
     ) -> Option<&mut BackendState> {
-        self.services.get_mut(service)?.backends.iter_mut().find(|state| state.handle == handle)
+        self.pools.get_mut(service)?.backends.iter_mut().find(|state| state.handle == handle)
     }
 
     fn backend_state_mut(&mut self, handle: BackendHandle) -> Option<&mut BackendState> {
@@ -388,11 +388,11 @@
     }
 
     fn backends_mut(&mut self) -> impl Iterator<Item = &mut BackendState> {
-        self.services.values_mut().flat_map(|pool| &mut pool.backends)
+        self.pools.values_mut().flat_map(|pool| &mut pool.backends)
     }
 
     fn find_same_start(&mut self, backend: &Backend) -> Option<&mut BackendState> {
-        let pool = self.services.get_mut(&backend.service)?;
+        let pool = self.pools.get_mut(&backend.service)?;
         pool.backends.iter_mut().find(|state| {
             let known = &state.backend;
             known.id == backend.id
--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -71,12 +71,12 @@
     /// their slots.
     pub servers: Vec<(BackendId, u32, u32)>,
     /// Age of the oldest load report in use.
-    pub oldest_report_ms: u64,
+    pub oldest_report_age_ms: u64,
 }
 
 impl fmt::Display for Explanation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "open:{} oldest_report_ms:{}", self.eligible_servers, self.oldest_report_ms)?;
+        write!(f, "open:{} oldest_report_ms:{}", self.eligible_servers, self.oldest_report_age_ms)?;
         for (id, in_flight, slots) in &self.servers {
             write!(f, " {id}:{in_flight}/{slots}")?;
         }
@@ -109,14 +109,14 @@
         Explanation {
             eligible_servers: decision.eligible_servers,
             servers: servers.collect(),
-            oldest_report_ms: self.oldest_report_ms(now_ms),
+            oldest_report_age_ms: self.oldest_report_age_ms(now_ms),
         }
     }
 
     fn decide(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Decision {
-        let Balancer { settings, services, policy, candidates, shared_objects, .. } = self;
+        let Balancer { settings, pools, policy, candidates, shared_objects, .. } = self;
         let prefers_region = !shared_objects.is_shared();
-        let Some(pool) = services.get_mut(query.service) else { return Decision::default() };
+        let Some(pool) = pools.get_mut(query.service) else { return Decision::default() };
         pool.detect_outliers(now_ms);
         let eligible = pool.backends.iter_mut().filter_map(|state| {
             is_eligible(settings, state, query, now_ms)
--- a/crates/azuregate-core/src/balance/cold_start.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -34,11 +34,11 @@
         instances: impl Iterator<Item = &'a str>,
         rate_per_s: f64,
     ) -> u32 {
-        let own = score(&[backend, instance]);
+        let own_score = score(&[backend, instance]);
         let (mut total, mut higher_ranked) = (0, 0);
         for other in instances {
             total += 1;
-            higher_ranked += usize::from(other != instance && score(&[backend, other]) > own);
+            higher_ranked += usize::from(other != instance && score(&[backend, other]) > own_score);
         }
         let senders = MAX_SENDERS_PER_BACKEND.min(total.max(1));
         if higher_ranked >= senders {
--- a/crates/azuregate-core/src/balance/config.rs
+++ b/crates/azuregate-core/src/balance/config.rs
@@ -116,7 +116,7 @@
     pub fn new(parts: ConfigParts) -> Result<Config, ConfigError> {
         let mut hosts: BTreeMap<String, Vec<Arc<Route>>> = BTreeMap::new();
         for (host, route) in parts.routes {
-            check(&route, &parts.services)?;
+            validate_route(&route, &parts.services)?;
             hosts.entry(host.to_ascii_lowercase()).or_default().push(route);
         }
         for (host, routes) in &mut hosts {
@@ -155,20 +155,23 @@
     }
 }
 
-fn check(route: &Route, services: &BTreeMap<ServiceName, Service>) -> Result<(), ConfigError> {
-    let problem = |problem: &str| Err(ConfigError(format!("route {}: {problem}", route.name)));
+fn validate_route(
+    route: &Route,
+    services: &BTreeMap<ServiceName, Service>,
+) -> Result<(), ConfigError> {
+    let error = |error: &str| Err(ConfigError(format!("route {}: {error}", route.name)));
     if !route.prefix.starts_with('/') || !route.prefix.ends_with('/') {
-        return problem("the prefix must begin and end with a slash");
+        return error("the prefix must begin and end with a slash");
     }
     if route.attempts == 0 {
-        return problem("attempts must be at least 1");
+        return error("attempts must be at least 1");
     }
     if let Some(unknown) = route.destinations.iter().find(|d| !services.contains_key(&d.service)) {
-        return problem(&format!("service {} is not defined", unknown.service));
+        return error(&format!("service {} is not defined", unknown.service));
     }
     let weights = route.destinations.iter().map(|d| d.weight);
     if weights.clone().any(|w| !w.is_finite() || w < 0.0) || weights.sum::<f64>() <= 0.0 {
-        return problem("weights must be finite and not negative, with a positive sum");
+        return error("weights must be finite and not negative, with a positive sum");
     }
     Ok(())
 }
--- a/crates/azuregate-core/src/balance/health.rs
+++ b/crates/azuregate-core/src/balance/health.rs
@@ -52,7 +52,7 @@
 struct DecayingStats {
     requests: f64,
     failures: f64,
-    latency_ms: f64,
+    total_latency_ms: f64,
 }
 
 impl DecayingStats {
@@ -60,7 +60,7 @@
         DecayingStats {
             requests: self.requests * factor,
             failures: self.failures * factor,
-            latency_ms: self.latency_ms * factor,
+            total_latency_ms: self.total_latency_ms * factor,
         }
     }
 
@@ -69,7 +69,7 @@
     }
 
     fn mean_latency_ms(&self) -> f64 {
-        self.latency_ms / self.requests
+        self.total_latency_ms / self.requests
     }
 }
 
@@ -110,13 +110,14 @@
     /// The thresholds are relative: under a general overload all servers fail and are slow,
     /// and moving every object to another server would make all caches cold.
     pub fn is_outlier(&self, health: &Health, now_ms: u64) -> bool {
-        let own = health.stats(now_ms);
-        if own.requests < MIN_REQUESTS {
+        let stats = health.stats(now_ms);
+        if stats.requests < MIN_REQUESTS {
             return false;
         }
         let is_failing =
-            own.failure_rate() > self.failure_rate * FAILURE_RATE_FACTOR + FAILURE_RATE_MARGIN;
-        let is_slow = own.mean_latency_ms() > self.latency_ms * LATENCY_FACTOR + LATENCY_MARGIN_MS;
+            stats.failure_rate() > self.failure_rate * FAILURE_RATE_FACTOR + FAILURE_RATE_MARGIN;
+        let is_slow =
+            stats.mean_latency_ms() > self.latency_ms * LATENCY_FACTOR + LATENCY_MARGIN_MS;
         is_failing || is_slow
     }
 }
@@ -138,16 +139,16 @@
                 self.consecutive_backoffs = 0;
                 self.consecutive_lost_responses = 0;
                 self.backoff_until_ms = 0;
-                self.count(now_ms, false, taken_ms);
+                self.update_stats(now_ms, false, taken_ms);
             }
-            Outcome::Failed | Outcome::Rejected => self.count(now_ms, true, 0),
-            Outcome::TimedOut { taken_ms } => self.count(now_ms, true, taken_ms),
+            Outcome::Failed | Outcome::Rejected => self.update_stats(now_ms, true, 0),
+            Outcome::TimedOut { taken_ms } => self.update_stats(now_ms, true, taken_ms),
             Outcome::Unreachable => {
-                self.count(now_ms, true, 0);
+                self.update_stats(now_ms, true, 0);
                 self.back_off(now_ms);
             }
             Outcome::ResponseLost => {
-                self.count(now_ms, true, 0);
+                self.update_stats(now_ms, true, 0);
                 self.consecutive_lost_responses += 1;
                 if self.consecutive_lost_responses > TOLERATED_LOST_RESPONSES {
                     self.back_off(now_ms);
@@ -179,11 +180,11 @@
         self.stats.scaled((-age_ms / STATS_HALF_LIFE_MS).exp2())
     }
 
-    fn count(&mut self, now_ms: u64, has_failed: bool, taken_ms: u64) {
+    fn update_stats(&mut self, now_ms: u64, has_failed: bool, taken_ms: u64) {
         self.stats = self.stats(now_ms);
         self.updated_at_ms = now_ms;
         self.stats.requests += 1.0;
         self.stats.failures += f64::from(u8::from(has_failed));
-        self.stats.latency_ms += taken_ms as f64;
+        self.stats.total_latency_ms += taken_ms as f64;
     }
 }
--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -160,8 +160,8 @@
             .collect();
         ranked.sort_by_key(|&(rank, score, _)| (rank, score));
         let Some(&(nearest, ..)) = ranked.first() else { return Vec::new() };
-        let named = ranked.iter().filter(|&&(rank, ..)| rank == nearest).take(MAX_LOOKUP_ADDRS);
-        named.map(|(.., state)| state.member.traffic_addr).collect()
+        let selected = ranked.iter().filter(|&&(rank, ..)| rank == nearest).take(MAX_LOOKUP_ADDRS);
+        selected.map(|(.., state)| state.member.traffic_addr).collect()
     }
 
     /// Iterates over the live instances that may watch the store on behalf of others.
--- a/crates/azuregate-core/src/balance/remote_load.rs
+++ b/crates/azuregate-core/src/balance/remote_load.rs
@@ -48,17 +48,17 @@
     }
 
     /// Returns the age of the oldest report, 0 if there is none.
-    pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
+    pub(super) fn oldest_report_age_ms(&self, now_ms: u64) -> u64 {
         let ages = self.reports.values().map(|report| now_ms.saturating_sub(report.received_at_ms));
         ages.max().unwrap_or_default()
     }
 
     /// Sums the requests of all reports by the hash of the server's name.
-    pub(super) fn counts(&self) -> HashMap<u32, u32> {
-        let mut counts = HashMap::new();
+    pub(super) fn in_flight_by_backend(&self) -> HashMap<u32, u32> {
+        let mut in_flight_by_backend = HashMap::new();
         for at in self.reports.values().flat_map(|report| &report.in_flight) {
-            *counts.entry(at.backend).or_default() += at.count;
+            *in_flight_by_backend.entry(at.backend).or_default() += at.count;
         }
-        counts
+        in_flight_by_backend
     }
 }
--- a/crates/azuregate-core/src/balance/replication_source.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -41,8 +41,8 @@
         let mut ranked: Vec<&Member> = self.eligible_watchers(now_ms).collect();
         ranked.sort_by_cached_key(|member| score(&["watcher", member.instance.as_str()]));
         let Some((&first, rest)) = ranked.split_first() else { return Vec::new() };
-        let elsewhere = |other: &&&Member| self.region(other) != self.region(first);
-        let second = rest.iter().find(elsewhere).or(rest.first()).copied();
+        let in_other_region = |other: &&&Member| self.region(other) != self.region(first);
+        let second = rest.iter().find(in_other_region).or(rest.first()).copied();
         [Some(first), second].into_iter().flatten().collect()
     }
 
