--- a/crates/azuregate-core/tests/balance/budgets.rs
+++ b/crates/azuregate-core/tests/balance/budgets.rs
@@ -12,8 +12,8 @@
         let names: Vec<String> = (0..count).map(|n| instance(n).as_str().to_owned()).collect();
         let all = || names.iter().map(String::as_str);
         let server = format!("server-{server}");
-        let parts = all().map(|local| ColdStartBudget::instance_limit(&server, local, all(), rate));
-        let sum: u32 = parts.sum();
+        let limits = all().map(|local| ColdStartBudget::instance_limit(&server, local, all(), rate));
+        let sum: u32 = limits.sum();
         prop_assert!(f64::from(sum) <= rate);
         prop_assert!(f64::from(sum) >= (rate * 0.8).floor());
     }
--- a/crates/azuregate-core/tests/balance/choice.rs
+++ b/crates/azuregate-core/tests/balance/choice.rs
@@ -30,8 +30,8 @@
             let chosen = chosen_servers(&mut balancer(local, 12, 24));
             let same = chosen.iter().zip(&expected).filter(|(a, b)| a == b).count();
             let is_same_region = ZONES[local % ZONES.len()].1 == ZONES[first].1;
-            let least = if is_same_region { chosen.len() } else { chosen.len() * 6 / 10 };
-            assert!(same >= least, "{same} of {} for {first} and {local}", chosen.len());
+            let min_same = if is_same_region { chosen.len() } else { chosen.len() * 6 / 10 };
+            assert!(same >= min_same, "{same} of {} for {first} and {local}", chosen.len());
         }
     }
 }
@@ -42,14 +42,14 @@
     for (local, &(_, region)) in ZONES.iter().enumerate() {
         let mut balancer = balancer(local, 6, 24);
         let service = service();
-        let near = (0..2_000).filter(|&object| {
+        let in_region = (0..2_000).filter(|&object| {
             let choice = balancer.choose(&query(&service, object), 0).unwrap();
             balancer.complete(choice.handle, Outcome::Cancelled, 0);
             let zone = choice.backend.zone.as_str();
             ZONES.iter().find(|(name, _)| *name == zone).unwrap().1 == region
         });
-        let near = near.count();
-        assert!((920..1_080).contains(&near), "{near} of 2000, 1000 expected");
+        let in_region = in_region.count();
+        assert!((920..1_080).contains(&in_region), "{in_region} of 2000, 1000 expected");
     }
 }
 
--- a/crates/azuregate-core/tests/balance/fixtures.rs
+++ b/crates/azuregate-core/tests/balance/fixtures.rs
@@ -120,9 +120,9 @@
     let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
     let region = |local: usize| ZONES[local % ZONES.len()].1;
     for (local, balancer) in balancers.iter_mut().enumerate() {
-        let away =
+        let other_regions =
             requested.iter().enumerate().filter(|&(other, _)| region(other) != region(local));
-        for (_, requested) in away {
+        for (_, requested) in other_regions {
             balancer.record_remote_requests(requested, now_ms);
         }
     }
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -5,12 +5,12 @@
 use crate::fixtures::{balancer, query, service};
 
 /// Sends requests for 100 objects, `gap_ms` apart, each completed at once with the outcome that
-/// `end` returns for its server; returns how many went to `server-5`.
+/// `outcome_of` returns for its server; returns how many went to `server-5`.
 fn send_requests(
     balancer: &mut Balancer,
     from_ms: u64,
     gap_ms: u64,
-    end: impl Fn(&str) -> Outcome,
+    outcome_of: impl Fn(&str) -> Outcome,
 ) -> usize {
     let service = service();
     let mut count = 0;
@@ -19,7 +19,7 @@
         let choice = balancer.choose(&query(&service, object), now_ms).unwrap();
         let id = choice.backend.id.as_str();
         count += usize::from(id == "server-5");
-        balancer.complete(choice.handle, end(id), now_ms);
+        balancer.complete(choice.handle, outcome_of(id), now_ms);
     }
     count
 }
@@ -37,11 +37,11 @@
     ];
     for bad in cases {
         let mut balancer = balancer(0, 1, 6);
-        let end = |id: &str| if id == "server-5" { bad } else { SUCCESS };
+        let outcome_of = |id: &str| if id == "server-5" { bad } else { SUCCESS };
         let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
-        send_requests(&mut balancer, 100, 1, end);
-        send_requests(&mut balancer, 200, 1, end);
-        let avoided = send_requests(&mut balancer, 300, 1, end);
+        send_requests(&mut balancer, 100, 1, outcome_of);
+        send_requests(&mut balancer, 200, 1, outcome_of);
+        let avoided = send_requests(&mut balancer, 300, 1, outcome_of);
         assert!(avoided * 4 < baseline, "{bad:?}: {avoided} of {baseline}");
     }
 }
@@ -52,12 +52,12 @@
 fn two_slow_backends_of_five_are_both_outliers() {
     let mut balancer = balancer(0, 1, 5);
     let is_slow = |id: &str| matches!(id, "server-3" | "server-4");
-    let end = |id: &str| match is_slow(id) {
+    let outcome_of = |id: &str| match is_slow(id) {
         true => Outcome::Succeeded { taken_ms: 900 },
         false => SUCCESS,
     };
     for round in 0..3 {
-        send_requests(&mut balancer, round * 100, 1, end);
+        send_requests(&mut balancer, round * 100, 1, outcome_of);
     }
     let service = service();
     let slow = (0..100).filter(|&object| {
@@ -87,8 +87,8 @@
     let mut balancer = balancer(0, 1, 6);
     let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
     for round in 1..4 {
-        let end = |id: &str| if id == "server-5" { Outcome::Failed } else { SUCCESS };
-        send_requests(&mut balancer, round * 100, 1, end);
+        let outcome_of = |id: &str| if id == "server-5" { Outcome::Failed } else { SUCCESS };
+        send_requests(&mut balancer, round * 100, 1, outcome_of);
     }
     assert_eq!(send_requests(&mut balancer, 20_000, 1, |_| SUCCESS), baseline);
 }
--- a/crates/azuregate-core/tests/balance/large_bodies.rs
+++ b/crates/azuregate-core/tests/balance/large_bodies.rs
@@ -17,7 +17,7 @@
 
 const ZONES: [&str; 4] = ["a1", "a2", "b1", "b2"];
 const SERVERS_PER_ZONE: [usize; 4] = [4, 4, 1, 1];
-const WORK_MS: u64 = 120;
+const SERVICE_TIME_MS: u64 = 120;
 const RATE_PER_S: f64 = 30.0;
 const OBJECTS: u64 = 40;
 const REPORT_INTERVAL_MS: u64 = 100;
@@ -61,8 +61,8 @@
             true => now_ms,
             false => self.ends_at_ms[busy - slots],
         };
-        self.ends_at_ms.push(starts_ms + WORK_MS);
-        starts_ms + WORK_MS
+        self.ends_at_ms.push(starts_ms + SERVICE_TIME_MS);
+        starts_ms + SERVICE_TIME_MS
     }
 }
 
@@ -90,7 +90,7 @@
     for now_ms in 0..END_MS {
         running.retain(|&(ends_at_ms, local, handle)| {
             if ends_at_ms <= now_ms {
-                let outcome = Outcome::Succeeded { taken_ms: WORK_MS };
+                let outcome = Outcome::Succeeded { taken_ms: SERVICE_TIME_MS };
                 balancers[local].complete(handle, outcome, now_ms);
             }
             ends_at_ms > now_ms
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -77,9 +77,9 @@
 #[test]
 fn heartbeats_of_another_start_are_ignored() {
     let mut members = live_members_except(&[]);
-    let mut anew = member(6);
-    anew.start = StartNumber(2);
-    members.put(anew);
+    let mut restarted = member(6);
+    restarted.start = StartNumber(2);
+    members.put(restarted);
     assert!(!members.record_heartbeat(&status("entry-6", 1), 1_100));
     assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
     assert!(members.record_heartbeat(&status("entry-6", 2), 1_300));
@@ -100,24 +100,24 @@
 fn followed_instances(members: &Members, now_ms: u64) -> Vec<String> {
     match members.replication_source(now_ms) {
         ReplicationSource::Store => Vec::new(),
-        ReplicationSource::Instances(chosen) => {
-            chosen.iter().map(|member| member.instance.as_str().to_owned()).collect()
+        ReplicationSource::Instances(followed) => {
+            followed.iter().map(|member| member.instance.as_str().to_owned()).collect()
         }
     }
 }
 
-/// Returns nine instances as seen by each; all but `lost` can watch the store.
-fn views(lost: &[usize]) -> Vec<Members> {
+/// Returns nine instances as seen by each; all but `without_store` can watch the store.
+fn views(without_store: &[usize]) -> Vec<Members> {
     let view = |local| {
         let mut members = members(local, 9);
         for number in 0..9 {
-            let can_watch = !lost.contains(&number);
+            let can_watch = !without_store.contains(&number);
             members.record_heartbeat(
                 &HeartbeatStatus { can_watch, ..status(instance(number).as_str(), 1) },
                 1_000,
             );
         }
-        members.set_local_can_watch(!lost.contains(&local));
+        members.set_local_can_watch(!without_store.contains(&local));
         members
     };
     (0..9).map(view).collect()
@@ -133,9 +133,9 @@
     let region = |number: usize| crate::fixtures::ZONES[number % 6].1;
     assert_ne!(region(watchers[0]), region(watchers[1]));
     for local in (0..9).filter(|local| !watchers.contains(local)) {
-        let mut chosen = followed_instances(&views[local], 1_100);
-        chosen.sort();
-        assert_eq!(chosen, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
+        let mut followed = followed_instances(&views[local], 1_100);
+        followed.sort();
+        assert_eq!(followed, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
     }
 }
 
@@ -148,8 +148,8 @@
         .collect();
     let views = views(&watchers);
     for view in &views {
-        let chosen = followed_instances(view, 1_100);
-        assert!(watchers.iter().all(|n| !chosen.contains(&format!("entry-{n}"))), "{chosen:?}");
+        let followed = followed_instances(view, 1_100);
+        assert!(watchers.iter().all(|n| !followed.contains(&format!("entry-{n}"))), "{followed:?}");
     }
     // No heartbeat is recent: only the own instance is live.
     let alone = views.iter().enumerate().find(|(local, _)| !watchers.contains(local)).unwrap().1;
@@ -186,13 +186,13 @@
             sources.iter().filter(|all| all.iter().any(|name| name == instance(local).as_str()));
         assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{local}");
         // Instances other than the watchers are followed only within their zone.
-        let hears_from =
+        let number_of =
             |name: &String| (0..COUNT).find(|&number| instance(number).as_str() == name);
-        for source in sources[local].iter().filter_map(hears_from) {
+        for source in sources[local].iter().filter_map(number_of) {
             let is_direct = watchers.contains(&source);
             assert!(is_direct || zone(source) == zone(local), "{local} follows {source}");
-            let passes_on = sources[source].iter().filter_map(hears_from);
-            assert!(is_direct || passes_on.into_iter().all(|next| watchers.contains(&next)));
+            let upstream = sources[source].iter().filter_map(number_of);
+            assert!(is_direct || upstream.into_iter().all(|next| watchers.contains(&next)));
         }
     }
 }
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -63,8 +63,8 @@
     fn choose(&self, _has_large_body: bool, candidates: &[Candidate]) -> Decision {
         let mut ranked: Vec<&Candidate> = candidates.iter().collect();
         ranked.sort_by_key(|server| (server.status, !server.hash));
-        let mut owners = ranked.into_iter().take(2);
-        let (first, second) = (owners.next(), owners.next());
+        let mut top_two = ranked.into_iter().take(2);
+        let (first, second) = (top_two.next(), top_two.next());
         let chosen = first.filter(|first| first.has_capacity(4));
         let chosen = chosen.or(second.filter(|second| second.has_capacity(5)));
         Decision { chosen: chosen.map(|server| server.handle), ..Decision::default() }
--- a/crates/azuregate-core/tests/balance/simulation.rs
+++ b/crates/azuregate-core/tests/balance/simulation.rs
@@ -143,8 +143,8 @@
             if scenario.cache_insertion == CacheInsertion::AtStart {
                 self.cache_object(scenario, object);
             }
-            let work_ms = if is_warm { class.warm_ms } else { class.cold_ms };
-            self.running.push((now_ms + work_ms, job));
+            let service_time_ms = if is_warm { class.warm_ms } else { class.cold_ms };
+            self.running.push((now_ms + service_time_ms, job));
         }
     }
 
@@ -210,8 +210,8 @@
         }
         let per_ms = (self.scenario.rate_per_s)(now_ms) / 1_000.0;
         while self.random.f64() < per_ms {
-            let request = self.arrival(now_ms);
-            self.second(&request).requests += 1;
+            let request = self.new_request(now_ms);
+            self.second_stats(&request).requests += 1;
             self.send(request, now_ms);
             if self.random.f64() < 0.5 {
                 break;
@@ -230,7 +230,7 @@
         }
     }
 
-    fn arrival(&mut self, now_ms: u64) -> Request {
+    fn new_request(&mut self, now_ms: u64) -> Request {
         let class = self.pick_class();
         let instance = self.random.usize(..self.scenario.instances);
         let object = self.random.u64(..self.scenario.classes[class].objects);
@@ -266,7 +266,7 @@
         instances.find(|&instance| region_of(instance) == region).unwrap()
     }
 
-    fn second(&mut self, request: &Request) -> &mut SecondStats {
+    fn second_stats(&mut self, request: &Request) -> &mut SecondStats {
         &mut self.seconds[(request.arrived_at_ms / 1_000) as usize]
     }
 
@@ -279,9 +279,9 @@
         let zone = choice.backend.zone.as_str();
         let region = ZONES.iter().find(|(name, _)| *name == zone).unwrap().1;
         let is_in_region = region == region_of(request.instance);
-        let second = self.second(&request);
-        second.sent += 1;
-        second.in_region += u32::from(is_in_region);
+        let second_stats = self.second_stats(&request);
+        second_stats.sent += 1;
+        second_stats.in_region += u32::from(is_in_region);
     }
 
     /// Chooses a server that accepts the request, within the scenario's attempts.
@@ -339,7 +339,7 @@
             self.balancers[job.request.instance].complete(job.handle, outcome, now_ms);
             let target_latency_ms = self.scenario.classes[job.request.class].target_latency_ms;
             let is_on_time = is_done && now_ms - job.request.arrived_at_ms <= target_latency_ms;
-            self.second(&job.request).on_time += u32::from(is_on_time);
+            self.second_stats(&job.request).on_time += u32::from(is_on_time);
         }
     }
 }
