--- a/crates/azuregate-core/src/balance/replication_source.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -46,7 +46,7 @@
         [Some(first), second].into_iter().flatten().collect()
     }
 
-    /// Returns the instances that relay changes within the own availability zone.
+    /// Returns the instances that relay changes within the local availability zone.
     fn relays(&self, now_ms: u64) -> Vec<&Member> {
         let Some(zone) = self.local_zone() else { return Vec::new() };
         let in_zone = self.eligible_watchers(now_ms).filter(|member| member.zone == *zone);
