--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -60,8 +60,8 @@
 }
 
 impl Members {
-    /// Creates an empty membership as seen by `local`. A lookup leaves out instances whose last
-    /// heartbeat is older than `heartbeat_timeout_ms`.
+    /// Creates an empty membership as seen by the instance `local`. A lookup leaves out
+    /// instances whose last heartbeat is older than `heartbeat_timeout_ms`.
     pub fn new(
         local: InstanceId,
         zones: BTreeMap<ZoneName, RegionName>,
