--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -44,10 +44,10 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BackendHandle(pub(super) u64);
 
-/// Settings of a [`Balancer`]: its own instance and the deployment.
+/// Settings of a [`Balancer`]: the local instance and the deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The own instance.
+    /// The local instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -321,7 +321,7 @@
         self.shared_objects.take_sample()
     }
 
-    /// Records objects requested in another region. If the preference for servers of the own
+    /// Records objects requested in another region. If the preference for servers of the local
     /// region changes, returns whether they are preferred now.
     pub fn record_remote_requests(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
         let has_changed = self.shared_objects.record_remote(objects, now_ms);
