--- a/crates/azuregate-core/src/balance/choice.rs
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -168,7 +168,7 @@
 /// Returns a hash that gives a server twice the weight in rendezvous hashing: the square root
 /// of a uniform number is distributed as the larger of two.
 ///
-/// Servers of the own region get it while no other region requests the same objects, to save
+/// Servers of the local region get it while no other region requests the same objects, to save
 /// latency and traffic between regions. A larger weight would overload a region with few
 /// servers.
 fn with_double_weight(hash: u64) -> u64 {
