--- a/crates/azuregate-core/src/balance/cold_start.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -7,7 +7,8 @@
 /// Maximum number of instances that send to one cold backend server. Shared by all instances,
 /// the rate would leave each of them less than one request per second.
 const MAX_SENDERS_PER_BACKEND: usize = 4;
-/// Leaves room for requests that are in transit when a window begins.
+/// Fraction of the rate that is used; the rest allows for requests in transit when a window
+/// begins.
 const USED_RATE_FRACTION: f64 = 0.8;
 /// The limit holds over every span of this length.
 const WINDOW_MS: u64 = 1_000;
