--- a/crates/azuregate-core/src/balance/policy.rs
+++ b/crates/azuregate-core/src/balance/policy.rs
@@ -60,12 +60,12 @@
     fn choose(&self, has_large_body: bool, candidates: &[Candidate]) -> Decision;
 }
 
-/// Queue length at an object's first server up to which the second is not used.
+/// Queue length at an object's first server from which the second one is used.
 ///
 /// Waiting in a short queue is faster than a cache miss, which takes about three times as long
 /// as a hit and evicts other objects.
 const SPILLOVER_QUEUE: u32 = 3;
-/// The same for large bodies; shorter, since a zone with few servers would stay overloaded if
+/// The same for large bodies. It is shorter, since a zone with few servers would stay overloaded if
 /// requests could not leave it early.
 const SPILLOVER_QUEUE_LARGE: u32 = 2;
 /// Queue length at which requests are refused, since they would be served late.
@@ -74,7 +74,7 @@
 /// Sends the requests for one object to the same two servers.
 ///
 /// They are the first two by rendezvous hashing among the healthiest. A large body prefers a
-/// server of the own zone, with the object's first server as the second choice.
+/// server of the local zone, with the object's first server as the second choice.
 ///
 /// The second server is used only if the first is full and the second has a free slot;
 /// otherwise the request waits at the first or is refused. Spreading an overload over all
@@ -103,7 +103,7 @@
     }
 }
 
-/// Distinguishes only servers inside and outside the own zone.
+/// Distinguishes only servers inside and outside the local zone.
 fn local_zone_first(server: &Candidate) -> Distance {
     match server.distance {
         Distance::SameZone => Distance::SameZone,
