--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -96,7 +96,7 @@
     assert!(!members.is_empty());
 }
 
-/// Returns the instances that are followed; none if the own instance watches the store.
+/// Returns the instances that are followed; none if the local instance watches the store.
 fn followed_instances(members: &Members, now_ms: u64) -> Vec<String> {
     match members.replication_source(now_ms) {
         ReplicationSource::Store => Vec::new(),
@@ -151,7 +151,7 @@
         let followed = followed_instances(view, 1_100);
         assert!(watchers.iter().all(|n| !followed.contains(&format!("entry-{n}"))), "{followed:?}");
     }
-    // No heartbeat is recent: only the own instance is live.
+    // No heartbeat is recent: only the local instance is live.
     let alone = views.iter().enumerate().find(|(local, _)| !watchers.contains(local)).unwrap().1;
     assert_eq!(alone.replication_source(9_000), ReplicationSource::Store);
 }
--- a/crates/azuregate-core/tests/balance/overload.rs
+++ b/crates/azuregate-core/tests/balance/overload.rs
@@ -1,7 +1,7 @@
 //! Simulation of a metastable overload.
 //!
-//! The base load is three quarters of the servers' capacity with warm caches and more than
-//! twice that with cold ones. A burst of three times the load lasts from 6 s to 8 s.
+//! The base load is three quarters of the servers' capacity with warm caches, and more than
+//! twice their capacity with cold ones. A burst triples it from 6 s to 8 s.
 
 use azuregate_core::balance::{Candidate, Decision, LoadBalancingPolicy, ObjectAffinity};
 
--- a/crates/azuregate-core/tests/balance/shared_objects.rs
+++ b/crates/azuregate-core/tests/balance/shared_objects.rs
@@ -5,7 +5,7 @@
 use crate::fixtures::balancer;
 
 /// Records six seconds of requests, `shared` percent of which another region has as well;
-/// returns the last change of the preference for servers of the own region.
+/// returns the last change of the preference for servers of the local region.
 fn replay_requests(balancer: &mut Balancer, from_ms: u64, shared: u64) -> Option<bool> {
     let mut preference = None;
     for number in 0..100_u64 {
