--- a/crates/azuregate/tests/serve/clients.rs
+++ b/crates/azuregate/tests/serve/clients.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::world::{Client, World, eventually, read_request, write_request};
 
@@ -17,16 +17,16 @@
         world.configure(|config| config.timeout_ms = 10_000);
         let entry = world.instance(1).await;
         let backend = world.backends[0].clone();
-        backend.set(Behaviour::Slow(Duration::from_secs(5)));
+        backend.set(Behaviour::Delay(Duration::from_secs(5)));
         let mut client = Client::connect(entry.traffic).await;
         for number in 0..=waiting {
             client.send(&read_request("/read/x", &format!("r{number}"))).await;
         }
-        eventually("all arrive", async || backend.seen().len() > waiting).await;
+        eventually("all arrive", async || backend.received().len() > waiting).await;
         let left_at = Instant::now();
         drop(client);
         eventually("the work is cancelled", async || {
-            backend.seen().iter().all(|seen| seen.cancelled_at.is_some())
+            backend.received().iter().all(|seen| seen.cancelled_at.is_some())
         })
         .await;
         assert!(left_at.elapsed() < Duration::from_secs(2), "{:?}", left_at.elapsed());
@@ -40,7 +40,7 @@
     let world = World::start(3).await;
     let entry = world.instance(1).await;
     let pause = Duration::from_millis(800);
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    world.backends.iter().for_each(|backend| backend.set(Behaviour::Delay(pause)));
     let mut client = Client::connect(entry.traffic).await;
     let requests: String = (0..3)
         .map(|number| read_request(&format!("/read/{number}"), &format!("r{number}")))
@@ -60,7 +60,7 @@
     let world = World::start(2).await;
     let entry = world.instance(1).await;
     let pause = Duration::from_millis(300);
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Slow(pause)));
+    world.backends.iter().for_each(|backend| backend.set(Behaviour::Delay(pause)));
     let mut client = Client::connect(entry.traffic).await;
     client.send(&read_request("/read/x", "r1")).await;
     client.send(&write_request("/write/x", "w1", "body")).await;
@@ -83,7 +83,7 @@
     let answer = entry.send(&request).await.unwrap();
     assert_eq!(answer.status, 200);
     assert_eq!(world.arrivals("inside"), 0);
-    assert_eq!(world.backends[0].seen()[0].body, inside.as_bytes());
+    assert_eq!(world.backends[0].received()[0].body, inside.as_bytes());
 }
 
 #[tokio::test]
@@ -102,7 +102,7 @@
         let answer = entry.send(&request).await;
         assert_eq!(answer.map(|answer| answer.status), Some(status), "{line}");
     }
-    assert!(world.backends[0].seen().is_empty());
+    assert!(world.backends[0].received().is_empty());
 }
 
 /// A client sends half a head and then nothing, once on a new connection and once
--- a/crates/platform/tests/names.rs
+++ b/crates/platform/tests/platform_names.rs
@@ -1,10 +1,11 @@
-//! The platform's names stand in this crate and nowhere else.
+//! Checks that the platform's names are used in this crate only, so that a change of
+//! the platform affects no other crate.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 use std::{fs, path::Path};
 
-/// Names of headers, paths, calls and fields that are the platform's alone.
+/// Headers, paths, calls and fields of the platform.
 const NAMES: [&str; 30] = [
     "x-affinity-key",
     "x-deadline-ms",
@@ -39,7 +40,7 @@
 ];
 
 #[test]
-fn no_name_of_the_platform_stands_outside_this_crate() {
+fn platform_names_are_used_in_this_crate_only() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap();
     let mut found = Vec::new();
     for entry in fs::read_dir(crates).unwrap() {
@@ -51,8 +52,8 @@
     assert!(found.is_empty(), "{found:#?}");
 }
 
-fn search(folder: &Path, found: &mut Vec<String>) {
-    for entry in fs::read_dir(folder).unwrap() {
+fn search(dir: &Path, found: &mut Vec<String>) {
+    for entry in fs::read_dir(dir).unwrap() {
         let path = entry.unwrap().path();
         if path.is_dir() {
             search(&path, found);
