--- a/crates/azuregate-core/src/balance/cold_start.rs
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::route::hash::score;
+use crate::route::hash::stable_hash;
 
 /// Maximum number of instances that send to one cold backend server. Shared by all instances,
 /// the rate would leave each of them less than one request per second.
@@ -35,11 +35,12 @@
         instances: impl Iterator<Item = &'a str>,
         rate_per_s: f64,
     ) -> u32 {
-        let own_score = score(&[backend, instance]);
+        let own_score = stable_hash(&[backend, instance]);
         let (mut total, mut higher_ranked) = (0, 0);
         for other in instances {
             total += 1;
-            higher_ranked += usize::from(other != instance && score(&[backend, other]) > own_score);
+            higher_ranked +=
+                usize::from(other != instance && stable_hash(&[backend, other]) > own_score);
         }
         let senders = MAX_SENDERS_PER_BACKEND.min(total.max(1));
         if higher_ranked >= senders {
--- a/crates/azuregate-core/src/balance/members.rs
+++ b/crates/azuregate-core/src/balance/members.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     names::{InstanceId, RegionName, StartNumber, ZoneName},
-    route::hash::score,
+    route::hash::stable_hash,
 };
 
 /// Maximum number of addresses in a lookup's result.
@@ -155,7 +155,7 @@
             .filter(|state| self.is_available(state, now_ms))
             .map(|state| {
                 let rank = self.proximity_rank(state, zone, region);
-                (rank, score(&[zone, state.member.instance.as_str()]), state)
+                (rank, stable_hash(&[zone, state.member.instance.as_str()]), state)
             })
             .collect();
         ranked.sort_by_key(|&(rank, score, _)| (rank, score));
--- a/crates/azuregate-core/src/balance/replication_source.rs
+++ b/crates/azuregate-core/src/balance/replication_source.rs
@@ -1,7 +1,7 @@
 //! Selection of the instances that watch the store and of those that relay its changes.
 
 use super::{Member, Members};
-use crate::{names::RegionName, route::hash::score};
+use crate::{names::RegionName, route::hash::stable_hash};
 
 /// Up to this number of instances, all follow the watchers directly.
 const MAX_INSTANCES_WITHOUT_RELAYS: usize = 16;
@@ -39,7 +39,7 @@
 
     fn watchers(&self, now_ms: u64) -> Vec<&Member> {
         let mut ranked: Vec<&Member> = self.eligible_watchers(now_ms).collect();
-        ranked.sort_by_cached_key(|member| score(&["watcher", member.instance.as_str()]));
+        ranked.sort_by_cached_key(|member| stable_hash(&["watcher", member.instance.as_str()]));
         let Some((&first, rest)) = ranked.split_first() else { return Vec::new() };
         let in_other_region = |other: &&&Member| self.region(other) != self.region(first);
         let second = rest.iter().find(in_other_region).or(rest.first()).copied();
@@ -51,7 +51,7 @@
         let Some(zone) = self.local_zone() else { return Vec::new() };
         let in_zone = self.eligible_watchers(now_ms).filter(|member| member.zone == *zone);
         let mut ranked: Vec<&Member> = in_zone.collect();
-        ranked.sort_by_cached_key(|member| score(&["relay", member.instance.as_str()]));
+        ranked.sort_by_cached_key(|member| stable_hash(&["relay", member.instance.as_str()]));
         ranked.truncate(2);
         ranked
     }
--- a/crates/azuregate-core/src/route/dispatch/mod.rs
+++ b/crates/azuregate-core/src/route/dispatch/mod.rs
@@ -1,42 +1,44 @@
-//! Dispatching the requests of one service, as one instance sees it.
+//! Dispatching the requests of one service on one instance.
 //!
 //! For each group of backend servers one instance, the dispatcher, counts slots
-//! and holds the queue; [`Dispatch::place`] tells whether a request goes to a
-//! slot here, to the dispatcher of another group, into the queue or nowhere.
-//! Nothing that must be safe hangs on there being one dispatcher: while
-//! instances disagree two may dispatch, and the refusals of the backend servers
-//! lower the limits of both.
+//! and holds the queue. [`Dispatch::place`] decides whether a request takes a
+//! slot here, is handed over to the dispatcher of another group, is queued or is
+//! refused.
+//!
+//! Safety does not depend on there being a single dispatcher. While instances
+//! disagree, two may dispatch for one group; the refusals of the backend servers
+//! then lower the limits of both.
 //!
 //! ```
 //! use azuregate_core::{
 //!     names::{InstanceId, ServiceName, StartNumber, ZoneName},
 //!     route::{
 //!         SlotTable,
-//!         dispatch::{Ask, Config, Dispatch, Grouping, Step},
+//!         dispatch::{DispatchRequest, Config, Dispatch, Grouping, Decision},
 //!     },
 //!     time::Millis,
 //! };
 //!
 //! let mut dispatch = Dispatch::new(Config {
 //!     service: ServiceName::new("starter-desk"),
-//!     me: InstanceId::new("entry-1"),
+//!     instance: InstanceId::new("entry-1"),
 //!     zone: ZoneName::new("sofia-a"),
 //!     start: StartNumber(1),
-//!     grouping: Grouping::Zones,
+//!     grouping: Grouping::PerZone,
 //!     make_router: Box::new(|| Box::new(SlotTable::default())),
 //! });
-//! // No server is listed yet.
+//! // No server is listed yet, so the request is refused.
 //! let plan = [ZoneName::new("sofia-a")];
-//! let ask = Ask { ticket: 1, plan: &plan, wait_ms: 100, left_ms: 1_000, up_bytes: 0, idempotent: true };
-//! let step = dispatch.place(&ask, Millis(0), &mut fastrand::Rng::with_seed(1));
-//! assert!(matches!(step, Step::Refuse(_)));
+//! let request = DispatchRequest { ticket: 1, zones: &plan, max_wait_ms: 100, remaining_ms: 1_000, body_bytes: 0, idempotent: true };
+//! let decision = dispatch.place(&request, Millis(0), &mut fastrand::Rng::with_seed(1));
+//! assert!(matches!(decision, Decision::Refuse(_)));
 //! ```
 
-mod end;
 mod group_state;
-mod list;
 mod place;
 mod refusal;
+mod release;
+mod servers;
 mod updates;
 
 use std::{collections::HashMap, fmt, ops::Range};
@@ -47,10 +49,10 @@
     route::{
         Router,
         group::{GroupId, GroupLoad},
-        known::Known,
-        link::{Booking, Links},
+        link::{RegionLinks, Reservation},
         peers::Peers,
-        queue::{Drain, Queue},
+        queue::{Queue, ServiceTime},
+        remote_load::RemoteLoad,
     },
     snapshot::BackendServer,
     time::Millis,
@@ -58,118 +60,118 @@
 
 pub use updates::LoadUpdate;
 
-/// Which backend servers make a group.
+/// How backend servers are grouped.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Grouping {
-    /// Those of one availability zone, split when there are many; one instance
-    /// dispatches for each.
-    Zones,
-    /// All of the service; this instance chooses alone.
-    Whole,
+    /// One group per availability zone, or several for a large one; each group
+    /// has one dispatcher instance.
+    PerZone,
+    /// One group for the whole service; every instance dispatches independently.
+    WholeService,
 }
 
-/// What a dispatch is made from.
+/// The configuration of a [`Dispatch`].
 pub struct Config {
     /// The service.
     pub service: ServiceName,
     /// This instance.
-    pub me: InstanceId,
-    /// Its availability zone.
+    pub instance: InstanceId,
+    /// The availability zone of this instance.
     pub zone: ZoneName,
-    /// Its start number.
+    /// The start number of this instance.
     pub start: StartNumber,
-    /// How servers are grouped.
+    /// The grouping of the backend servers.
     pub grouping: Grouping,
-    /// Makes the router of a group.
+    /// Creates the router of a group.
     pub make_router: Box<dyn Fn() -> Box<dyn Router> + Send>,
 }
 
-/// A request that wants a backend server.
+/// A request to be placed.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// Names the request while it waits.
+pub struct DispatchRequest<'a> {
+    /// Identifies the request while it is queued.
     pub ticket: u64,
-    /// The availability zones that it may go to, the one to prefer first.
-    pub plan: &'a [ZoneName],
-    /// How long it may wait for a slot.
-    pub wait_ms: u64,
-    /// How long its caller waits for the answer.
-    pub left_ms: u64,
-    /// The length of its body, as far as it is known.
-    pub up_bytes: u64,
-    /// Whether it may be sent twice.
+    /// The availability zones that it may be placed in, in order of preference.
+    pub zones: &'a [ZoneName],
+    /// Maximum time to wait for a slot, in milliseconds.
+    pub max_wait_ms: u64,
+    /// Time until its deadline, in milliseconds.
+    pub remaining_ms: u64,
+    /// Length of its body in bytes, as far as it is known.
+    pub body_bytes: u64,
+    /// Whether it may be sent more than once.
     pub idempotent: bool,
 }
 
-/// What becomes of a request.
+/// Where a request is placed, if anywhere.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Step {
-    /// It goes to a backend server from here.
+pub enum Decision {
+    /// Send the request to a backend server.
     Serve(Slot),
-    /// It goes to the dispatcher of another group.
+    /// Hand the request over to another dispatcher.
     HandOver(HandOver),
-    /// It waits here for a slot of a group.
+    /// The request is queued for a slot of a group.
     Wait {
-        /// The group, as an index.
+        /// The index of the group.
         group: usize,
     },
-    /// It gets its final answer at once.
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
 /// A slot that a request holds.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Slot {
-    /// The group, as an index.
+    /// The index of the group.
     pub group: usize,
-    /// The server, as a key of the group's router.
+    /// The key of the server in the group's router.
     pub key: usize,
-    /// What it holds of a link between regions.
-    pub booking: Option<Booking>,
+    /// The bandwidth reserved on a link between regions, if it crosses one.
+    pub reservation: Option<Reservation>,
     from: Option<usize>,
 }
 
-/// A request that goes to the dispatcher of another group.
+/// The hand-over of a request to another dispatcher.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HandOver {
-    /// The group, as an index.
+    /// The index of the group.
     pub group: usize,
-    /// The dispatcher, as an index.
+    /// The index of the dispatcher.
     pub peer: usize,
-    /// What it holds of a link between regions.
-    pub booking: Option<Booking>,
+    /// The bandwidth reserved on a link between regions, if it crosses one.
+    pub reservation: Option<Reservation>,
 }
 
-/// Why a request goes nowhere. It did not run.
+/// Why a request was refused. It was not sent to any backend server.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The row of the table of answers.
+    /// The error kind of the response.
     pub kind: ErrorKind,
-    /// What happened.
+    /// The reason, for people.
     pub reason: &'static str,
-    /// When a slot is likely to be free.
+    /// Time after which a retry is likely to succeed, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// Places the requests of one service.
+/// Places the requests of one service on one instance.
 pub struct Dispatch {
     config: Config,
     groups: Vec<Group>,
     by_id: HashMap<GroupId, usize>,
-    /// Groups with open servers, those of one zone beside each other.
-    open: Vec<usize>,
-    /// Which of them are a zone's.
+    /// Indexes of the groups with available servers, ordered by zone.
+    available_groups: Vec<usize>,
+    /// The range of each zone in `available_groups`.
     by_zone: HashMap<ZoneName, Range<usize>>,
     peers: Peers,
-    links: Links,
-    /// Live instances, this one included.
-    instances: u32,
+    links: RegionLinks,
+    /// Number of live instances, including this one.
+    live_instances: u32,
 }
 
-/// Who dispatches for a group.
+/// An instance that dispatches for a group.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Who {
-    Me,
+enum Dispatcher {
+    Local,
     Peer(usize),
 }
 
@@ -177,29 +179,28 @@
     id: GroupId,
     router: Box<dyn Router>,
     servers: HashMap<BackendId, BackendServer>,
-    /// Slots of the open servers, as listed.
+    /// Slots of the available servers, as listed.
     listed_slots: u32,
-    /// There and back from here.
     round_trip_ms: u64,
     link: Option<usize>,
-    /// Who dispatches, the first that answers.
-    order: Vec<Who>,
+    /// Dispatchers in order of preference.
+    dispatchers: Vec<Dispatcher>,
     queue: Queue,
-    drain: Drain,
-    known: Known,
-    known_of: Option<usize>,
-    handers: Vec<Hander>,
+    service_time: ServiceTime,
+    remote: RemoteLoad,
+    remote_peer: Option<usize>,
+    senders: Vec<Sender>,
 }
 
 /// An instance that hands over requests of a group.
 #[derive(Debug)]
-struct Hander {
+struct Sender {
     peer: usize,
-    seen: u64,
-    active: u32,
-    heard_at_ms: Millis,
-    said: Option<(GroupLoad, Millis)>,
-    framed_at_ms: Option<Millis>,
+    received: u64,
+    in_flight: u32,
+    last_request_at_ms: Millis,
+    last_update: Option<(GroupLoad, Millis)>,
+    last_frame_at_ms: Option<Millis>,
 }
 
 impl fmt::Debug for Dispatch {
@@ -210,58 +211,65 @@
 }
 
 impl Dispatch {
-    /// Makes a dispatch that knows no servers yet.
+    /// Creates a dispatch without servers.
     pub fn new(config: Config) -> Dispatch {
         Dispatch {
             config,
             groups: Vec::new(),
             by_id: HashMap::new(),
-            open: Vec::new(),
+            available_groups: Vec::new(),
             by_zone: HashMap::new(),
             peers: Peers::default(),
-            links: Links::default(),
-            instances: 1,
+            links: RegionLinks::default(),
+            live_instances: 1,
         }
     }
 
-    /// How many groups there are; they are never taken away.
+    /// Returns the number of groups; groups are never removed.
     pub fn group_count(&self) -> usize {
         self.groups.len()
     }
 
-    /// The name of a group.
+    /// Returns the name of a group.
     pub fn group_id(&self, group: usize) -> &GroupId {
         &self.groups[group].id
     }
 
-    /// The server of a slot that was just taken.
+    /// Returns the server of a slot, or `None` if it is no longer listed.
     pub fn server(&self, slot: &Slot) -> Option<&BackendServer> {
         let group = &self.groups[slot.group];
         group.servers.get(group.router.id(slot.key))
     }
 
-    /// The name of the server of a slot, listed or not any more.
+    /// Returns the name of the server of a slot, whether it is still listed or
+    /// not.
     pub fn server_id(&self, slot: &Slot) -> &BackendId {
         self.groups[slot.group].router.id(slot.key)
     }
 
-    /// The dispatcher that a request is handed over to.
+    /// Returns the dispatcher that a request is handed over to.
     pub fn dispatcher_id(&self, hand_over: &HandOver) -> &InstanceId {
         self.peers.id(hand_over.peer)
     }
 
-    /// The name of another instance, by the index that [`Dispatch::tick`] gives.
+    /// Returns the name of a peer, by the index that [`Dispatch::tick`] returns.
     pub fn peer_id(&self, peer: usize) -> &InstanceId {
         self.peers.id(peer)
     }
 
-    /// Takes in what a server said of its load.
-    pub fn report(&mut self, slot: &Slot, report: crate::route::LoadReport) {
-        self.groups[slot.group].router.report(slot.key, report);
+    /// Records the load that a server reported.
+    pub fn record_load(&mut self, slot: &Slot, report: crate::route::LoadReport) {
+        self.groups[slot.group].router.record_load(slot.key, report);
     }
 
-    /// Takes in how many bytes have passed over a link since the start.
-    pub fn passed(&mut self, link: usize, up_bytes: u64, down_bytes: u64, now_ms: Millis) {
-        self.links.passed(link, up_bytes, down_bytes, now_ms);
+    /// Records the total bytes sent and received on a link since the start.
+    pub fn record_link_bytes(
+        &mut self,
+        link: usize,
+        up_bytes: u64,
+        down_bytes: u64,
+        now_ms: Millis,
+    ) {
+        self.links.record_totals(link, up_bytes, down_bytes, now_ms);
     }
 }
--- a/crates/azuregate-core/tests/routing/dispatch.rs
+++ b/crates/azuregate-core/tests/routing/dispatch.rs
@@ -1,91 +1,91 @@
-//! Where a request goes.
+//! Tests of the placement of requests.
 
 use azuregate_core::{
     error::ErrorKind,
     route::{
-        Ending,
-        dispatch::{Ask, Refusal, Step},
+        Completion,
+        dispatch::{Decision, DispatchRequest, Refusal},
     },
     snapshot::{BackendServer, Liveness, Snapshot},
     time::Millis,
 };
 
-use crate::world::{Node, instance, server, snapshot, zone};
+use crate::fixture::{Node, instance, server, snapshot, zone};
 
 const ALL: [&str; 4] = ["sofia-a", "sofia-b", "varna-a", "varna-b"];
 
-/// One instance, and one server in each availability zone.
-fn alone(test: &str) -> (Node, Snapshot) {
+/// Returns the only instance of a deployment with one server per availability
+/// zone.
+fn single_instance(test: &str) -> (Node, Snapshot) {
     let servers = ALL.map(|zone_name| server(&format!("s-{zone_name}"), zone_name, 1));
     let snapshot = snapshot(&[instance("entry-1", "sofia-a")], &servers);
     (Node::new(test, "entry-1", "sofia-a", &snapshot), snapshot)
 }
 
-fn refusal(step: Step) -> Refusal {
-    let Step::Refuse(refusal) = step else { panic!("not refused: {step:?}") };
+fn refusal(decision: Decision) -> Refusal {
+    let Decision::Refuse(refusal) = decision else { panic!("not refused: {decision:?}") };
     refusal
 }
 
-// A request holds one of three slots for 20 ms, so each that waits adds 6 to 7 ms.
-// The next zone is 8 ms there and back, the other region 40: a short wait here is
-// better than a long way, and a long way better than a longer wait.
+// Each queued request adds 6 to 7 ms of waiting; the round trip to the other zone
+// takes 8 ms, to the other region 40 ms. Requests go where the sum is lowest.
 #[test]
-fn a_request_goes_where_it_starts_first() {
-    let (mut node, _) = alone("starts_first");
+fn places_requests_where_they_start_first() {
+    let (mut node, _) = single_instance("starts_first");
     let zone_of = |node: &Node, group| node.dispatch.group_id(group).zone.to_string();
-    let mut steps = Vec::new();
+    let mut decisions = Vec::new();
     for _ in 0..21 {
-        steps.push(match node.place(&ALL) {
-            Step::Serve(slot) => zone_of(&node, slot.group),
-            Step::Wait { group } => format!("wait {}", zone_of(&node, group)),
-            step => panic!("{step:?}"),
+        decisions.push(match node.place(&ALL) {
+            Decision::Serve(slot) => zone_of(&node, slot.group),
+            Decision::Wait { group } => format!("wait {}", zone_of(&node, group)),
+            decision => panic!("{decision:?}"),
         });
     }
     let (a, b, far) = ("sofia-a", "sofia-b", ["varna-a", "varna-b"]);
     let (wait_a, wait_b) = ("wait sofia-a", "wait sofia-b");
     let expected = [
         a, a, a, wait_a, b, b, b, wait_a, wait_b, wait_a, wait_b, wait_a, wait_b, wait_a, wait_b,
-        // The sixth would wait 40 ms. Of zones equally far, the roomier is taken.
+        // The sixth queued request would wait 40 ms. Of zones at the same distance,
+        // the one with more free slots is used.
         far[0], far[1], far[0], far[1], far[0], far[1],
     ];
-    assert_eq!(steps[..expected.len()], expected);
+    assert_eq!(decisions[..expected.len()], expected);
 }
 
 #[test]
-fn zones_outside_the_plan_get_nothing() {
-    let (mut node, _) = alone("outside_the_plan");
+fn zones_outside_the_plan_receive_no_requests() {
+    let (mut node, _) = single_instance("outside_the_plan");
     assert_eq!(node.fill(&["varna-b"]).len(), 3);
     let refused = refusal(node.place(&["nowhere"]));
     assert_eq!(refused.kind, ErrorKind::NoBackend);
 }
 
-// All slots are taken and requests wait. One whose deadline would pass while it
-// waits gets its answer at once, and is told when a slot is likely to be free;
-// one with more time waits.
+// A request whose deadline would pass in the queue is refused at once, with the
+// time after which a slot is expected to be free.
 #[test]
-fn a_request_that_would_wait_too_long_is_refused_at_once() {
-    let (mut node, _) = alone("wait_too_long");
+fn request_is_refused_when_its_estimated_wait_is_too_long() {
+    let (mut node, _) = single_instance("wait_too_long");
     let slots = node.fill(&["sofia-a"]);
-    // Each request holds a slot for 90 ms: three slots give one every 30 ms.
+    // With a service time of 90 ms, one of three slots is released every 30 ms.
     node.now_ms = node.now_ms + Millis(90);
     for slot in &slots {
-        node.dispatch.finish(slot, Ending::Answered { latency_ms: 90 }, node.now_ms);
+        node.dispatch.release(slot, Completion::Responded { latency_ms: 90 }, node.now_ms);
     }
     node.fill(&["sofia-a"]);
     let plan = [zone("sofia-a")];
     let cases = [
-        // Wait, time left, what happens.
+        // Maximum wait, remaining time, expected refusal.
         (20, 10_000, Some(ErrorKind::TooLate)),
         (200, 100, Some(ErrorKind::TooLate)),
         (200, 10_000, None),
     ];
-    for (wait_ms, left_ms, expected) in cases {
-        let ask = Ask { wait_ms, left_ms, ..node.ask(&plan) };
-        let step = node.dispatch.place(&ask, node.now_ms, &mut node.rng);
+    for (max_wait_ms, remaining_ms, expected) in cases {
+        let request = DispatchRequest { max_wait_ms, remaining_ms, ..node.request(&plan) };
+        let decision = node.dispatch.place(&request, node.now_ms, &mut node.rng);
         match expected {
-            None => assert!(matches!(step, Step::Wait { .. }), "{step:?}"),
+            None => assert!(matches!(decision, Decision::Wait { .. }), "{decision:?}"),
             Some(kind) => {
-                let refused = refusal(step);
+                let refused = refusal(decision);
                 assert_eq!(refused.kind, kind);
                 assert!((30..=90).contains(&refused.retry_after_ms), "{refused:?}");
             }
@@ -94,17 +94,18 @@
 }
 
 #[test]
-fn the_queue_is_bounded() {
-    let (mut node, _) = alone("bounded");
+fn queue_is_bounded() {
+    let (mut node, _) = single_instance("bounded");
     node.fill(&["sofia-a"]);
     let mut waiting = 0;
     let plan = [zone("sofia-a")];
     loop {
-        let ask = Ask { wait_ms: 60_000, left_ms: 60_000, ..node.ask(&plan) };
-        match node.dispatch.place(&ask, node.now_ms, &mut node.rng) {
-            Step::Wait { .. } => waiting += 1,
-            step => {
-                assert_eq!(refusal(step).kind, ErrorKind::QueueFull);
+        let request =
+            DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..node.request(&plan) };
+        match node.dispatch.place(&request, node.now_ms, &mut node.rng) {
+            Decision::Wait { .. } => waiting += 1,
+            decision => {
+                assert_eq!(refusal(decision).kind, ErrorKind::QueueFull);
                 break;
             }
         }
@@ -112,41 +113,41 @@
     assert_eq!(waiting, 12);
 }
 
-// All servers of a zone leave while requests wait for them. The requests get
-// their final answer with the list that says so, not at their deadline.
+// Requests queued for a zone whose servers all leave are refused when the list
+// changes, not at their deadline.
 #[test]
-fn requests_that_wait_for_a_zone_that_closes_are_refused_at_once() {
-    let (mut node, snapshot) = alone("zone_closes");
+fn queued_requests_are_refused_when_their_zone_closes() {
+    let (mut node, snapshot) = single_instance("zone_closes");
     node.fill(&["sofia-a"]);
-    assert!(matches!(node.place(&["sofia-a"]), Step::Wait { .. }));
+    assert!(matches!(node.place(&["sofia-a"]), Decision::Wait { .. }));
     let leaving: Vec<_> = snapshot
         .backends
         .values()
         .flat_map(|servers| servers.iter().cloned())
         .map(|server| BackendServer { liveness: Liveness::Leaving, ..server })
         .collect();
-    let refused = node.dispatch.set_snapshot(&crate::world::snapshot(&[], &leaving));
+    let refused = node.dispatch.set_snapshot(&crate::fixture::snapshot(&[], &leaving));
     assert_eq!(refused.len(), 1);
     assert!(refused.iter().all(|(_, refusal)| refusal.kind == ErrorKind::NoBackend));
     assert_eq!(refusal(node.place(&ALL)).kind, ErrorKind::NoBackend);
 }
 
-// A server starts again with empty caches. Sent all it can hold, it would answer
-// all of it slowly; it gets one request, and more as it answers.
+// A restarted server has cold caches and would be slow at full load. It receives
+// one request at first, and more as it responds.
 #[test]
-fn a_server_that_started_again_is_loaded_slowly() {
-    let (mut node, snapshot) = alone("started_again");
+fn restarted_server_ramps_up_slowly() {
+    let (mut node, snapshot) = single_instance("started_again");
     let instances = [instance("entry-1", "sofia-a")];
     let again = [server("s-sofia-a", "sofia-a", 2)];
     assert_eq!(snapshot.instances.len(), 1);
-    node.dispatch.set_snapshot(&crate::world::snapshot(&instances, &again));
+    node.dispatch.set_snapshot(&crate::fixture::snapshot(&instances, &again));
     let mut held = Vec::new();
     for expected in [1, 2, 3] {
         held.extend(node.fill(&["sofia-a"]));
         assert_eq!(held.len(), expected);
         node.now_ms = node.now_ms + Millis(20);
         for slot in held.drain(..) {
-            node.dispatch.finish(&slot, Ending::Answered { latency_ms: 20 }, node.now_ms);
+            node.dispatch.release(&slot, Completion::Responded { latency_ms: 20 }, node.now_ms);
         }
     }
 }
--- a/crates/azuregate-core/tests/routing/handing_over.rs
+++ b/crates/azuregate-core/tests/routing/hand_over.rs
@@ -1,4 +1,4 @@
-//! What instances do with each other's groups.
+//! Tests of hand-overs between instances.
 
 use std::collections::VecDeque;
 
@@ -6,17 +6,18 @@
     error::ErrorKind,
     names::{InstanceId, StartNumber},
     route::{
-        Ending,
-        dispatch::{Ask, Slot, Step},
+        Completion,
+        dispatch::{Decision, DispatchRequest, Slot},
         group::{GroupId, GroupLoad},
     },
     snapshot::Snapshot,
     time::Millis,
 };
 
-use crate::world::{Node, instance, server, snapshot, zone};
+use crate::fixture::{Node, instance, server, snapshot, zone};
 
-/// Two instances in two availability zones, each with one server.
+/// Returns a deployment of two instances in two availability zones, each with one
+/// server.
 fn pair() -> Snapshot {
     let instances = [instance("entry-1", "sofia-a"), instance("entry-2", "sofia-b")];
     snapshot(&instances, &[server("s1", "sofia-a", 1), server("s2", "sofia-b", 1)])
@@ -30,19 +31,19 @@
     InstanceId::new(name)
 }
 
-/// Hands a request of `from` over to `to`, as the wire would.
-fn arrive(from: &str, to: &mut Node, zone_name: &str) -> Step {
-    let ask = to.ask(&[]);
+/// Delivers a request that `from` hands over to `to`.
+fn receive_hand_over(from: &str, to: &mut Node, zone_name: &str) -> Decision {
+    let request = to.request(&[]);
     let (now_ms, rng) = (to.now_ms, &mut to.rng);
-    to.dispatch.place_handed(&id(from), &group(zone_name), &ask, now_ms, rng)
+    to.dispatch.place_handed_over(&id(from), &group(zone_name), &request, now_ms, rng)
 }
 
-/// Brings back the update of `from` about its group, where requests take 100 ms:
-/// waiting there is longer than going elsewhere.
-fn answer(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
+/// Delivers the load of a group from its dispatcher `from` to `to`, with a service
+/// time of 100 ms, so that waiting there costs more than another zone.
+fn deliver_load(from: &mut Node, from_id: &str, to: &mut Node, to_id: &str, zone_name: &str) {
     let load = from.dispatch.load_for(&id(to_id), &group(zone_name), from.now_ms).unwrap();
     let load = GroupLoad { service_ms: 100, ..load };
-    to.dispatch.hear(&id(from_id), &group(zone_name), load, false, to.now_ms);
+    to.dispatch.receive_load(&id(from_id), &group(zone_name), load, false, to.now_ms);
 }
 
 #[test]
@@ -54,72 +55,73 @@
     assert_eq!(first.dispatch.dispatcher_id(&hand_over).as_str(), "entry-2");
 }
 
-// The dispatcher said that three slots were free. Its next update takes a while.
-// Without counting what was sent since, all requests of that while would go
-// there and wait, and the other zone's slots would stay idle.
+// Without the deduction, all requests until the next update would go to the group
+// that reported free slots, and queue there.
 #[test]
-fn what_was_sent_since_the_last_update_is_taken_off() {
+fn requests_sent_since_the_last_update_are_deducted() {
     let snapshot = pair();
     let mut first = Node::new("sent_since", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("sent_since_2", "entry-2", "sofia-b", &snapshot);
     first.hand_over(&["sofia-b"]);
-    assert!(matches!(arrive("entry-1", &mut second, "sofia-b"), Step::Serve(_)));
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    assert!(matches!(receive_hand_over("entry-1", &mut second, "sofia-b"), Decision::Serve(_)));
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
     }
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// An update that is old says nothing of free slots any more: it may lower what is
-// sent, but never lets through more than this instance's even share.
+// A stale update may lower the estimate of free slots, but must not raise it above
+// the equal share of this instance.
 #[test]
-fn an_old_update_only_lowers_what_is_sent() {
+fn stale_update_cannot_raise_the_estimate() {
     let snapshot = pair();
     let mut first = Node::new("old_update", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("old_update_2", "entry-2", "sofia-b", &snapshot);
     let probe = first.hand_over(&["sofia-b"]);
-    let Step::Serve(slot) = arrive("entry-1", &mut second, "sofia-b") else { panic!("refused") };
-    let ending = Ending::Answered { latency_ms: 20 };
-    second.dispatch.finish(&slot, ending, second.now_ms);
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
-    first.dispatch.finish_hand_over(&probe, ending, first.now_ms);
+    let Decision::Serve(slot) = receive_hand_over("entry-1", &mut second, "sofia-b") else {
+        panic!("refused")
+    };
+    let completion = Completion::Responded { latency_ms: 20 };
+    second.dispatch.release(&slot, completion, second.now_ms);
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    first.dispatch.finish_hand_over(&probe, completion, first.now_ms);
     first.now_ms = first.now_ms + Millis(1_000);
-    // The update says that all three are free; two are an even share.
+    // The update reports three free slots; the equal share is two.
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
     }
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// The sender's list is behind: it takes this instance for the dispatcher of a
-// group that another dispatches here. Passing the request on could lead it back,
-// and round for ever; it is served here or refused.
+// The sender has an older list and considers this instance the dispatcher of the
+// group. Handing the request over again could loop forever.
 #[test]
-fn a_request_that_was_handed_over_goes_no_further() {
+fn handed_over_request_is_not_handed_over_again() {
     let snapshot = pair();
     let mut first = Node::new("second_hop", "entry-1", "sofia-a", &snapshot);
-    assert!(matches!(first.place(&["sofia-b"]), Step::HandOver(_)));
-    let mut steps = Vec::new();
+    assert!(matches!(first.place(&["sofia-b"]), Decision::HandOver(_)));
+    let mut decisions = Vec::new();
     for _ in 0..40 {
-        steps.push(arrive("entry-2", &mut first, "sofia-b"));
+        decisions.push(receive_hand_over("entry-2", &mut first, "sofia-b"));
     }
-    let handed_on = steps.iter().filter(|step| matches!(step, Step::HandOver(_))).count();
-    let served = steps.iter().filter(|step| matches!(step, Step::Serve(_))).count();
-    let refused = steps.iter().filter(|step| matches!(step, Step::Refuse(_))).count();
+    let handed_on =
+        decisions.iter().filter(|decision| matches!(decision, Decision::HandOver(_))).count();
+    let served = decisions.iter().filter(|decision| matches!(decision, Decision::Serve(_))).count();
+    let refused =
+        decisions.iter().filter(|decision| matches!(decision, Decision::Refuse(_))).count();
     assert_eq!((handed_on, served), (0, 3));
     assert!(refused > 0, "the queue is bounded");
 }
 
-// The dispatcher of a zone dies. The request that found out is tried again, and
-// goes to the next in order at once. Later one request alone asks whether the
-// dispatcher is back; when that is answered, all go there again.
+// A failed dispatcher is bypassed at once. After its ejection time, a single
+// request probes it; a response ends the ejection.
 #[test]
-fn a_dispatcher_that_does_not_answer_is_passed_over_and_tried_again() {
+fn failed_dispatcher_is_ejected_and_probed() {
     let snapshot = pair();
     let mut first = Node::new("passed_over", "entry-1", "sofia-a", &snapshot);
     let failed = first.hand_over(&["sofia-b"]);
-    first.dispatch.finish_hand_over(&failed, Ending::Failed, first.now_ms);
+    first.dispatch.finish_hand_over(&failed, Completion::Failed, first.now_ms);
     first.serve(&["sofia-b"]);
     first.now_ms = first.now_ms + Millis(999);
     first.serve(&["sofia-b"]);
@@ -127,14 +129,14 @@
     let probe = first.hand_over(&["sofia-b"]);
     first.serve(&["sofia-b"]);
     let mut second = Node::new("passed_over_2", "entry-2", "sofia-b", &snapshot);
-    arrive("entry-1", &mut second, "sofia-b");
-    answer(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
-    first.dispatch.finish_hand_over(&probe, Ending::Answered { latency_ms: 9 }, first.now_ms);
+    receive_hand_over("entry-1", &mut second, "sofia-b");
+    deliver_load(&mut second, "entry-2", &mut first, "entry-1", "sofia-b");
+    first.dispatch.finish_hand_over(&probe, Completion::Responded { latency_ms: 9 }, first.now_ms);
     first.hand_over(&["sofia-b"]);
 }
 
-/// Lets time pass in ticks; returns whether any dispatcher was found silent.
-fn pass(node: &mut Node, ms: u64) -> bool {
+/// Advances the clock in ticks; returns whether a dispatcher was reported silent.
+fn advance(node: &mut Node, ms: u64) -> bool {
     let mut silent = false;
     for _ in 0..ms / 50 {
         node.now_ms = node.now_ms + Millis(50);
@@ -143,37 +145,41 @@
     silent
 }
 
-// A dispatcher freezes: its connections stay open and nothing comes back. It had
-// spoken by frames, which come every 200 ms while it holds requests, so after
-// 500 ms of silence it is passed over; its requests are told.
+// The connections of a frozen dispatcher stay open. It is detected because it
+// sends no frames, which are due every 200 ms while it holds requests.
 #[test]
-fn a_dispatcher_that_goes_silent_is_passed_over() {
+fn silent_dispatcher_is_ejected() {
     let snapshot = pair();
     let mut first = Node::new("silent", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("silent_2", "entry-2", "sofia-b", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    arrive("entry-1", &mut second, "sofia-b");
+    receive_hand_over("entry-1", &mut second, "sofia-b");
     for _ in 0..20 {
         second.now_ms = second.now_ms + Millis(50);
         for update in second.dispatch.tick(second.now_ms).0 {
-            first.dispatch.hear(&id("entry-2"), &update.group, update.load, true, first.now_ms);
+            first.dispatch.receive_load(
+                &id("entry-2"),
+                &update.group,
+                update.load,
+                true,
+                first.now_ms,
+            );
         }
-        assert!(!pass(&mut first, 50), "it speaks while it holds the request");
+        assert!(!advance(&mut first, 50), "reported silent despite its updates");
     }
-    assert!(pass(&mut first, 600));
+    assert!(advance(&mut first, 600));
     first.serve(&["sofia-b"]);
 }
 
-// Answers come every few milliseconds and carry all updates, so no frame is due for
-// news. Without one the other instance would not know that this one speaks by
-// frames, and would take its silence for that of an instance that never does.
+// Responses every few milliseconds carry all updates. Without frames as well, a
+// later silence of this dispatcher would not be detected.
 #[test]
-fn a_busy_dispatcher_speaks_by_frames_as_well() {
+fn busy_dispatcher_still_sends_frames() {
     let mut second = Node::new("busy", "entry-2", "sofia-b", &pair());
     let mut frames = 0;
     for _ in 0..400 {
-        arrive("entry-1", &mut second, "sofia-b");
+        receive_hand_over("entry-1", &mut second, "sofia-b");
         second.dispatch.load_for(&id("entry-1"), &group("sofia-b"), second.now_ms).unwrap();
         second.now_ms = second.now_ms + Millis(10);
         frames += second.dispatch.tick(second.now_ms).0.len();
@@ -181,42 +187,41 @@
     assert_eq!(frames, 8, "in four seconds");
 }
 
-// This process was paused. On waking, all others look silent, since what they
-// said is still unread; passing them over would make it dispatch for everybody.
+// After a pause of this process all peers look silent, since their updates are
+// still unread. Ejecting them would make it dispatch for every group.
 #[test]
-fn a_pause_of_this_process_is_not_taken_for_the_silence_of_others() {
+fn own_pause_ejects_no_dispatcher() {
     let snapshot = pair();
     let mut first = Node::new("own_pause", "entry-1", "sofia-a", &snapshot);
     let mut second = Node::new("own_pause_2", "entry-2", "sofia-b", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    arrive("entry-1", &mut second, "sofia-b");
+    receive_hand_over("entry-1", &mut second, "sofia-b");
     let load = second.dispatch.load_for(&id("entry-1"), &group("sofia-b"), second.now_ms).unwrap();
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+    first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     first.now_ms = first.now_ms + Millis(30_000);
     assert!(first.dispatch.tick(first.now_ms).1.is_empty());
     first.hand_over(&["sofia-b"]);
 }
 
-// The dispatcher said that its queue is full. Handing more over would only bring
-// back the same answer a round trip later; the caller gets it at once.
+// A hand-over to a full queue would only delay the refusal by a round trip.
 #[test]
-fn nothing_is_handed_over_to_a_full_queue() {
+fn no_hand_over_to_a_full_queue() {
     let snapshot = pair();
     let mut first = Node::new("full_queue", "entry-1", "sofia-a", &snapshot);
     first.hand_over(&["sofia-b"]);
     let load = GroupLoad { queued: 12, slots: 3, service_ms: 1, seen: 1, ..Default::default() };
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
-    let Step::Refuse(refusal) = first.place(&["sofia-b"]) else { panic!("not refused") };
+    first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+    let Decision::Refuse(refusal) = first.place(&["sofia-b"]) else { panic!("not refused") };
     assert_eq!(refusal.kind, ErrorKind::QueueFull);
     first.now_ms = first.now_ms + Millis(301);
     first.hand_over(&["sofia-b"]);
 }
 
-// The dispatcher is replaced by a new start that has seen none of what was sent
-// to the old one. Comparing the counts would make it look full for ever.
+// A restarted dispatcher has received none of the requests sent before. Comparing
+// the counts of two starts would make it look full forever.
 #[test]
-fn a_dispatcher_that_started_again_does_not_look_full() {
+fn restarted_dispatcher_does_not_look_full() {
     let snapshot = pair();
     let mut first = Node::new("new_start", "entry-1", "sofia-a", &snapshot);
     let mut held = Vec::new();
@@ -232,7 +237,7 @@
             seen,
             ..Default::default()
         };
-        first.dispatch.hear(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
+        first.dispatch.receive_load(&id("entry-2"), &group("sofia-b"), load, true, first.now_ms);
     }
     for _ in 0..2 {
         first.hand_over(&["sofia-b", "sofia-a"]);
@@ -240,37 +245,42 @@
     first.serve(&["sofia-b", "sofia-a"]);
 }
 
-// The probe of a frozen dispatcher is lost as well: it is told after 500 ms, not
-// left to its deadline. A request that may not be sent twice does not ask.
+// The probe of a dispatcher that is still frozen fails after 500 ms, not at its
+// deadline. A request that is not idempotent is not used as a probe.
 #[test]
-fn a_probe_of_a_frozen_dispatcher_is_told_of_its_silence() {
+fn probe_of_a_frozen_dispatcher_is_reported_silent() {
     let snapshot = pair();
     let mut first = Node::new("probe", "entry-1", "sofia-a", &snapshot);
-    pass(&mut first, 50);
+    advance(&mut first, 50);
     first.hand_over(&["sofia-b"]);
-    first.dispatch.hear(&id("entry-2"), &group("sofia-b"), Default::default(), true, first.now_ms);
-    assert!(pass(&mut first, 600));
-    assert!(!pass(&mut first, 1_000), "it is told once");
+    first.dispatch.receive_load(
+        &id("entry-2"),
+        &group("sofia-b"),
+        Default::default(),
+        true,
+        first.now_ms,
+    );
+    assert!(advance(&mut first, 600));
+    assert!(!advance(&mut first, 1_000), "reported silent twice");
     let plan = [zone("sofia-b")];
-    let order = Ask { idempotent: false, ..first.ask(&plan) };
-    let step = first.dispatch.place(&order, first.now_ms, &mut first.rng);
-    assert!(matches!(step, Step::Serve(_)), "{step:?}");
+    let request = DispatchRequest { idempotent: false, ..first.request(&plan) };
+    let decision = first.dispatch.place(&request, first.now_ms, &mut first.rng);
+    assert!(matches!(decision, Decision::Serve(_)), "{decision:?}");
     first.hand_over(&["sofia-b"]);
-    assert!(pass(&mut first, 600));
+    assert!(advance(&mut first, 600));
 }
 
-/// A backend server of three slots that refuses what does not fit.
+/// A backend server with three slots.
 #[derive(Default)]
 struct Backend {
-    /// When each request in progress is done, by instance.
+    /// Completion time, instance and slot of each request in progress.
     running: VecDeque<(Millis, usize, Slot)>,
 }
 
-// Two instances do not see each other and both dispatch for the same server.
-// Each counts only its own requests, so the server refuses some; the refusals
-// lower both limits, and no request runs that does not fit.
+// Two instances that do not know of each other dispatch for the same server. The
+// refusals of the server must lower both limits without leaving slots idle.
 #[test]
-fn two_dispatchers_for_one_group_are_held_by_the_refusals() {
+fn refusals_limit_two_dispatchers_of_one_group() {
     let server = [server("s1", "sofia-a", 1)];
     let list = |me: &str| snapshot(&[instance(me, "sofia-a")], &server);
     let mut nodes = [
@@ -283,15 +293,15 @@
         let now_ms = Millis(1_000 + ms);
         while backend.running.front().is_some_and(|(done_ms, ..)| *done_ms <= now_ms) {
             let (_, of, slot) = backend.running.pop_front().unwrap();
-            let ending = Ending::Answered { latency_ms: 20 };
-            nodes[of].dispatch.finish(&slot, ending, now_ms);
+            let completion = Completion::Responded { latency_ms: 20 };
+            nodes[of].dispatch.release(&slot, completion, now_ms);
         }
         for (of, node) in nodes.iter_mut().enumerate() {
             node.now_ms = now_ms;
             for slot in node.fill(&["sofia-a"]) {
                 if backend.running.len() >= 3 {
                     refused += 1;
-                    node.dispatch.finish(&slot, Ending::Refused, now_ms);
+                    node.dispatch.release(&slot, Completion::Refused, now_ms);
                 } else {
                     ran += 1;
                     backend.running.push_back((now_ms + Millis(20), of, slot));
