--- /dev/null
+++ b/crates/azuregate-core/src/balance/cold_start.rs
@@ -0,0 +1,68 @@
+//! Limits the rate of requests to a cold backend server across all instances.
+
+use std::collections::VecDeque;
+
+use crate::route::hash::stable_hash;
+
+/// Maximum number of instances that send to one cold backend server. Shared by all instances,
+/// the rate would leave each of them less than one request per second.
+const MAX_SENDERS_PER_BACKEND: usize = 4;
+/// Fraction of the rate that is used; the rest allows for requests in transit when a window
+/// begins.
+const USED_RATE_FRACTION: f64 = 0.8;
+/// The limit holds over every span of this length.
+const WINDOW_MS: u64 = 1_000;
+/// Allowance for variation in network latency between requests.
+const MAX_TRANSIT_VARIATION_MS: u64 = 150;
+
+/// One instance's budget of requests to one cold backend server.
+///
+/// A server that has just started is slow and would crash at its usual rate. Rendezvous hashing
+/// picks a few senders among the registered instances, and each gets an equal part of the
+/// rate. The part of an instance that is down is not redistributed, so the total never exceeds
+/// the rate.
+#[derive(Clone, Debug, Default)]
+pub struct ColdStartBudget {
+    sent_at_ms: VecDeque<u64>,
+}
+
+impl ColdStartBudget {
+    /// Returns how many requests per second `instance` may send to `backend`, given the total
+    /// of `rate_per_s` for all `instances`.
+    pub fn instance_limit<'a>(
+        backend: &str,
+        instance: &str,
+        instances: impl Iterator<Item = &'a str>,
+        rate_per_s: f64,
+    ) -> u32 {
+        let own_score = stable_hash(&[backend, instance]);
+        let (mut total, mut higher_ranked) = (0, 0);
+        for other in instances {
+            total += 1;
+            higher_ranked +=
+                usize::from(other != instance && stable_hash(&[backend, other]) > own_score);
+        }
+        let senders = MAX_SENDERS_PER_BACKEND.min(total.max(1));
+        if higher_ranked >= senders {
+            return 0;
+        }
+        let total_rate = (rate_per_s * USED_RATE_FRACTION).floor() as u32;
+        let rank = u32::try_from(higher_ranked).unwrap_or(u32::MAX);
+        let senders = u32::try_from(senders).unwrap_or(u32::MAX);
+        total_rate / senders + u32::from(rank < total_rate % senders)
+    }
+
+    /// Returns whether another request may be sent within `limit` per second.
+    pub fn has_capacity(&mut self, limit: u32, now_ms: u64) -> bool {
+        let window_ms = WINDOW_MS + MAX_TRANSIT_VARIATION_MS;
+        while self.sent_at_ms.front().is_some_and(|&at| at + window_ms < now_ms) {
+            self.sent_at_ms.pop_front();
+        }
+        self.sent_at_ms.len() < limit as usize
+    }
+
+    /// Records a sent request.
+    pub fn record_sent(&mut self, now_ms: u64) {
+        self.sent_at_ms.push_back(now_ms);
+    }
+}
--- a/crates/azuregate-core/src/balance/health.rs
+++ b/crates/azuregate-core/src/balance/health.rs
@@ -1,132 +1,130 @@
-//! What answers tell about a backend server.
+//! Passive health checks: request outcomes, backoff and outlier detection.
 
-/// Time without requests after the first failure in a row.
-const FIRST_PAUSE_MS: u64 = 500;
-/// The longest time without requests.
-const LONGEST_PAUSE_MS: u64 = 4_000;
-/// Answers in a row that may be lost before a server counts as unreachable.
+/// Backoff after the first of several connection failures in a row; doubled for each further one.
+const INITIAL_BACKOFF_MS: u64 = 500;
+const MAX_BACKOFF_MS: u64 = 4_000;
+/// Lost responses in a row that do not start a backoff.
 ///
-/// The failure: a server that is well loses one answer in some, each loss ends all
-/// requests to it for a while, and its objects are handled by servers that do not
-/// know them. A server that is down loses all answers and opens no connection, so
-/// that it is found out by the next request.
-const LOST_ANSWERS_BORNE: u32 = 1;
-/// Time in which what is known of a server loses half of its weight. One that is
-/// avoided gets no requests that could show that it is well again.
-const HALF_LIFE_MS: f64 = 3_000.0;
-/// Requests that must be known of a server before it is compared with others.
-const LEAST_KNOWN: f64 = 3.0;
-/// How many times more often than others a server must fail to be avoided.
-const FAILING_FACTOR: f64 = 1.5;
-/// How much more often it must fail besides: a few chance failures are no sign.
-const FAILING_MARGIN: f64 = 0.25;
-/// How many times longer than others it must take.
-const SLOW_FACTOR: f64 = 2.5;
-/// How much longer it must take besides: answers differ by the way alone.
-const SLOW_MARGIN_MS: f64 = 50.0;
+/// Without this, a single broken connection to a healthy server would move its objects to
+/// servers that do not have them cached.
+const TOLERATED_LOST_RESPONSES: u32 = 1;
+/// Half-life of the statistics. They decay because an outlier gets no requests that could
+/// show its recovery.
+const STATS_HALF_LIFE_MS: f64 = 3_000.0;
+/// Number of recent requests below which a server is not compared with others.
+const MIN_REQUESTS: f64 = 3.0;
+/// An outlier's failure rate exceeds `baseline * FAILURE_RATE_FACTOR + FAILURE_RATE_MARGIN`.
+const FAILURE_RATE_FACTOR: f64 = 1.5;
+/// Keeps a few chance failures from making an outlier where the baseline is near zero.
+const FAILURE_RATE_MARGIN: f64 = 0.25;
+/// An outlier's mean latency exceeds `baseline * LATENCY_FACTOR + LATENCY_MARGIN_MS`.
+const LATENCY_FACTOR: f64 = 2.5;
+/// Covers differences in network latency between servers.
+const LATENCY_MARGIN_MS: f64 = 50.0;
 
 /// How a request to a backend server ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered, after this time.
-    Answered {
-        /// Time from sending to the answer.
+    /// The server responded, without a server error.
+    Succeeded {
+        /// Time from sending the request to the response head.
         taken_ms: u64,
     },
-    /// It answered with a failure of its own.
+    /// The server responded with an error, or with a response that cannot be used.
     Failed,
-    /// It rejected the request because it is full.
-    Full,
-    /// No connection could be opened.
+    /// The server rejected the request without running it.
+    Rejected,
+    /// No connection could be established.
     Unreachable,
-    /// The connection broke after the request was sent, and its answer is lost.
-    AnswerLost,
-    /// It had not answered when the request's time was over.
+    /// The connection broke after the request was sent and before the response.
+    ResponseLost,
+    /// The request's deadline passed before the response.
     TimedOut {
-        /// Time from sending.
+        /// Time from sending the request to its deadline.
         taken_ms: u64,
     },
-    /// The client left; nothing is known.
+    /// The client went away; says nothing about the server.
     Cancelled,
 }
 
-/// Requests of the last seconds; older ones count less.
+/// Exponentially decaying sums over recent requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Recent {
+struct DecayingStats {
     requests: f64,
     failures: f64,
-    latency_ms: f64,
+    total_latency_ms: f64,
 }
 
-impl Recent {
-    fn scaled(self, factor: f64) -> Recent {
-        Recent {
+impl DecayingStats {
+    fn scaled(self, factor: f64) -> DecayingStats {
+        DecayingStats {
             requests: self.requests * factor,
             failures: self.failures * factor,
-            latency_ms: self.latency_ms * factor,
+            total_latency_ms: self.total_latency_ms * factor,
         }
     }
 
-    fn failing_share(&self) -> f64 {
+    fn failure_rate(&self) -> f64 {
         self.failures / self.requests
     }
 
     fn mean_latency_ms(&self) -> f64 {
-        self.latency_ms / self.requests
+        self.total_latency_ms / self.requests
     }
 }
 
-/// What answers tell about one backend server.
+/// Health of one backend server, derived from the outcomes of its requests.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    failures_in_row: u32,
-    lost_in_row: u32,
-    paused_until_ms: u64,
-    recent: Recent,
+    consecutive_backoffs: u32,
+    consecutive_lost_responses: u32,
+    backoff_until_ms: u64,
+    stats: DecayingStats,
     updated_at_ms: u64,
 }
 
-/// What is usual among the backend servers of a service.
+/// Median failure rate and latency of the backend servers of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Usual {
-    failing_share: f64,
+pub struct Baseline {
+    failure_rate: f64,
     latency_ms: f64,
 }
 
-impl Usual {
-    /// The medians over the servers of which enough is known.
+impl Baseline {
+    /// Returns the medians over the servers with enough recent requests.
     ///
-    /// Not the means: when two servers in five are ten times slower, each of them
-    /// takes less than three times the mean.
-    pub fn of<'a>(healths: impl Iterator<Item = &'a Health>, now_ms: u64) -> Usual {
-        let recent = healths.map(|health| health.recent(now_ms));
-        let known: Vec<Recent> = recent.filter(|recent| recent.requests >= LEAST_KNOWN).collect();
-        Usual {
-            failing_share: median(known.iter().map(Recent::failing_share).collect()),
-            latency_ms: median(known.iter().map(Recent::mean_latency_ms).collect()),
+    /// Medians, because outliers raise a mean: with two of five servers ten times slower
+    /// than the others, neither takes three times the mean.
+    pub fn of<'a>(healths: impl Iterator<Item = &'a Health>, now_ms: u64) -> Baseline {
+        let stats = healths.map(|health| health.stats(now_ms));
+        let sampled: Vec<DecayingStats> =
+            stats.filter(|stats| stats.requests >= MIN_REQUESTS).collect();
+        Baseline {
+            failure_rate: median(sampled.iter().map(DecayingStats::failure_rate).collect()),
+            latency_ms: median(sampled.iter().map(DecayingStats::mean_latency_ms).collect()),
         }
     }
 
-    /// Whether a server does so much worse than is usual that its requests are
-    /// better off elsewhere.
+    /// Returns whether a server's failure rate or latency is far above the baseline.
     ///
-    /// The comparison is what matters: under overload all servers reject requests
-    /// and answer late. Leaving them for it would send every object to servers
-    /// that do not know it, which makes the overload worse and keeps it up.
+    /// The thresholds are relative: under a general overload all servers fail and are slow,
+    /// and moving every object to another server would make all caches cold.
     pub fn is_outlier(&self, health: &Health, now_ms: u64) -> bool {
-        let own = health.recent(now_ms);
-        if own.requests < LEAST_KNOWN {
+        let stats = health.stats(now_ms);
+        if stats.requests < MIN_REQUESTS {
             return false;
         }
-        let is_failing = own.failing_share() > self.failing_share * FAILING_FACTOR + FAILING_MARGIN;
-        let is_slow = own.mean_latency_ms() > self.latency_ms * SLOW_FACTOR + SLOW_MARGIN_MS;
+        let is_failing =
+            stats.failure_rate() > self.failure_rate * FAILURE_RATE_FACTOR + FAILURE_RATE_MARGIN;
+        let is_slow =
+            stats.mean_latency_ms() > self.latency_ms * LATENCY_FACTOR + LATENCY_MARGIN_MS;
         is_failing || is_slow
     }
 }
 
 fn median(mut values: Vec<f64>) -> f64 {
     if values.is_empty() {
-        // Nothing is known, so nothing is out of the usual.
+        // Without a baseline no server is an outlier.
         return f64::INFINITY;
     }
     let middle = values.len() / 2;
@@ -134,59 +132,59 @@
 }
 
 impl Health {
-    /// Takes in how a request ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, outcome: Outcome, now_ms: u64) {
         match outcome {
-            Outcome::Answered { taken_ms } => {
-                self.failures_in_row = 0;
-                self.lost_in_row = 0;
-                self.paused_until_ms = 0;
-                self.count(now_ms, false, taken_ms);
+            Outcome::Succeeded { taken_ms } => {
+                self.consecutive_backoffs = 0;
+                self.consecutive_lost_responses = 0;
+                self.backoff_until_ms = 0;
+                self.update_stats(now_ms, false, taken_ms);
             }
-            Outcome::Failed | Outcome::Full => self.count(now_ms, true, 0),
-            Outcome::TimedOut { taken_ms } => self.count(now_ms, true, taken_ms),
+            Outcome::Failed | Outcome::Rejected => self.update_stats(now_ms, true, 0),
+            Outcome::TimedOut { taken_ms } => self.update_stats(now_ms, true, taken_ms),
             Outcome::Unreachable => {
-                self.count(now_ms, true, 0);
-                self.pause(now_ms);
+                self.update_stats(now_ms, true, 0);
+                self.back_off(now_ms);
             }
-            Outcome::AnswerLost => {
-                self.count(now_ms, true, 0);
-                self.lost_in_row += 1;
-                if self.lost_in_row > LOST_ANSWERS_BORNE {
-                    self.pause(now_ms);
+            Outcome::ResponseLost => {
+                self.update_stats(now_ms, true, 0);
+                self.consecutive_lost_responses += 1;
+                if self.consecutive_lost_responses > TOLERATED_LOST_RESPONSES {
+                    self.back_off(now_ms);
                 }
             }
             Outcome::Cancelled => {}
         }
     }
 
-    fn pause(&mut self, now_ms: u64) {
-        let doublings = self.failures_in_row.min(8);
-        let pause_ms = (FIRST_PAUSE_MS << doublings).min(LONGEST_PAUSE_MS);
-        self.paused_until_ms = now_ms + pause_ms;
-        self.failures_in_row += 1;
+    fn back_off(&mut self, now_ms: u64) {
+        let doublings = self.consecutive_backoffs.min(8);
+        let backoff_ms = (INITIAL_BACKOFF_MS << doublings).min(MAX_BACKOFF_MS);
+        self.backoff_until_ms = now_ms + backoff_ms;
+        self.consecutive_backoffs += 1;
     }
 
-    /// Whether no request should be sent at `now_ms`, because none got through.
-    pub fn is_paused(&self, now_ms: u64) -> bool {
-        now_ms < self.paused_until_ms
+    /// Returns whether the server gets no requests at `now_ms`, after connection failures.
+    pub fn is_in_backoff(&self, now_ms: u64) -> bool {
+        now_ms < self.backoff_until_ms
     }
 
-    /// Whether the server could not be reached when it was last tried.
+    /// Returns whether the server was unreachable at the last attempt.
     pub fn was_unreachable(&self) -> bool {
-        self.failures_in_row > 0
+        self.consecutive_backoffs > 0
     }
 
-    fn recent(&self, now_ms: u64) -> Recent {
+    fn stats(&self, now_ms: u64) -> DecayingStats {
         let age_ms = now_ms.saturating_sub(self.updated_at_ms) as f64;
-        self.recent.scaled((-age_ms / HALF_LIFE_MS).exp2())
+        self.stats.scaled((-age_ms / STATS_HALF_LIFE_MS).exp2())
     }
 
-    fn count(&mut self, now_ms: u64, has_failed: bool, taken_ms: u64) {
-        self.recent = self.recent(now_ms);
+    fn update_stats(&mut self, now_ms: u64, has_failed: bool, taken_ms: u64) {
+        self.stats = self.stats(now_ms);
         self.updated_at_ms = now_ms;
-        self.recent.requests += 1.0;
-        self.recent.failures += f64::from(u8::from(has_failed));
-        self.recent.latency_ms += taken_ms as f64;
+        self.stats.requests += 1.0;
+        self.stats.failures += f64::from(u8::from(has_failed));
+        self.stats.total_latency_ms += taken_ms as f64;
     }
 }
--- a/crates/azuregate-core/tests/balance/datagrams.rs
+++ b/crates/azuregate-core/tests/balance/datagrams.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other by datagrams.
+//! Encoding of datagrams.
 
 use azuregate_core::{
     balance::{Datagram, Heartbeat, Load},
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn datagrams_are_read_as_they_were_written() {
+fn datagrams_round_trip() {
     let cases = [
         Datagram::Heartbeat(heartbeat()),
         Datagram::Heartbeat(Heartbeat::default()),
@@ -37,11 +37,10 @@
     }
 }
 
-/// Every instance sends two heartbeats a second to every other, so that with some
-/// dozens of instances they are most of what goes between them. With its headers one
-/// may not take more than a hundred bytes, without the objects that few carry.
+/// Heartbeats are most of the traffic between dozens of instances. The limit includes the
+/// IP and UDP headers, and leaves out the sample of objects, which few heartbeats carry.
 #[test]
-fn a_heartbeat_is_small() {
+fn heartbeat_fits_in_100_bytes() {
     const HEADERS_BYTES: usize = 28;
     let heartbeat = Heartbeat { requested: Vec::new(), ..heartbeat() };
     let bytes = encoded(&Datagram::Heartbeat(heartbeat)).len();
--- a/crates/azuregate-core/tests/balance/world.rs
+++ b/crates/azuregate-core/tests/balance/fixtures.rs
@@ -1,16 +1,17 @@
-//! Balancers of several instances, and backend servers in several zones.
+//! Fixtures: instances, backend servers and balancers in six zones of three regions.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use azuregate_core::{
     balance::{
-        Backend, Balancer, ByObject, CallerLimits, Config, ConfigParts, Destination, Member,
-        Members, Placement, Query, RequestKind, Route, Service, Settings,
+        Backend, BackendQuery, Balancer, ClientLimits, Config, ConfigParts, Destination,
+        LoadBalancingPolicy, Member, Members, ObjectAffinity, RequestKind, Route, Service,
+        Settings,
     },
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
 };
 
-/// Zones, two in each of three regions.
+/// Zones and their regions.
 pub(crate) const ZONES: [(&str, &str); 6] =
     [("a1", "a"), ("a2", "a"), ("b1", "b"), ("b2", "b"), ("c1", "c"), ("c2", "c")];
 
@@ -28,17 +29,17 @@
         prefix: "/".to_owned(),
         kind: RequestKind::Idempotent,
         timeout_ms: 1_000,
-        objective_ms: 250,
+        target_latency_ms: 250,
         attempts: 2,
         priority: 1,
-        has_warm_objects: true,
+        has_session_affinity: true,
         destinations: vec![Destination { service: service(), weight: 1.0 }],
         home_regions: Vec::new(),
     };
     let service_config = Service { connection_limit: 330, cold_ms: 3_000, cold_rate_per_s: 9.0 };
     let parts = ConfigParts {
         version: 1,
-        limits: CallerLimits {
+        limits: ClientLimits {
             header_bytes: 16_384,
             body_bytes: 1 << 20,
             header_timeout_ms: 3_000,
@@ -50,8 +51,8 @@
     Arc::new(Config::new(parts).unwrap())
 }
 
-pub(crate) fn members(own: usize, count: usize) -> Members {
-    let mut members = Members::new(instance(own), zones(), 2_000);
+pub(crate) fn members(local: usize, count: usize) -> Members {
+    let mut members = Members::new(instance(local), zones(), 2_000);
     for number in 0..count {
         members.put(member(number));
     }
@@ -85,54 +86,54 @@
     }
 }
 
-/// The balancer of one of `instances` instances, which knows `servers` servers.
-pub(crate) fn balancer(own: usize, instances: usize, servers: usize) -> Balancer {
-    balancer_by(Box::new(ByObject), own, instances, (0..servers).map(backend))
+/// Returns the balancer of instance `local` of `instances`, with `servers` backend servers.
+pub(crate) fn balancer(local: usize, instances: usize, servers: usize) -> Balancer {
+    balancer_with(Box::new(ObjectAffinity), local, instances, (0..servers).map(backend))
 }
 
-/// The balancer of one of `instances` instances, with a rule and servers of the
-/// test's own.
-pub(crate) fn balancer_by(
-    placement: Box<dyn Placement>,
-    own: usize,
+/// Returns the balancer of instance `local` of `instances`, with this policy and these servers.
+pub(crate) fn balancer_with(
+    policy: Box<dyn LoadBalancingPolicy>,
+    local: usize,
     instances: usize,
     backends: impl Iterator<Item = Backend>,
 ) -> Balancer {
     let settings = Settings {
-        instance: instance(own),
-        zone: ZoneName::new(ZONES[own % ZONES.len()].0),
+        instance: instance(local),
+        zone: ZoneName::new(ZONES[local % ZONES.len()].0),
         zones: zones(),
         cold_rate_factor: 1.5,
         cold_rate_slack: 5.0,
     };
-    let mut balancer = Balancer::with_placement(settings, placement);
+    let mut balancer = Balancer::with_policy(settings, policy);
     balancer.set_config(config());
-    let members = members(own, instances);
+    let members = members(local, instances);
     backends.for_each(|backend| {
         balancer.put(backend, &members, 0);
     });
     balancer
 }
 
-/// Each instance tells all others what it has in flight, and those of other regions
-/// what was requested of it.
-pub(crate) fn tell_others(balancers: &mut [Balancer], now_ms: u64) {
-    let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_requested).collect();
-    let region = |own: usize| ZONES[own % ZONES.len()].1;
-    for (own, balancer) in balancers.iter_mut().enumerate() {
-        let away = requested.iter().enumerate().filter(|&(other, _)| region(other) != region(own));
-        for (_, requested) in away {
-            balancer.set_requested_elsewhere(requested, now_ms);
+/// Exchanges load reports between all instances, and samples of requested objects between
+/// regions.
+pub(crate) fn exchange_reports(balancers: &mut [Balancer], now_ms: u64) {
+    let requested: Vec<_> = balancers.iter_mut().map(Balancer::take_request_sample).collect();
+    let region = |local: usize| ZONES[local % ZONES.len()].1;
+    for (local, balancer) in balancers.iter_mut().enumerate() {
+        let other_regions =
+            requested.iter().enumerate().filter(|&(other, _)| region(other) != region(local));
+        for (_, requested) in other_regions {
+            balancer.record_remote_requests(requested, now_ms);
         }
     }
-    let said: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
-    for (own, balancer) in balancers.iter_mut().enumerate() {
-        for (other, said) in said.iter().enumerate().filter(|&(other, _)| other != own) {
-            balancer.set_others(&instance(other), said.clone(), now_ms);
+    let reports: Vec<_> = balancers.iter().map(Balancer::in_flight).collect();
+    for (local, balancer) in balancers.iter_mut().enumerate() {
+        for (other, report) in reports.iter().enumerate().filter(|&(other, _)| other != local) {
+            balancer.record_load_report(&instance(other), report.clone(), now_ms);
         }
     }
 }
 
-pub(crate) fn query(service: &ServiceName, object: u64) -> Query<'_> {
-    Query { service, object, is_large: false, tried: &[], home_regions: &[] }
+pub(crate) fn query(service: &ServiceName, object: u64) -> BackendQuery<'_> {
+    BackendQuery { service, object, has_large_body: false, tried: &[], home_regions: &[] }
 }
--- a/crates/azuregate-core/tests/balance/members.rs
+++ b/crates/azuregate-core/tests/balance/members.rs
@@ -1,24 +1,24 @@
-//! Which instances clients are told to use.
+//! Lookups, heartbeats and replication sources.
 
 use std::net::SocketAddr;
 
 use azuregate_core::{
-    balance::{LifeSign, Members, Sources},
+    balance::{HeartbeatStatus, Members, ReplicationSource},
     names::StartNumber,
 };
 
-use crate::world::{instance, member, members};
+use crate::fixtures::{instance, member, members};
 
-/// A heartbeat of an instance that lives and has the store.
-fn sign(instance: &str, start: u64) -> LifeSign<'_> {
-    LifeSign { instance, start: StartNumber(start), is_leaving: false, can_watch: true }
+/// Returns a heartbeat of a live instance that can watch the store.
+fn status(instance: &str, start: u64) -> HeartbeatStatus<'_> {
+    HeartbeatStatus { instance, start: StartNumber(start), is_leaving: false, can_watch: true }
 }
 
-/// Nine instances seen from the first, all heard at 1 s but for `silent` ones.
-fn heard(silent: &[usize]) -> Members {
+/// Returns nine instances as seen by the first, with heartbeats at 1 s except from `silent`.
+fn live_members_except(silent: &[usize]) -> Members {
     let mut members = members(0, 9);
     for number in (0..9).filter(|number| !silent.contains(number)) {
-        assert!(members.heard(&sign(instance(number).as_str(), 1), 1_000));
+        assert!(members.record_heartbeat(&status(instance(number).as_str(), 1), 1_000));
     }
     members
 }
@@ -29,15 +29,15 @@
     addrs
 }
 
-fn named(members: &Members, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
-    let mut named = members.lookup(zone, region, now_ms);
-    named.sort();
-    named
+fn sorted_lookup(members: &Members, zone: &str, region: &str, now_ms: u64) -> Vec<SocketAddr> {
+    let mut found = members.lookup(zone, region, now_ms);
+    found.sort();
+    found
 }
 
 #[test]
-fn lookups_name_what_is_near_and_lives() {
-    // Instance n stands in zone n modulo 6: a1, a2, b1, b2, c1, c2, a1, a2, b1.
+fn lookup_returns_the_nearest_live_instances() {
+    // Instance n is in zone n modulo 6: a1, a2, b1, b2, c1, c2, a1, a2, b1.
     let cases: [(&[usize], &str, &str, &[usize]); 5] = [
         (&[], "a1", "a", &[0, 6]),
         (&[6], "a1", "a", &[0]),
@@ -46,42 +46,49 @@
         (&[4, 5], "c1", "c", &[0, 1, 2, 3, 6, 7, 8]),
     ];
     for (silent, zone, region, expected) in cases {
-        let members = heard(silent);
-        assert_eq!(named(&members, zone, region, 1_500), addrs(expected), "{silent:?} {zone}");
+        let members = live_members_except(silent);
+        assert_eq!(
+            sorted_lookup(&members, zone, region, 1_500),
+            addrs(expected),
+            "{silent:?} {zone}"
+        );
     }
 }
 
 #[test]
-fn an_instance_is_named_until_it_was_silent_for_too_long() {
-    let members = heard(&[]);
-    assert_eq!(named(&members, "b2", "b", 3_000), addrs(&[3]));
-    assert_eq!(named(&members, "b2", "b", 3_001), addrs(&[0]), "only the own instance is sure");
+fn lookup_drops_instances_after_the_heartbeat_timeout() {
+    let members = live_members_except(&[]);
+    assert_eq!(sorted_lookup(&members, "b2", "b", 3_000), addrs(&[3]));
+    assert_eq!(
+        sorted_lookup(&members, "b2", "b", 3_001),
+        addrs(&[0]),
+        "only the local instance is live"
+    );
 }
 
 #[test]
-fn an_instance_that_leaves_is_not_named() {
-    let mut members = heard(&[]);
-    members.heard(&LifeSign { is_leaving: true, ..sign("entry-6", 1) }, 1_100);
-    assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
+fn lookup_drops_leaving_instances() {
+    let mut members = live_members_except(&[]);
+    members.record_heartbeat(&HeartbeatStatus { is_leaving: true, ..status("entry-6", 1) }, 1_100);
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
 }
 
-/// An instance starts anew at another address. Heartbeats of its earlier start,
-/// which were on the way, say nothing of the new one.
+/// Guards against a delayed heartbeat of the previous run making a restarted instance live.
 #[test]
-fn heartbeats_of_another_start_say_nothing() {
-    let mut members = heard(&[]);
-    let mut anew = member(6);
-    anew.start = StartNumber(2);
-    members.put(anew);
-    assert!(!members.heard(&sign("entry-6", 1), 1_100));
-    assert_eq!(named(&members, "a1", "a", 1_200), addrs(&[0]));
-    assert!(members.heard(&sign("entry-6", 2), 1_300));
-    assert_eq!(named(&members, "a1", "a", 1_400), addrs(&[0, 6]));
+fn heartbeats_of_another_start_are_ignored() {
+    let mut members = live_members_except(&[]);
+    let mut restarted = member(6);
+    restarted.start = StartNumber(2);
+    members.put(restarted);
+    assert!(!members.record_heartbeat(&status("entry-6", 1), 1_100));
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_200), addrs(&[0]));
+    assert!(members.record_heartbeat(&status("entry-6", 2), 1_300));
+    assert_eq!(sorted_lookup(&members, "a1", "a", 1_400), addrs(&[0, 6]));
 }
 
 #[test]
-fn members_whose_rows_are_gone_are_forgotten() {
-    let mut members = heard(&[]);
+fn removed_members_are_dropped() {
+    let mut members = live_members_except(&[]);
     members.remove("entry-6");
     assert_eq!((members.len(), members.others().count()), (8, 7));
     (0..9).filter(|&number| number != 1).for_each(|n| members.remove(instance(n).as_str()));
@@ -89,97 +96,103 @@
     assert!(!members.is_empty());
 }
 
-/// The instances that `own` follows when all live; empty if it watches the store.
-fn followed(members: &Members, now_ms: u64) -> Vec<String> {
-    match members.sources(now_ms) {
-        Sources::Store => Vec::new(),
-        Sources::Instances(chosen) => {
-            chosen.iter().map(|member| member.instance.as_str().to_owned()).collect()
+/// Returns the instances that are followed; none if the local instance watches the store.
+fn followed_instances(members: &Members, now_ms: u64) -> Vec<String> {
+    match members.replication_source(now_ms) {
+        ReplicationSource::Store => Vec::new(),
+        ReplicationSource::Instances(followed) => {
+            followed.iter().map(|member| member.instance.as_str().to_owned()).collect()
         }
     }
 }
 
-/// Nine instances as each of them sees them; all but `lost` have the store.
-fn views(lost: &[usize]) -> Vec<Members> {
-    let view = |own| {
-        let mut members = members(own, 9);
+/// Returns nine instances as seen by each; all but `without_store` can watch the store.
+fn views(without_store: &[usize]) -> Vec<Members> {
+    let view = |local| {
+        let mut members = members(local, 9);
         for number in 0..9 {
-            let can_watch = !lost.contains(&number);
-            members.heard(&LifeSign { can_watch, ..sign(instance(number).as_str(), 1) }, 1_000);
+            let can_watch = !without_store.contains(&number);
+            members.record_heartbeat(
+                &HeartbeatStatus { can_watch, ..status(instance(number).as_str(), 1) },
+                1_000,
+            );
         }
-        members.set_own_can_watch(!lost.contains(&own));
+        members.set_local_can_watch(!without_store.contains(&local));
         members
     };
     (0..9).map(view).collect()
 }
 
 #[test]
-fn two_instances_in_two_regions_watch_the_store_for_all() {
+fn watchers_are_two_instances_in_different_regions() {
     let views = views(&[]);
-    let watchers: Vec<usize> =
-        (0..9).filter(|&own| views[own].sources(1_100) == Sources::Store).collect();
+    let watchers: Vec<usize> = (0..9)
+        .filter(|&local| views[local].replication_source(1_100) == ReplicationSource::Store)
+        .collect();
     assert_eq!(watchers.len(), 2, "{watchers:?}");
-    let region = |number: usize| crate::world::ZONES[number % 6].1;
+    let region = |number: usize| crate::fixtures::ZONES[number % 6].1;
     assert_ne!(region(watchers[0]), region(watchers[1]));
-    for own in (0..9).filter(|own| !watchers.contains(own)) {
-        let mut chosen = followed(&views[own], 1_100);
-        chosen.sort();
-        assert_eq!(chosen, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
+    for local in (0..9).filter(|local| !watchers.contains(local)) {
+        let mut followed = followed_instances(&views[local], 1_100);
+        followed.sort();
+        assert_eq!(followed, watchers.iter().map(|n| format!("entry-{n}")).collect::<Vec<_>>());
     }
 }
 
-/// The two that watch the store lose it, or are silent. The others choose two
-/// that have it.
+/// When the watchers lose the store, others are elected; without any live watcher an instance
+/// watches the store itself.
 #[test]
-fn an_instance_without_the_store_is_not_followed() {
-    let watchers: Vec<usize> =
-        (0..9).filter(|&own| views(&[])[own].sources(1_100) == Sources::Store).collect();
+fn instances_without_store_access_are_not_followed() {
+    let watchers: Vec<usize> = (0..9)
+        .filter(|&local| views(&[])[local].replication_source(1_100) == ReplicationSource::Store)
+        .collect();
     let views = views(&watchers);
     for view in &views {
-        let chosen = followed(view, 1_100);
-        assert!(watchers.iter().all(|n| !chosen.contains(&format!("entry-{n}"))), "{chosen:?}");
+        let followed = followed_instances(view, 1_100);
+        assert!(watchers.iter().all(|n| !followed.contains(&format!("entry-{n}"))), "{followed:?}");
     }
-    // Everyone is silent: the own store is all there is.
-    let alone = views.iter().enumerate().find(|(own, _)| !watchers.contains(own)).unwrap().1;
-    assert_eq!(alone.sources(9_000), Sources::Store);
+    // No heartbeat is recent: only the local instance is live.
+    let alone = views.iter().enumerate().find(|(local, _)| !watchers.contains(local)).unwrap().1;
+    assert_eq!(alone.replication_source(9_000), ReplicationSource::Store);
 }
 
 #[test]
-fn nobody_is_followed_while_nobody_has_the_store() {
+fn no_source_while_no_instance_has_the_store() {
     let all: Vec<usize> = (0..9).collect();
-    assert_eq!(views(&all)[3].sources(1_100), Sources::Instances(Vec::new()));
+    assert_eq!(views(&all)[3].replication_source(1_100), ReplicationSource::Instances(Vec::new()));
 }
 
 /// Guards against an instance of a large deployment sending every change to all others.
 #[test]
-fn in_a_large_deployment_zones_pass_changes_on() {
+fn large_deployments_relay_changes_within_zones() {
     const COUNT: usize = 96;
-    let view = |own| {
-        let mut members = members(own, COUNT);
+    let view = |local| {
+        let mut members = members(local, COUNT);
         for number in 0..COUNT {
-            assert!(members.heard(&sign(instance(number).as_str(), 1), 1_000));
+            assert!(members.record_heartbeat(&status(instance(number).as_str(), 1), 1_000));
         }
-        members.set_own_can_watch(true);
+        members.set_local_can_watch(true);
         members
     };
     let views: Vec<Members> = (0..COUNT).map(view).collect();
-    let sources: Vec<Vec<String>> = views.iter().map(|view| followed(view, 1_100)).collect();
-    let watchers: Vec<usize> = (0..COUNT).filter(|&own| sources[own].is_empty()).collect();
+    let sources: Vec<Vec<String>> =
+        views.iter().map(|view| followed_instances(view, 1_100)).collect();
+    let watchers: Vec<usize> = (0..COUNT).filter(|&local| sources[local].is_empty()).collect();
     assert_eq!(watchers.len(), 2);
-    let zone = |number: usize| number % crate::world::ZONES.len();
-    let in_zone = COUNT / crate::world::ZONES.len();
-    for own in 0..COUNT {
+    let zone = |number: usize| number % crate::fixtures::ZONES.len();
+    let in_zone = COUNT / crate::fixtures::ZONES.len();
+    for local in 0..COUNT {
         let followers =
-            sources.iter().filter(|all| all.iter().any(|name| name == instance(own).as_str()));
-        assert!(followers.count() <= in_zone + 2 * crate::world::ZONES.len(), "{own}");
-        // Whoever follows others than the two follows them through its own zone only.
-        let hears_from =
+            sources.iter().filter(|all| all.iter().any(|name| name == instance(local).as_str()));
+        assert!(followers.count() <= in_zone + 2 * crate::fixtures::ZONES.len(), "{local}");
+        // Instances other than the watchers are followed only within their zone.
+        let number_of =
             |name: &String| (0..COUNT).find(|&number| instance(number).as_str() == name);
-        for source in sources[own].iter().filter_map(hears_from) {
+        for source in sources[local].iter().filter_map(number_of) {
             let is_direct = watchers.contains(&source);
-            assert!(is_direct || zone(source) == zone(own), "{own} follows {source}");
-            let passes_on = sources[source].iter().filter_map(hears_from);
-            assert!(is_direct || passes_on.into_iter().all(|next| watchers.contains(&next)));
+            assert!(is_direct || zone(source) == zone(local), "{local} follows {source}");
+            let upstream = sources[source].iter().filter_map(number_of);
+            assert!(is_direct || upstream.into_iter().all(|next| watchers.contains(&next)));
         }
     }
 }
