--- a/crates/azuregate-core/benches/balance.rs
+++ b/crates/azuregate-core/benches/balance.rs
@@ -1,11 +1,11 @@
-//! The time of one choice of a backend server by its object.
+//! Time to choose a backend server and complete a request, by number of servers.
 //!
 //! `cargo bench -p azuregate-core --bench balance`
 
 use std::{collections::BTreeMap, hint::black_box};
 
 use azuregate_core::{
-    balance::{Backend, Balancer, Members, Outcome, Query, Settings},
+    balance::{Backend, BackendQuery, Balancer, Members, Outcome, Settings},
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
 };
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -47,15 +47,15 @@
         group.bench_function(BenchmarkId::from_parameter(servers), |bencher| {
             bencher.iter(|| {
                 object += 1;
-                let query = Query {
+                let query = BackendQuery {
                     service: &service,
                     object: black_box(object),
-                    is_large: false,
+                    has_large_body: false,
                     tried: &[],
                     home_regions: &[],
                 };
-                let choice = balancer.choose(&query, 1_000).expect("there is room");
-                balancer.end(choice.handle, Outcome::Answered { taken_ms: 100 }, 1_000);
+                let choice = balancer.choose(&query, 1_000).expect("a backend server has capacity");
+                balancer.complete(choice.handle, Outcome::Succeeded { taken_ms: 100 }, 1_000);
             });
         });
     }
--- /dev/null
+++ b/crates/azuregate-core/src/balance/choice.rs
@@ -0,0 +1,183 @@
+//! The choice of a backend server for one request.
+
+use std::{fmt, sync::Arc};
+
+use xxhash_rust::xxh3::Xxh3;
+
+use super::{
+    Backend, BackendHandle, Balancer, Candidate, Decision, HealthStatus, Settings,
+    backends::BackendState,
+};
+use crate::{
+    names::{BackendId, RegionName, ServiceName},
+    topology::Distance,
+};
+
+/// Returns the affinity hash of an object as requested through `route`.
+///
+/// Servers cache an object per route. Hashing the route as well spreads the load of a hot object
+/// over several servers.
+pub fn object_hash(route: &str, object: &[u8]) -> u64 {
+    let mut hasher = Xxh3::new();
+    hasher.update(route.as_bytes());
+    hasher.update(&[0]);
+    hasher.update(object);
+    hasher.digest()
+}
+
+/// A request to choose a backend server for.
+#[derive(Clone, Copy, Debug)]
+pub struct BackendQuery<'a> {
+    /// The service.
+    pub service: &'a ServiceName,
+    /// Affinity hash of the object, from [`object_hash`].
+    pub object: u64,
+    /// Whether transferring the body costs more than a server that does not have the object
+    /// cached.
+    pub has_large_body: bool,
+    /// Servers that are excluded because the request was sent there before.
+    pub tried: &'a [BackendHandle],
+    /// The regions that may serve it; all if empty.
+    pub home_regions: &'a [RegionName],
+}
+
+/// The server that was chosen for a request.
+#[derive(Clone, Debug)]
+pub struct Choice {
+    /// Identifies the server to the balancer.
+    pub handle: BackendHandle,
+    /// The server.
+    pub backend: Arc<Backend>,
+    /// Requests that were in flight there before this one, from all instances as far as known.
+    pub in_flight: u32,
+}
+
+impl Choice {
+    /// Returns whether the server had a free slot, so that a rejection is worth a retry there.
+    ///
+    /// A server that does not have the object cached would serve the retry late. The retry
+    /// budget and the route's attempts limit such retries.
+    pub fn had_free_slot(&self) -> bool {
+        self.in_flight < self.backend.slots
+    }
+}
+
+/// The state that a choice was based on, for the log line of a refusal.
+#[derive(Clone, Debug, Default, Eq, PartialEq)]
+pub struct Explanation {
+    /// Number of servers that were eligible.
+    pub eligible_servers: usize,
+    /// The servers considered, the preferred one first, with their requests in flight and
+    /// their slots.
+    pub servers: Vec<(BackendId, u32, u32)>,
+    /// Age of the oldest load report in use.
+    pub oldest_report_age_ms: u64,
+}
+
+impl fmt::Display for Explanation {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "open:{} oldest_report_ms:{}", self.eligible_servers, self.oldest_report_age_ms)?;
+        for (id, in_flight, slots) in &self.servers {
+            write!(f, " {id}:{in_flight}/{slots}")?;
+        }
+        Ok(())
+    }
+}
+
+impl Balancer {
+    /// Chooses a server by the balancer's [`LoadBalancingPolicy`](super::LoadBalancingPolicy)
+    /// and counts the request there until [`Balancer::complete`]. Returns `None` if the request
+    /// is refused.
+    pub fn choose(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Option<Choice> {
+        let handle = self.decide(query, now_ms).chosen?;
+        let state = self.pool_backend_mut(query.service, handle)?;
+        state.in_flight += 1;
+        if state.is_cold(now_ms) {
+            state.cold_start_budget.record_sent(now_ms);
+        }
+        let in_flight = state.total_in_flight() - 1;
+        Some(Choice { handle, backend: Arc::clone(&state.backend), in_flight })
+    }
+
+    /// Returns the state that [`Balancer::choose`] would base a choice for `query` on.
+    pub fn explain(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Explanation {
+        let decision = self.decide(query, now_ms);
+        let servers = decision.considered.into_iter().flatten().filter_map(|server| {
+            let backend = self.backend(server.handle)?;
+            Some((backend.id.clone(), server.in_flight, server.slots))
+        });
+        Explanation {
+            eligible_servers: decision.eligible_servers,
+            servers: servers.collect(),
+            oldest_report_age_ms: self.oldest_report_age_ms(now_ms),
+        }
+    }
+
+    fn decide(&mut self, query: &BackendQuery<'_>, now_ms: u64) -> Decision {
+        let Balancer { settings, pools, policy, candidates, shared_objects, .. } = self;
+        let prefers_region = !shared_objects.is_shared();
+        let Some(pool) = pools.get_mut(query.service) else { return Decision::default() };
+        pool.detect_outliers(now_ms);
+        let eligible = pool.backends.iter_mut().filter_map(|state| {
+            is_eligible(settings, state, query, now_ms)
+                .then(|| candidate(state, query, prefers_region, now_ms))
+        });
+        candidates.clear();
+        candidates.extend(eligible);
+        policy.choose(query.has_large_body, candidates)
+    }
+}
+
+fn is_eligible(
+    settings: &Settings,
+    state: &mut BackendState,
+    query: &BackendQuery<'_>,
+    now_ms: u64,
+) -> bool {
+    !state.backend.is_draining
+        && !state.is_evacuated
+        && !query.tried.contains(&state.handle)
+        && settings.is_allowed_region(&state.backend.zone, query.home_regions)
+        && (!state.is_cold(now_ms)
+            || state.cold_start_budget.has_capacity(state.cold_limit, now_ms))
+}
+
+fn candidate(
+    state: &BackendState,
+    query: &BackendQuery<'_>,
+    prefers_region: bool,
+    now_ms: u64,
+) -> Candidate {
+    let status = match (state.health.is_in_backoff(now_ms), state.is_outlier) {
+        (true, _) => HealthStatus::InBackoff,
+        (false, true) => HealthStatus::Outlier,
+        (false, false) => HealthStatus::Healthy,
+    };
+    let hash = fmix64(state.seed ^ query.object);
+    let is_preferred = prefers_region && state.distance != Distance::OtherRegion;
+    Candidate {
+        handle: state.handle,
+        hash: if is_preferred { with_double_weight(hash) } else { hash },
+        distance: state.distance,
+        status,
+        in_flight: state.total_in_flight(),
+        slots: state.backend.slots,
+    }
+}
+
+/// Returns a hash that gives a server twice the weight in rendezvous hashing: the square root
+/// of a uniform number is distributed as the larger of two.
+///
+/// Servers of the local region get it while no other region requests the same objects, to save
+/// latency and traffic between regions. A larger weight would overload a region with few
+/// servers.
+fn with_double_weight(hash: u64) -> u64 {
+    ((hash as f64).sqrt() * (u64::MAX as f64).sqrt()) as u64
+}
+
+/// The finalizer of MurmurHash3.
+fn fmix64(mut x: u64) -> u64 {
+    x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
+    x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
+    x ^ (x >> 33)
+}
--- a/crates/azuregate/src/serve/attempt.rs
+++ b/crates/azuregate/src/serve/attempt.rs
@@ -103,7 +103,7 @@
                 return AttemptResult::NotExecuted(NotExecuted::ClosedBeforeSend);
             }
             Err(SendError::ConnectionBroken) => {
-                in_flight.set_outcome(Outcome::AnswerLost);
+                in_flight.set_outcome(Outcome::ResponseLost);
                 return AttemptResult::Unknown("connection broke");
             }
         }
@@ -181,9 +181,9 @@
     if is_rejected {
         let is_misdirected = head.status() == StatusCode::MISDIRECTED_REQUEST;
         if is_misdirected {
-            state.balancer.borrow_mut().set_leaving(choice.handle);
+            state.balancer.borrow_mut().set_draining(choice.handle);
         }
-        in_flight.set_outcome(Outcome::Full);
+        in_flight.set_outcome(Outcome::Rejected);
         if head.into_body().collect().await.is_ok() {
             in_flight.release_connection();
         }
@@ -213,7 +213,7 @@
     in_flight.set_outcome(if is_failure {
         Outcome::Failed
     } else {
-        Outcome::Answered { taken_ms }
+        Outcome::Succeeded { taken_ms }
     });
     parts.version = Version::HTTP_11;
     response::remove_hop_by_hop_headers(&mut parts.headers);
--- a/crates/azuregate/src/serve/follower.rs
+++ b/crates/azuregate/src/serve/follower.rs
@@ -4,7 +4,7 @@
 use std::{collections::BTreeMap, net::SocketAddr, rc::Rc, time::Duration};
 
 use azuregate_core::{
-    balance::{Member, Sources},
+    balance::{Member, ReplicationSource},
     names::InstanceId,
     replica::{SourceReport, Table},
 };
@@ -39,14 +39,16 @@
 
 fn update_sources(state: &Rc<State>, active: &mut ActiveSources) {
     let now_ms = state.now_ms();
-    let sources = state.members.borrow().sources(now_ms);
+    let sources = state.members.borrow().replication_source(now_ms);
     match &sources {
-        Sources::Instances(wanted) => reconcile_sources(state, active, wanted),
+        ReplicationSource::Instances(wanted) => reconcile_sources(state, active, wanted),
         // Keep the previous sources until this instance's own watch has taken over.
-        Sources::Store if state.contact.borrow().has_own_contact(now_ms) => active.clear(),
-        Sources::Store => {}
+        ReplicationSource::Store if state.contact.borrow().has_own_contact(now_ms) => {
+            active.clear()
+        }
+        ReplicationSource::Store => {}
     }
-    let is_designated_watcher = sources == Sources::Store;
+    let is_designated_watcher = sources == ReplicationSource::Store;
     let has_source = !state.contact.borrow().needs_own_watch(now_ms);
     state.is_designated_watcher.set(is_designated_watcher);
     let is_watching = state.is_designated_watcher.get() || !has_source;
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, rc::Rc};
 
 use azuregate_core::{
-    balance::{Datagram, Heartbeat, InFlightAt, LifeSign, Load},
+    balance::{Datagram, Heartbeat, HeartbeatStatus, InFlightCount, Load},
     names::InstanceId,
     replica::Table,
 };
@@ -52,7 +52,7 @@
                 }
                 lag_detector.detect_lag(&state);
                 state.remove_lapsed(false);
-                state.balancer.borrow_mut().forget_silent(state.now_ms());
+                state.balancer.borrow_mut().expire_load_reports(state.now_ms());
                 beat = (beat + 1) % REQUESTED_OBJECTS_PERIOD_BEATS;
                 broadcast(&state, &socket, &build_heartbeat(&state, beat == 0)).await;
             }
@@ -98,7 +98,7 @@
 
 fn build_heartbeat(state: &State, includes_requested: bool) -> Datagram {
     let requested = match includes_requested {
-        true => state.balancer.borrow_mut().take_requested(),
+        true => state.balancer.borrow_mut().take_request_sample(),
         false => Vec::new(),
     };
     let tables = state.tables.borrow();
@@ -142,27 +142,27 @@
 
 fn handle_load(state: &State, Load(instance, counts): Load) {
     let in_flight =
-        counts.into_iter().map(|(backend, count)| InFlightAt { backend, count }).collect();
+        counts.into_iter().map(|(backend, count)| InFlightCount { backend, count }).collect();
     let instance = InstanceId::new(&instance);
-    state.balancer.borrow_mut().set_others(&instance, in_flight, state.now_ms());
+    state.balancer.borrow_mut().record_load_report(&instance, in_flight, state.now_ms());
 }
 
 fn handle_heartbeat(state: &State, lag_detector: &mut LagDetector, heartbeat: &Heartbeat) {
     let now_ms = state.now_ms();
-    let sign = LifeSign {
+    let sign = HeartbeatStatus {
         instance: &heartbeat.instance,
         start: heartbeat.start,
         is_leaving: heartbeat.is_leaving,
         can_watch: heartbeat.can_watch,
     };
-    let is_known = state.members.borrow_mut().heard(&sign, now_ms);
+    let is_known = state.members.borrow_mut().record_heartbeat(&sign, now_ms);
     // An instance that is shutting down has already removed its row.
     lag_detector.heard_unknown |= !is_known && !heartbeat.is_leaving;
     lag_detector.operator_version = lag_detector.operator_version.max(heartbeat.operator_version);
     lag_detector.backends_version = lag_detector.backends_version.max(heartbeat.backends_version);
     if state.members.borrow().is_in_other_region(&heartbeat.instance) {
         let mut balancer = state.balancer.borrow_mut();
-        if let Some(prefers) = balancer.set_requested_elsewhere(&heartbeat.requested, now_ms) {
+        if let Some(prefers) = balancer.record_remote_requests(&heartbeat.requested, now_ms) {
             log::info!(prefers_region = prefers; "preference for local-region servers changed");
         }
     }
--- a/crates/azuregate/src/serve/request.rs
+++ b/crates/azuregate/src/serve/request.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 
 use azuregate_core::{
-    balance::{self, BackendHandle, Choice, Query, RequestKind, Route},
+    balance::{self, BackendHandle, BackendQuery, Choice, RequestKind, Route},
     names::ServiceName,
 };
 use azuregate_platform::request;
@@ -335,25 +335,25 @@
     fn choose(&self, attempts: &AttemptState, log_entry: &mut AccessLogEntry) -> Option<Choice> {
         let headers = &self.outgoing.headers;
         let object_hash =
-            headers.get(request::AFFINITY_KEY).filter(|_| self.route.has_warm_objects);
+            headers.get(request::AFFINITY_KEY).filter(|_| self.route.has_session_affinity);
         let object_hash =
             object_hash.map(|key| balance::object_hash(&self.route.name, key.as_bytes()));
         let object = object_hash.unwrap_or_else(|| fastrand::u64(..));
-        let query = Query {
+        let query = BackendQuery {
             service: self.service,
             object,
-            is_large: self.outgoing.body.len() > LARGE_BODY_BYTES,
+            has_large_body: self.outgoing.body.len() > LARGE_BODY_BYTES,
             tried: &attempts.tried,
             home_regions: &self.route.home_regions,
         };
         let now_ms = self.state.now_ms();
         let mut balancer = self.state.balancer.borrow_mut();
         if let Some(object) = object_hash {
-            balancer.requested(object, now_ms);
+            balancer.record_request(object, now_ms);
         }
         let choice = balancer.choose(&query, now_ms);
         if choice.is_none() {
-            log_entry.basis = balancer.basis(&query, now_ms).to_string();
+            log_entry.basis = balancer.explain(&query, now_ms).to_string();
         }
         choice
     }
--- a/crates/azuregate/src/serve/response.rs
+++ b/crates/azuregate/src/serve/response.rs
@@ -1,6 +1,6 @@
 //! Locally generated responses, and filtering of forwarded headers.
 
-use azuregate_core::balance::NotServed;
+use azuregate_core::balance::RetryReason;
 use azuregate_platform::request;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -56,12 +56,12 @@
 
     /// Returns why the request was not served if it was certainly not executed, so
     /// that the client may retry it.
-    fn not_served(self) -> Option<NotServed> {
+    fn not_served(self) -> Option<RetryReason> {
         match self {
             RequestError::NotReady | RequestError::StoreContactLost => {
-                Some(NotServed::KnowsTooLittle)
+                Some(RetryReason::StaleState)
             }
-            RequestError::NoCapacity | RequestError::Rejected => Some(NotServed::NoPlace),
+            RequestError::NoCapacity | RequestError::Rejected => Some(RetryReason::NoCapacity),
             _ => None,
         }
     }
@@ -86,7 +86,7 @@
         let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
         *response.status_mut() = self.status();
         if let Some(not_served) = self.not_served() {
-            let retry_after_ms = fastrand::u64(not_served.return_after_ms());
+            let retry_after_ms = fastrand::u64(not_served.retry_after_ms());
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
             let value = seconds.parse().expect("a number is a valid header value");
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -8,7 +8,7 @@
 };
 
 use azuregate_core::{
-    balance::{self, Balancer, Config, Lapsed, Members, RetryBudget, Split},
+    balance::{self, Balancer, Config, Members, MissingBackends, RetryBudget, WeightedRoundRobin},
     names::{ServiceName, StartNumber},
     replica::{Contact, Table},
 };
@@ -52,7 +52,7 @@
     /// The number of instances that follow this one.
     pub(super) followers: Cell<usize>,
     /// Backend servers whose rows expired during a store outage and may return.
-    pub(super) lapsed: RefCell<Lapsed>,
+    pub(super) lapsed: RefCell<MissingBackends>,
     /// When contact with the store was last established, directly or through other
     /// instances; `None` while there is no contact.
     pub(super) store_reachable_since_ms: Cell<Option<u64>>,
@@ -65,7 +65,7 @@
     config: RefCell<Option<Arc<Config>>>,
     bounds: RefCell<Bounds>,
     retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
-    traffic_splits: RefCell<HashMap<String, Split>>,
+    traffic_splits: RefCell<HashMap<String, WeightedRoundRobin>>,
     started_at: Instant,
 }
 
@@ -157,19 +157,19 @@
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
         match (self.store_reachable_since_ms.get(), is_fresh) {
             (None, true) => {
-                self.lapsed.borrow_mut().store_regained(now_ms);
+                self.lapsed.borrow_mut().mark_store_reachable(now_ms);
                 self.store_reachable_since_ms.set(Some(now_ms));
                 log::info!("store contact established");
             }
             (Some(since_ms), false) => {
-                self.lapsed.borrow_mut().store_lost();
+                self.lapsed.borrow_mut().mark_store_unreachable();
                 self.store_reachable_since_ms.set(None);
                 log::warn!(had_ms = now_ms.saturating_sub(since_ms); "store contact lost");
             }
             (None, false) | (Some(_), true) => {}
         }
         let can_watch = self.contact.borrow().can_watch(now_ms);
-        self.members.borrow_mut().set_own_can_watch(can_watch);
+        self.members.borrow_mut().set_local_can_watch(can_watch);
     }
 
     /// Returns whether the instance can serve requests.
@@ -195,7 +195,7 @@
 
     /// Removes backend servers whose expired rows did not return.
     pub(super) fn remove_lapsed(&self, another_had_store: bool) {
-        let gone = self.lapsed.borrow_mut().take_gone(another_had_store, self.now_ms());
+        let gone = self.lapsed.borrow_mut().take_expired(another_had_store, self.now_ms());
         for id in gone {
             if self.balancer.borrow_mut().remove(id.as_str()) {
                 log::info!(backend:% = id, another_had_store = another_had_store; "backend server removed after store outage");
@@ -217,13 +217,13 @@
     /// Records a client request in the retry budget of `service`.
     pub(super) fn record_request(&self, service: &ServiceName) {
         let now_ms = self.now_ms();
-        self.with_retry_budget(service, |budget| budget.request(now_ms));
+        self.with_retry_budget(service, |budget| budget.record_request(now_ms));
     }
 
     /// Takes a retry from the budget of `service` and returns whether one was available.
     pub(super) fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now_ms = self.now_ms();
-        self.with_retry_budget(service, |budget| budget.take(now_ms))
+        self.with_retry_budget(service, |budget| budget.try_acquire(now_ms))
     }
 
     fn with_retry_budget<T>(
