--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -70,7 +70,7 @@
         if row.is_removed {
             return self.remove_backend(row);
         }
-        self.lapsed.borrow_mut().mark_present(key);
+        self.missing_backends.borrow_mut().mark_present(key);
         let backend = match backend::decode(key, row_value(row)) {
             Ok(backend) => backend,
             Err(e) => {
@@ -88,7 +88,7 @@
     fn remove_backend(&self, row: &Row) {
         let key = row.key.as_str();
         let now_ms = self.now_ms();
-        if !self.lapsed.borrow_mut().mark_missing(&BackendId::new(key), now_ms) {
+        if !self.missing_backends.borrow_mut().mark_missing(&BackendId::new(key), now_ms) {
             log::info!(backend = key, row_version = row.version; "backend server row expired during store outage");
         } else if self.balancer.borrow_mut().remove(key) {
             log::info!(backend = key, row_version = row.version; "backend server removed");
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -51,7 +51,7 @@
                     return;
                 }
                 lag_detector.detect_lag(&state);
-                state.remove_lapsed(false);
+                state.remove_expired_backends(false);
                 state.balancer.borrow_mut().expire_load_reports(state.now_ms());
                 beat = (beat + 1) % REQUESTED_OBJECTS_PERIOD_BEATS;
                 broadcast(&state, &socket, &build_heartbeat(&state, beat == 0)).await;
@@ -149,13 +149,13 @@
 
 fn handle_heartbeat(state: &State, lag_detector: &mut LagDetector, heartbeat: &Heartbeat) {
     let now_ms = state.now_ms();
-    let sign = HeartbeatStatus {
+    let status = HeartbeatStatus {
         instance: &heartbeat.instance,
         start: heartbeat.start,
         is_leaving: heartbeat.is_leaving,
         can_watch: heartbeat.can_watch,
     };
-    let is_known = state.members.borrow_mut().record_heartbeat(&sign, now_ms);
+    let is_known = state.members.borrow_mut().record_heartbeat(&status, now_ms);
     // An instance that is shutting down has already removed its row.
     lag_detector.heard_unknown |= !is_known && !heartbeat.is_leaving;
     lag_detector.operator_version = lag_detector.operator_version.max(heartbeat.operator_version);
@@ -167,7 +167,7 @@
         }
     }
     if heartbeat.had_store_ms >= STABLE_STORE_CONTACT_MS {
-        state.remove_lapsed(true);
+        state.remove_expired_backends(true);
     }
 }
 
--- a/crates/azuregate/src/serve/response.rs
+++ b/crates/azuregate/src/serve/response.rs
@@ -56,7 +56,7 @@
 
     /// Returns why the request was not served if it was certainly not executed, so
     /// that the client may retry it.
-    fn not_served(self) -> Option<RetryReason> {
+    fn retry_reason(self) -> Option<RetryReason> {
         match self {
             RequestError::NotReady | RequestError::StoreContactLost => {
                 Some(RetryReason::StaleState)
@@ -85,8 +85,8 @@
     pub(super) fn into_response(self) -> Response<ResponseBody> {
         let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
         *response.status_mut() = self.status();
-        if let Some(not_served) = self.not_served() {
-            let retry_after_ms = fastrand::u64(not_served.retry_after_ms());
+        if let Some(retry_reason) = self.retry_reason() {
+            let retry_after_ms = fastrand::u64(retry_reason.retry_after_ms());
             let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
             let value = seconds.parse().expect("a number is a valid header value");
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -52,7 +52,7 @@
     /// The number of instances that follow this one.
     pub(super) followers: Cell<usize>,
     /// Backend servers whose rows expired during a store outage and may return.
-    pub(super) lapsed: RefCell<MissingBackends>,
+    pub(super) missing_backends: RefCell<MissingBackends>,
     /// When contact with the store was last established, directly or through other
     /// instances; `None` while there is no contact.
     pub(super) store_reachable_since_ms: Cell<Option<u64>>,
@@ -101,7 +101,7 @@
             is_watching: watch::Sender::new(true),
             is_designated_watcher: Cell::new(false),
             followers: Cell::new(0),
-            lapsed: RefCell::default(),
+            missing_backends: RefCell::default(),
             store_reachable_since_ms: Cell::new(None),
             lag_detected: Notify::new(),
             unknown_member: Notify::new(),
@@ -157,12 +157,12 @@
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
         match (self.store_reachable_since_ms.get(), is_fresh) {
             (None, true) => {
-                self.lapsed.borrow_mut().mark_store_reachable(now_ms);
+                self.missing_backends.borrow_mut().mark_store_reachable(now_ms);
                 self.store_reachable_since_ms.set(Some(now_ms));
                 log::info!("store contact established");
             }
             (Some(since_ms), false) => {
-                self.lapsed.borrow_mut().mark_store_unreachable();
+                self.missing_backends.borrow_mut().mark_store_unreachable();
                 self.store_reachable_since_ms.set(None);
                 log::warn!(had_ms = now_ms.saturating_sub(since_ms); "store contact lost");
             }
@@ -194,9 +194,10 @@
     }
 
     /// Removes backend servers whose expired rows did not return.
-    pub(super) fn remove_lapsed(&self, another_had_store: bool) {
-        let gone = self.lapsed.borrow_mut().take_expired(another_had_store, self.now_ms());
-        for id in gone {
+    pub(super) fn remove_expired_backends(&self, another_had_store: bool) {
+        let expired =
+            self.missing_backends.borrow_mut().take_expired(another_had_store, self.now_ms());
+        for id in expired {
             if self.balancer.borrow_mut().remove(id.as_str()) {
                 log::info!(backend:% = id, another_had_store = another_had_store; "backend server removed after store outage");
             }
