--- a/crates/azuregate-core/src/replica/mod.rs
+++ b/crates/azuregate-core/src/replica/mod.rs
@@ -22,12 +22,12 @@
 
 * [`Replica`] is one table with its version. It takes changes from several
   sources in any order and never steps back.
-* [`Contact`] tells from what the sources say whether the copies are fresh. An
+* [`FreshnessTracker`] tells from what the sources say whether the copies are fresh. An
   instance without a fresh source watches the store itself.
 */
 
-mod contact;
+mod freshness;
 mod table;
 
-pub use contact::{Contact, SourceReport};
+pub use freshness::{FreshnessTracker, SourceReport};
 pub use table::{Changes, Replica, Row, Stale, Table};
--- a/crates/azuregate-core/tests/replica.rs
+++ b/crates/azuregate-core/tests/replica.rs
@@ -6,7 +6,7 @@
 
 use azuregate_core::{
     names::InstanceId,
-    replica::{Changes, Contact, Replica, Row, SourceReport, Stale},
+    replica::{Changes, FreshnessTracker, Replica, Row, SourceReport, Stale},
 };
 use proptest::prelude::*;
 
@@ -126,7 +126,8 @@
 #[test]
 fn a_source_is_relied_on_for_a_part_of_the_allowed_time() {
     let name = InstanceId::new("entry-1");
-    let report = |asked_at_ms, held_ms, age_ms| Some(SourceReport { asked_at_ms, held_ms, age_ms });
+    let report =
+        |requested_at_ms, held_ms, age_ms| Some(SourceReport { requested_at_ms, held_ms, age_ms });
     let heard = |age_ms| report(10_000, 0, age_ms);
     let cases = [
         ("just heard", heard(0), 10_000, true),
@@ -140,28 +141,28 @@
     ];
     let has_just_heard = |now_ms: u64| now_ms < 11_200;
     for (case, report, now_ms, is_fresh) in cases {
-        let mut contact = Contact::new(2_000);
-        contact.heard(&name, heard(0));
-        contact.heard(&name, report);
-        assert_eq!(contact.has_fresh_source(now_ms), is_fresh, "{case}");
+        let mut tracker = FreshnessTracker::new(2_000);
+        tracker.record_report(&name, heard(0));
+        tracker.record_report(&name, report);
+        assert_eq!(tracker.has_fresh_source(now_ms), is_fresh, "{case}");
         // What was heard before stays known, whatever becomes of its source.
-        assert_eq!(contact.is_fresh(now_ms), has_just_heard(now_ms), "{case}");
-        assert_eq!(contact.age_ms(now_ms), Some(now_ms - 10_000), "{case}");
+        assert_eq!(tracker.is_fresh(now_ms), has_just_heard(now_ms), "{case}");
+        assert_eq!(tracker.age_ms(now_ms), Some(now_ms - 10_000), "{case}");
     }
 }
 
 #[test]
 fn the_own_watch_keeps_contact_without_sources() {
-    let mut contact = Contact::new(3_000);
-    contact.answered(10_000);
-    assert!(contact.is_fresh(11_000) && !contact.has_fresh_source(11_000));
-    assert!(contact.wait_ms() < contact.lost_ms(), "a watch at rest keeps contact");
+    let mut tracker = FreshnessTracker::new(3_000);
+    tracker.record_answer(10_000);
+    assert!(tracker.is_fresh(11_000) && !tracker.has_fresh_source(11_000));
+    assert!(tracker.poll_wait_ms() < tracker.staleness_limit_ms(), "a watch at rest keeps contact");
     // So does one that asks only now and then because it has no source.
-    let asks_at_ms = (10_000..).find(|&now_ms| contact.needs_own_watch(now_ms)).unwrap();
+    let asks_at_ms = (10_000..).find(|&now_ms| tracker.needs_direct_watch(now_ms)).unwrap();
     assert!(asks_at_ms >= 10_500, "one that has just started waits for sources");
-    assert!(contact.is_fresh(asks_at_ms + contact.wait_without_source_ms()));
-    contact.failed(11_000);
-    assert!(contact.is_fresh(11_799) && !contact.is_fresh(11_800));
+    assert!(tracker.is_fresh(asks_at_ms + tracker.fallback_poll_wait_ms()));
+    tracker.record_failure(11_000);
+    assert!(tracker.is_fresh(11_799) && !tracker.is_fresh(11_800));
 }
 
 /// An instance follows two others and is chosen to watch. It lets go of its
@@ -172,13 +173,16 @@
 #[test]
 fn contact_lasts_from_the_last_source_to_the_own_watch() {
     let name = InstanceId::new("entry-1");
-    let mut contact = Contact::new(2_000);
-    contact.heard(&name, Some(SourceReport { asked_at_ms: 10_000, held_ms: 0, age_ms: 200 }));
-    contact.forget(&name);
-    assert!(contact.is_fresh(10_900) && contact.can_watch(10_900));
-    assert!(!contact.has_own_contact(10_900) && contact.needs_own_watch(10_900));
-    contact.answered(10_950);
-    assert!(contact.has_own_contact(12_100) && contact.can_watch(12_100));
+    let mut tracker = FreshnessTracker::new(2_000);
+    tracker.record_report(
+        &name,
+        Some(SourceReport { requested_at_ms: 10_000, held_ms: 0, age_ms: 200 }),
+    );
+    tracker.remove_source(&name);
+    assert!(tracker.is_fresh(10_900) && tracker.can_watch(10_900));
+    assert!(!tracker.has_fresh_direct_watch(10_900) && tracker.needs_direct_watch(10_900));
+    tracker.record_answer(10_950);
+    assert!(tracker.has_fresh_direct_watch(12_100) && tracker.can_watch(12_100));
 }
 
 /// An instance hears of the store by others and fails to reach it itself. It is
@@ -186,12 +190,12 @@
 #[test]
 fn whoever_fails_to_reach_the_store_does_not_watch_for_others() {
     let name = InstanceId::new("entry-1");
-    let mut contact = Contact::new(2_000);
-    contact.failed(10_000);
-    for asked_at_ms in [10_100, 14_900, 15_100] {
-        contact.heard(&name, Some(SourceReport { asked_at_ms, held_ms: 0, age_ms: 0 }));
-        assert!(contact.is_fresh(asked_at_ms));
-        assert_eq!(contact.can_watch(asked_at_ms), asked_at_ms >= 15_000);
+    let mut tracker = FreshnessTracker::new(2_000);
+    tracker.record_failure(10_000);
+    for requested_at_ms in [10_100, 14_900, 15_100] {
+        tracker.record_report(&name, Some(SourceReport { requested_at_ms, held_ms: 0, age_ms: 0 }));
+        assert!(tracker.is_fresh(requested_at_ms));
+        assert_eq!(tracker.can_watch(requested_at_ms), requested_at_ms >= 15_000);
     }
 }
 
@@ -200,13 +204,14 @@
 #[test]
 fn a_circle_of_sources_grows_old() {
     let name = InstanceId::new("other");
-    let mut circle = [Contact::new(2_000), Contact::new(2_000)];
-    circle.iter_mut().for_each(|contact| contact.answered(10_000));
-    for asked_at_ms in (10_000..12_000).step_by(100) {
+    let mut circle = [FreshnessTracker::new(2_000), FreshnessTracker::new(2_000)];
+    circle.iter_mut().for_each(|tracker| tracker.record_answer(10_000));
+    for requested_at_ms in (10_000..12_000).step_by(100) {
         for (asks, answers) in [(0, 1), (1, 0)] {
-            let age_ms = circle[answers].age_ms(asked_at_ms + 50).unwrap();
-            circle[asks].heard(&name, Some(SourceReport { asked_at_ms, held_ms: 50, age_ms }));
+            let age_ms = circle[answers].age_ms(requested_at_ms + 50).unwrap();
+            circle[asks]
+                .record_report(&name, Some(SourceReport { requested_at_ms, held_ms: 50, age_ms }));
         }
     }
-    assert!(circle.iter().all(|contact| !contact.is_fresh(11_200)));
+    assert!(circle.iter().all(|tracker| !tracker.is_fresh(11_200)));
 }
--- a/crates/azuregate/src/serve/follow.rs
+++ b/crates/azuregate/src/serve/follow.rs
@@ -44,11 +44,11 @@
     match &sources {
         Sources::Instances(wanted) => follow_these(state, followed, wanted),
         // The sources so far are followed until the own watch has taken over.
-        Sources::Store if state.contact.borrow().has_own_contact(now_ms) => followed.clear(),
+        Sources::Store if state.contact.borrow().has_fresh_direct_watch(now_ms) => followed.clear(),
         Sources::Store => {}
     }
     let is_chosen = sources == Sources::Store;
-    let has_source = !state.contact.borrow().needs_own_watch(now_ms);
+    let has_source = !state.contact.borrow().needs_direct_watch(now_ms);
     state.watches_for_others.set(is_chosen);
     let is_watching = state.watches_for_others.get() || !has_source;
     let has_changed = state.is_watching.send_if_modified(|now| {
@@ -83,13 +83,13 @@
         let error = lost.err().unwrap_or_else(|| LinkError::new("closed"));
         count(&state.metrics.changes.sources_lost, 1);
         log::info!(source:% = source.instance, error:% = error; "source lost");
-        state.contact.borrow_mut().forget(&source.instance);
+        state.contact.borrow_mut().remove_source(&source.instance);
         tokio::select! {
             () = time::sleep(Duration::from_millis(RETRY_MS)) => {}
             _ = &mut ended => break,
         }
     }
-    state.contact.borrow_mut().forget(&source.instance);
+    state.contact.borrow_mut().remove_source(&source.instance);
 }
 
 async fn follow_once(state: &State, source: &Member) -> Result<(), LinkError> {
@@ -97,14 +97,14 @@
     let mut socket = CborSocket::dial(state.settings.ip, addr, PATH, LIMITS).await?;
     log::info!(source:% = source.instance; "follows");
     loop {
-        let asked_at_ms = state.now_ms();
+        let requested_at_ms = state.now_ms();
         let version = |table| (table, state.tables.borrow().get(table).version());
         socket.send(&Follow { versions: Table::ALL.map(version).into() }).await?;
         let Some(update) = in_time(state, socket.recv::<Update>()).await? else { return Ok(()) };
         let Some(changes) = receive_changes(state, &mut socket, &update).await? else {
             return Ok(());
         };
-        apply(state, &source.instance, &update, asked_at_ms, changes);
+        apply(state, &source.instance, &update, requested_at_ms, changes);
     }
 }
 
@@ -130,7 +130,7 @@
     state: &State,
     frame: impl Future<Output = Result<T, LinkError>>,
 ) -> Result<T, LinkError> {
-    let silence = Duration::from_millis(state.contact.borrow().lost_ms());
+    let silence = Duration::from_millis(state.contact.borrow().staleness_limit_ms());
     time::timeout(silence, frame).await.unwrap_or_else(|_| Err(LinkError::new("silent")))
 }
 
@@ -138,12 +138,12 @@
     state: &State,
     source: &InstanceId,
     update: &Update,
-    asked_at_ms: u64,
+    requested_at_ms: u64,
     changes: ChangeSet,
 ) {
     let held_ms = update.held_ms;
-    let report = update.age_ms.map(|age_ms| SourceReport { asked_at_ms, held_ms, age_ms });
-    state.contact.borrow_mut().heard(source, report);
+    let report = update.age_ms.map(|age_ms| SourceReport { requested_at_ms, held_ms, age_ms });
+    state.contact.borrow_mut().record_report(source, report);
     // Before the rows: whether a missing row ran out depends on it.
     state.check_contact();
     for (table, changes) in changes {
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -119,7 +119,7 @@
 }
 
 fn known_at_ms(state: &State) -> u64 {
-    state.contact.borrow().known_at_ms().unwrap_or_default()
+    state.contact.borrow().synced_at_ms().unwrap_or_default()
 }
 
 /// Waits until there is a change that one with these `versions` lacks, or what is
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -10,7 +10,7 @@
 use azuregate_core::{
     balance::{self, Balancer, Config, Lapsed, Members, RetryBudget, Split},
     names::{ServiceName, StartNumber},
-    replica::{Contact, Table},
+    replica::{FreshnessTracker, Table},
 };
 use azuregate_platform::settings::{Bounds, Settings};
 use tokio::sync::{Notify, watch};
@@ -44,7 +44,7 @@
     /// Wakes what passes changes on.
     pub(super) changed: watch::Sender<()>,
     /// How old the last sign of the store is, by the own watch and by sources.
-    pub(super) contact: RefCell<Contact>,
+    pub(super) contact: RefCell<FreshnessTracker>,
     /// Whether this instance watches the store itself.
     pub(super) is_watching: watch::Sender<bool>,
     /// Whether it does so because others need it.
@@ -92,7 +92,7 @@
             tables: RefCell::default(),
             encoded: RefCell::default(),
             changed: watch::Sender::new(()),
-            contact: RefCell::new(Contact::new(settings.bounds.change_ms)),
+            contact: RefCell::new(FreshnessTracker::new(settings.bounds.change_ms)),
             is_watching: watch::Sender::new(true),
             watches_for_others: Cell::new(false),
             followers: Cell::new(0),
@@ -133,7 +133,7 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_cold_rates(bounds.cold_rate_factor, bounds.cold_rate_slack);
         balancer.set_cold_limits(&self.members.borrow());
-        self.contact.borrow_mut().set_change_ms(bounds.change_ms);
+        self.contact.borrow_mut().set_propagation_limit_ms(bounds.change_ms);
         *self.bounds.borrow_mut() = bounds;
         // They are made anew with the new share, and start empty, which allows less.
         self.retries.borrow_mut().clear();
--- a/crates/azuregate/src/serve/watch.rs
+++ b/crates/azuregate/src/serve/watch.rs
@@ -194,9 +194,9 @@
             Table::Members => MEMBERS_WAIT_MS,
             Table::Operator => self.state.bounds().contact_ms,
             Table::Backends if self.state.watches_for_others.get() => {
-                self.state.contact.borrow().wait_ms()
+                self.state.contact.borrow().poll_wait_ms()
             }
-            Table::Backends => self.state.contact.borrow().wait_without_source_ms(),
+            Table::Backends => self.state.contact.borrow().fallback_poll_wait_ms(),
         }
     }
 
@@ -206,7 +206,7 @@
         }
         self.is_away = true;
         if self.table == Table::Backends {
-            self.state.contact.borrow_mut().failed(self.state.now_ms());
+            self.state.contact.borrow_mut().record_failure(self.state.now_ms());
             self.state.check_contact();
         }
     }
@@ -219,7 +219,7 @@
         }
         if self.table == Table::Backends {
             let answered_at_ms = self.state.now_ms().saturating_sub(self.store.answer_age_ms());
-            self.state.contact.borrow_mut().answered(answered_at_ms);
+            self.state.contact.borrow_mut().record_answer(answered_at_ms);
             self.state.check_contact();
         }
     }
