--- a/crates/azuregate-core/src/replica/mod.rs
+++ b/crates/azuregate-core/src/replica/mod.rs
@@ -9,7 +9,7 @@
 first.replace(vec![row], 3).expect("nothing newer is known");
 // A copy that knows nothing gets the whole table.
 let mut second = Replica::default();
-assert_eq!(second.take(first.since(0)).len(), 1);
+assert_eq!(second.apply(first.changes_since(0)).len(), 1);
 assert_eq!(second.version(), 3);
 ```
 
@@ -30,4 +30,4 @@
 mod table;
 
 pub use freshness::{FreshnessTracker, SourceReport};
-pub use table::{Changes, Replica, Row, Stale, Table};
+pub use table::{Changes, Replica, Row, StaleRead, Table};
--- a/crates/azuregate-core/src/replica/table.rs
+++ b/crates/azuregate-core/src/replica/table.rs
@@ -9,7 +9,7 @@
 
 /// Removals that are remembered for those who follow. One that has missed more
 /// gets the whole table; a table of some hundred servers is removed once.
-const REMOVALS_KEPT: usize = 512;
+const MAX_REMOVED_ROWS: usize = 512;
 
 /// The tables that instances read.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
@@ -62,20 +62,20 @@
 
 /// A table that was read from a copy that is behind what is known.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Stale {
+pub struct StaleRead {
     /// The version that was read.
     pub version: u64,
     /// The version that is known.
-    pub known: u64,
+    pub known_version: u64,
 }
 
-impl fmt::Display for Stale {
+impl fmt::Display for StaleRead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "version {} after {}", self.version, self.known)
+        write!(f, "version {} after {}", self.version, self.known_version)
     }
 }
 
-impl std::error::Error for Stale {}
+impl std::error::Error for StaleRead {}
 
 /// A copy of one table.
 #[derive(Clone, Debug, Default)]
@@ -83,8 +83,8 @@
     rows: BTreeMap<String, Row>,
     version: u64,
     /// Removals up to here are forgotten.
-    forgotten: u64,
-    last_change: u64,
+    compacted_version: u64,
+    last_change_version: u64,
     is_loaded: bool,
 }
 
@@ -95,8 +95,8 @@
     }
 
     /// The version of the last change that was seen.
-    pub fn last_change(&self) -> u64 {
-        self.last_change
+    pub fn last_change_version(&self) -> u64 {
+        self.last_change_version
     }
 
     /// Whether the table was read once.
@@ -105,8 +105,8 @@
     }
 
     /// What one that has everything up to `version` lacks.
-    pub fn since(&self, version: u64) -> Changes {
-        let is_whole = version < self.forgotten || version == 0;
+    pub fn changes_since(&self, version: u64) -> Changes {
+        let is_whole = version < self.compacted_version || version == 0;
         let after = if is_whole { 0 } else { version };
         let lacks = |row: &&Row| row.version > after && !(is_whole && row.is_removed);
         let mut rows: Vec<Row> = self.rows.values().filter(lacks).cloned().collect();
@@ -114,42 +114,43 @@
         Changes { is_whole, rows, version: self.version }
     }
 
-    /// Takes in changes; returns the rows that are news.
+    /// Takes in changes; returns the rows that changed.
     ///
     /// Changes that come by two ways are taken in once, and what is older than
     /// the copy is left out: a source that lags must not bring back a server that
     /// has left.
-    pub fn take(&mut self, changes: Changes) -> Vec<Row> {
+    pub fn apply(&mut self, changes: Changes) -> Vec<Row> {
         if changes.is_whole {
             return self.replace(changes.rows, changes.version).unwrap_or_default();
         }
         let version = self.version;
-        let news: Vec<Row> = changes.rows.into_iter().filter(|row| row.version > version).collect();
-        self.insert(&news);
+        let changed: Vec<Row> =
+            changes.rows.into_iter().filter(|row| row.version > version).collect();
+        self.insert(&changed);
         self.version = self.version.max(changes.version);
-        news
+        changed
     }
 
-    /// Takes in the whole table; returns the rows that are news, those that are
+    /// Takes in the whole table; returns the rows that changed, those that are
     /// missing from it as removed.
     ///
     /// # Errors
     ///
     /// When the copy is newer.
-    pub fn replace(&mut self, rows: Vec<Row>, version: u64) -> Result<Vec<Row>, Stale> {
+    pub fn replace(&mut self, rows: Vec<Row>, version: u64) -> Result<Vec<Row>, StaleRead> {
         if version < self.version {
-            return Err(Stale { version, known: self.version });
+            return Err(StaleRead { version, known_version: self.version });
         }
-        let mut news = self.missing_from(&rows, version);
+        let mut changed = self.removals_for_missing(&rows, version);
         let known = &self.rows;
-        news.extend(rows.into_iter().filter(|row| known.get(&row.key) != Some(row)));
-        self.insert(&news);
+        changed.extend(rows.into_iter().filter(|row| known.get(&row.key) != Some(row)));
+        self.insert(&changed);
         self.version = version;
         self.is_loaded = true;
-        Ok(news)
+        Ok(changed)
     }
 
-    fn missing_from(&self, rows: &[Row], version: u64) -> Vec<Row> {
+    fn removals_for_missing(&self, rows: &[Row], version: u64) -> Vec<Row> {
         let keys: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
         let known = self.rows.values().filter(|row| !row.is_removed);
         let missing = known.filter(|row| !keys.contains(row.key.as_str()));
@@ -160,23 +161,23 @@
 
     fn insert(&mut self, rows: &[Row]) {
         for row in rows {
-            self.last_change = self.last_change.max(row.version);
+            self.last_change_version = self.last_change_version.max(row.version);
             self.rows.insert(row.key.clone(), row.clone());
         }
         if rows.iter().any(|row| row.is_removed) {
-            self.forget_removals();
+            self.compact_removed_rows();
         }
     }
 
-    fn forget_removals(&mut self) {
+    fn compact_removed_rows(&mut self) {
         let removed = self.rows.values().filter(|row| row.is_removed);
         let mut versions: Vec<u64> = removed.map(|row| row.version).collect();
-        if versions.len() <= REMOVALS_KEPT {
+        if versions.len() <= MAX_REMOVED_ROWS {
             return;
         }
         // Half at once, so that this is not done for every row.
-        let (_, &mut newest, _) = versions.select_nth_unstable(REMOVALS_KEPT / 2);
-        self.forgotten = self.forgotten.max(newest);
+        let (_, &mut newest, _) = versions.select_nth_unstable(MAX_REMOVED_ROWS / 2);
+        self.compacted_version = self.compacted_version.max(newest);
         self.rows.retain(|_, row| !row.is_removed || row.version > newest);
     }
 }
--- a/crates/azuregate-core/tests/replica.rs
+++ b/crates/azuregate-core/tests/replica.rs
@@ -6,7 +6,7 @@
 
 use azuregate_core::{
     names::InstanceId,
-    replica::{Changes, FreshnessTracker, Replica, Row, SourceReport, Stale},
+    replica::{Changes, FreshnessTracker, Replica, Row, SourceReport, StaleRead},
 };
 use proptest::prelude::*;
 
@@ -24,7 +24,7 @@
 
 /// What a copy holds: keys and values of rows that are there.
 fn held(replica: &Replica) -> BTreeMap<String, String> {
-    let rows = replica.since(0).rows.into_iter();
+    let rows = replica.changes_since(0).rows.into_iter();
     rows.map(|row| (row.key, row.value.unwrap())).collect()
 }
 
@@ -35,12 +35,12 @@
 fn a_source_that_lags_brings_nothing_back() {
     let mut replica = Replica::default();
     replica.replace(vec![row("a", "ready", 3)], 3).unwrap();
-    replica.take(some(vec![removal("a", 5)], 5));
-    assert_eq!(replica.take(some(vec![row("a", "ready", 3)], 4)), []);
+    replica.apply(some(vec![removal("a", 5)], 5));
+    assert_eq!(replica.apply(some(vec![row("a", "ready", 3)], 4)), []);
     let whole = Changes { is_whole: true, rows: vec![row("a", "ready", 3)], version: 4 };
-    assert_eq!(replica.take(whole), []);
+    assert_eq!(replica.apply(whole), []);
     let stale = replica.replace(vec![row("a", "ready", 3)], 4);
-    assert_eq!(stale, Err(Stale { version: 4, known: 5 }));
+    assert_eq!(stale, Err(StaleRead { version: 4, known_version: 5 }));
     assert!(held(&replica).is_empty());
 }
 
@@ -48,10 +48,10 @@
 fn rows_that_are_missing_from_a_whole_table_were_removed() {
     let mut replica = Replica::default();
     replica.replace(vec![row("a", "1", 1), row("b", "1", 2)], 2).unwrap();
-    let news = replica.replace(vec![row("b", "1", 2), row("c", "1", 7)], 9).unwrap();
-    assert_eq!(news, [removal("a", 9), row("c", "1", 7)]);
+    let changed = replica.replace(vec![row("b", "1", 2), row("c", "1", 7)], 9).unwrap();
+    assert_eq!(changed, [removal("a", 9), row("c", "1", 7)]);
     // One who follows and had everything up to 2 learns of both.
-    let lacks = replica.since(2);
+    let lacks = replica.changes_since(2);
     assert_eq!((lacks.is_whole, lacks.rows.len(), lacks.version), (false, 2, 9));
 }
 
@@ -64,15 +64,15 @@
     let mut follower = source.clone();
     for version in 2..1_000 {
         let key = format!("k{version}");
-        source.take(some(vec![row(&key, "1", version * 2)], version * 2));
-        source.take(some(vec![removal(&key, version * 2 + 1)], version * 2 + 1));
+        source.apply(some(vec![row(&key, "1", version * 2)], version * 2));
+        source.apply(some(vec![removal(&key, version * 2 + 1)], version * 2 + 1));
     }
-    source.take(some(vec![removal("a", 3_000), row("b", "1", 3_001)], 3_001));
-    let lacks = source.since(follower.version());
+    source.apply(some(vec![removal("a", 3_000), row("b", "1", 3_001)], 3_001));
+    let lacks = source.changes_since(follower.version());
     assert!(lacks.is_whole);
-    follower.take(lacks);
+    follower.apply(lacks);
     assert_eq!(held(&follower), held(&source));
-    assert!(!source.since(2_990).is_whole);
+    assert!(!source.changes_since(2_990).is_whole);
 }
 
 /// Changes of the table, each a key and whether it is written or removed.
@@ -99,22 +99,22 @@
             if let Some(((key, is_written), version)) = changes.next() {
                 let key = key.to_string();
                 let change = if is_written { row(&key, "x", version) } else { removal(&key, version) };
-                store.take(some(vec![change], version));
+                store.apply(some(vec![change], version));
             }
             if reads {
-                let lacks = store.since(sources[source].version());
-                sources[source].take(lacks);
+                let lacks = store.changes_since(sources[source].version());
+                sources[source].apply(lacks);
             }
             if connects_anew {
                 sent[source] = follower.version();
             }
             let before = follower.version();
-            follower.take(sources[source].since(sent[source]));
+            follower.apply(sources[source].changes_since(sent[source]));
             sent[source] = sent[source].max(sources[source].version());
             prop_assert!(follower.version() >= before);
         }
-        sources[0].take(store.since(sources[0].version()));
-        follower.take(sources[0].since(sent[0]));
+        sources[0].apply(store.changes_since(sources[0].version()));
+        follower.apply(sources[0].changes_since(sent[0]));
         prop_assert_eq!(held(&follower), held(&store));
     }
 }
--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -2,7 +2,7 @@
 
 use azuregate_core::{
     names::BackendId,
-    replica::{Changes, Row, Stale, Table},
+    replica::{Changes, Row, StaleRead, Table},
 };
 use azuregate_platform::{
     backend,
@@ -15,12 +15,12 @@
 impl State {
     /// Takes in changes of a table.
     pub(super) fn take(&self, table: Table, changes: Changes) {
-        let news = self.tables.borrow_mut().get_mut(table).take(changes);
+        let news = self.tables.borrow_mut().get_mut(table).apply(changes);
         self.apply(table, &news);
     }
 
     /// Takes in a table that was read whole.
-    pub(super) fn replace(&self, table: Table, whole: Changes) -> Result<(), Stale> {
+    pub(super) fn replace(&self, table: Table, whole: Changes) -> Result<(), StaleRead> {
         let news = self.tables.borrow_mut().get_mut(table).replace(whole.rows, whole.version)?;
         self.apply(table, &news);
         Ok(())
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -180,7 +180,7 @@
     state.encoded.borrow_mut().get(span.clone(), || {
         let tables = state.tables.borrow();
         let changes =
-            span.into_iter().map(|(table, from, _)| (table, tables.get(table).since(from)));
+            span.into_iter().map(|(table, from, _)| (table, tables.get(table).changes_since(from)));
         Encoded::new(&changes.collect())
     })
 }
