--- a/crates/azuregate-core/src/membership.rs
+++ b/crates/azuregate-core/src/membership.rs
@@ -17,30 +17,30 @@
 
 /// How often neighbours send heartbeats, and what silence means.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Pace {
+pub struct HeartbeatTiming {
     /// A heartbeat goes to each neighbour so often.
     pub heartbeat_ms: u64,
     /// An instance that was not heard of for this long gets no new work.
-    pub silent_ms: u64,
+    pub failure_timeout_ms: u64,
 }
 
-impl Pace {
+impl HeartbeatTiming {
     /// The pace in a deployment of `listed` instances.
     ///
     /// A small one can afford to notice silence within two seconds. In a large
     /// one an instance has up to 28 neighbours, and a heartbeat each second to
     /// and from all of them would take 8 kB/s with the headers of its packets.
-    pub fn of(listed: usize) -> Pace {
+    pub fn for_deployment(listed: usize) -> HeartbeatTiming {
         if listed <= FULL_MESH {
-            return Pace { heartbeat_ms: 500, silent_ms: 2_000 };
+            return HeartbeatTiming { heartbeat_ms: 500, failure_timeout_ms: 2_000 };
         }
-        Pace { heartbeat_ms: 2_000, silent_ms: 5_000 }
+        HeartbeatTiming { heartbeat_ms: 2_000, failure_timeout_ms: 5_000 }
     }
 }
 
 /// How many peers must agree with an instance that starts while the platform is
 /// down.
-pub const READY_PEERS: usize = 2;
+pub const READY_QUORUM: usize = 2;
 
 /// What an instance says of itself at rest.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -60,44 +60,44 @@
 /// What one instance believes of the others.
 #[derive(Clone, Debug)]
 pub struct Membership {
-    me: InstanceId,
+    self_id: InstanceId,
     peers: BTreeMap<InstanceId, Peer>,
     stopping: BTreeMap<InstanceId, StartNumber>,
     confirmed_at_ms: Option<Millis>,
-    confirm_limit_ms: u64,
-    pace: Pace,
+    confirmation_timeout_ms: u64,
+    timing: HeartbeatTiming,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     start: StartNumber,
-    heard_at_ms: Millis,
+    last_heartbeat_at_ms: Millis,
     confirmed_at_ms: Option<Millis>,
     ready: bool,
     agrees: bool,
 }
 
 impl Membership {
-    /// What `me` believes before it has heard of anyone.
-    pub fn new(me: &InstanceId) -> Membership {
+    /// What `self_id` believes before it has heard of anyone.
+    pub fn new(self_id: &InstanceId) -> Membership {
         Membership {
-            me: me.clone(),
+            self_id: self_id.clone(),
             peers: BTreeMap::new(),
             stopping: BTreeMap::new(),
             confirmed_at_ms: None,
-            confirm_limit_ms: u64::MAX,
-            pace: Pace::of(0),
+            confirmation_timeout_ms: u64::MAX,
+            timing: HeartbeatTiming::for_deployment(0),
         }
     }
 
     /// Sets the instances that are watched. New ones count as heard of now, so
     /// that they have time to open a link.
-    pub fn watch(&mut self, neighbours: &BTreeSet<InstanceId>, now_ms: Millis) {
+    pub fn set_neighbours(&mut self, neighbours: &BTreeSet<InstanceId>, now_ms: Millis) {
         self.peers.retain(|id, _| neighbours.contains(id));
         for id in neighbours {
             self.peers.entry(id.clone()).or_insert(Peer {
                 start: StartNumber(0),
-                heard_at_ms: now_ms,
+                last_heartbeat_at_ms: now_ms,
                 confirmed_at_ms: Some(now_ms),
                 ready: true,
                 agrees: false,
@@ -106,17 +106,17 @@
     }
 
     /// Sets how often heartbeats come, and what silence means.
-    pub fn set_pace(&mut self, pace: Pace) {
-        self.pace = pace;
+    pub fn set_heartbeat_timing(&mut self, timing: HeartbeatTiming) {
+        self.timing = timing;
     }
 
     /// Sets how long an instance stays in the answers without confirmation.
-    pub fn set_confirm_limit(&mut self, limit_ms: u64) {
-        self.confirm_limit_ms = limit_ms;
+    pub fn set_confirmation_timeout_ms(&mut self, timeout_ms: u64) {
+        self.confirmation_timeout_ms = timeout_ms;
     }
 
     /// Takes in a heartbeat; `digest` is that of the own versions.
-    pub fn heard(
+    pub fn record_heartbeat(
         &mut self,
         id: &InstanceId,
         start: StartNumber,
@@ -130,7 +130,7 @@
         }
         let same = heartbeat.digest == digest;
         peer.start = start;
-        peer.heard_at_ms = now_ms;
+        peer.last_heartbeat_at_ms = now_ms;
         // What is older than this process counts as not confirmed: monotonic time
         // cannot tell of it, and would make it look young.
         let at_ms = heartbeat.confirmed_age_ms.and_then(|age_ms| now_ms.0.checked_sub(age_ms));
@@ -143,21 +143,21 @@
     }
 
     /// Notes that an instance has started a planned stop.
-    pub fn stopping(&mut self, id: &InstanceId, start: StartNumber) {
+    pub fn record_stopping(&mut self, id: &InstanceId, start: StartNumber) {
         let latest = self.stopping.entry(id.clone()).or_default();
         *latest = start.max(*latest);
     }
 
     /// Notes that the own versions are the platform's newest.
-    pub fn confirmed(&mut self, now_ms: Millis) {
+    pub fn record_confirmation(&mut self, now_ms: Millis) {
         self.confirmed_at_ms = Some(now_ms);
     }
 
     /// Forgets what may have changed while this process was paused.
-    pub fn woke(&mut self, now_ms: Millis) {
+    pub fn reset_after_pause(&mut self, now_ms: Millis) {
         self.confirmed_at_ms = None;
         for peer in self.peers.values_mut() {
-            peer.heard_at_ms = now_ms;
+            peer.last_heartbeat_at_ms = now_ms;
             peer.agrees = false;
         }
     }
@@ -168,43 +168,43 @@
     }
 
     /// How many peers serve with the same versions as this instance.
-    pub fn agreeing(&self, now_ms: Millis) -> usize {
-        self.peers.values().filter(|peer| peer.agrees && !self.is_silent(peer, now_ms)).count()
+    pub fn agreeing_peers(&self, now_ms: Millis) -> usize {
+        self.peers.values().filter(|peer| peer.agrees && !self.is_timed_out(peer, now_ms)).count()
     }
 
     /// The instances that get no new work: those that stop, have gone silent, may
     /// have missed a change, or say that they are not ready.
-    pub fn away(&self, now_ms: Millis) -> BTreeSet<InstanceId> {
-        let mut away: BTreeSet<_> = self.silent(now_ms).collect();
-        away.extend(self.unconfirmed(now_ms));
+    pub fn unavailable(&self, now_ms: Millis) -> BTreeSet<InstanceId> {
+        let mut unavailable: BTreeSet<_> = self.timed_out(now_ms).collect();
+        unavailable.extend(self.unconfirmed(now_ms));
         let not_ready = self.peers.iter().filter(|(_, peer)| !peer.ready);
-        away.extend(not_ready.map(|(id, _)| id.clone()));
+        unavailable.extend(not_ready.map(|(id, _)| id.clone()));
         for (id, start) in &self.stopping {
             let heard = self.peers.get(id).map(|peer| peer.start);
             if heard.is_none_or(|heard| heard <= *start) {
-                away.insert(id.clone());
+                unavailable.insert(id.clone());
             }
         }
-        away
+        unavailable
     }
 
-    fn silent(&self, now_ms: Millis) -> impl Iterator<Item = InstanceId> {
-        let silent = self.peers.iter().filter(move |(_, peer)| self.is_silent(peer, now_ms));
+    fn timed_out(&self, now_ms: Millis) -> impl Iterator<Item = InstanceId> {
+        let timed_out = self.peers.iter().filter(move |(_, peer)| self.is_timed_out(peer, now_ms));
         // An instance that hears hardly anyone is cut off itself. If it believed
         // the others dead it would send all callers to itself.
-        let cut_off = silent.clone().count() * 2 > self.peers.len();
-        silent.filter(move |_| !cut_off).map(|(id, _)| id.clone())
+        let is_isolated = timed_out.clone().count() * 2 > self.peers.len();
+        timed_out.filter(move |_| !is_isolated).map(|(id, _)| id.clone())
     }
 
     fn unconfirmed(&self, now_ms: Millis) -> Vec<InstanceId> {
         let is_old = |at_ms: Option<Millis>| {
-            at_ms.is_none_or(|at_ms| now_ms.since(at_ms).0 > self.confirm_limit_ms)
+            at_ms.is_none_or(|at_ms| now_ms.since(at_ms).0 > self.confirmation_timeout_ms)
         };
         // What a silent instance has confirmed is not known; silence is judged by
         // itself.
-        let heard = self.peers.iter().filter(|(_, peer)| !self.is_silent(peer, now_ms));
+        let heard = self.peers.iter().filter(|(_, peer)| !self.is_timed_out(peer, now_ms));
         let peers = heard.map(|(id, peer)| (id, peer.confirmed_at_ms));
-        let all = peers.chain([(&self.me, self.confirmed_at_ms)]);
+        let all = peers.chain([(&self.self_id, self.confirmed_at_ms)]);
         let (old, fresh): (Vec<_>, Vec<_>) = all.partition(|(_, at_ms)| is_old(*at_ms));
         // With the platform down nobody can confirm, and no change can be made.
         if fresh.is_empty() {
@@ -213,7 +213,7 @@
         old.into_iter().map(|(id, _)| id.clone()).collect()
     }
 
-    fn is_silent(&self, peer: &Peer, now_ms: Millis) -> bool {
-        now_ms.since(peer.heard_at_ms).0 > self.pace.silent_ms
+    fn is_timed_out(&self, peer: &Peer, now_ms: Millis) -> bool {
+        now_ms.since(peer.last_heartbeat_at_ms).0 > self.timing.failure_timeout_ms
     }
 }
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -58,7 +58,7 @@
     /// The instances that the links found away and that hold requests of this
     /// one; as indexes.
     pub fn away(&self, snapshot: &Snapshot) -> Vec<usize> {
-        let known = snapshot.away.iter().filter_map(|id| self.peers.find(id));
+        let known = snapshot.unavailable.iter().filter_map(|id| self.peers.find(id));
         known.filter(|&peer| self.peers.holds_any(peer)).collect()
     }
 
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -22,7 +22,7 @@
 
 /// Heartbeats and polls take their time: a shorter limit would send healthy
 /// instances away.
-const CONFIRM_AT_LEAST_MS: u64 = 3_000;
+const MIN_CONFIRMATION_TIMEOUT_MS: u64 = 3_000;
 
 /// Everything the request path reads; immutable, and replaced as a whole.
 #[derive(Clone, Debug)]
@@ -37,7 +37,7 @@
     /// The entry instances as the platform lists them, ordered by name.
     pub listed: Arc<[Instance]>,
     /// Instances that get no new work by any sign but the list.
-    pub away: BTreeSet<InstanceId>,
+    pub unavailable: BTreeSet<InstanceId>,
     /// The latest start of each entry instance that a neighbour told of.
     pub starts: BTreeMap<InstanceId, StartNumber>,
     /// Instances that told of their planned stop, with their start numbers.
@@ -66,7 +66,7 @@
             policies: BTreeMap::new(),
             instances: Arc::from([]),
             listed: Arc::from([]),
-            away: BTreeSet::new(),
+            unavailable: BTreeSet::new(),
             starts: BTreeMap::new(),
             stopping: BTreeSet::new(),
             backends: BTreeMap::new(),
@@ -113,18 +113,18 @@
         self.listed = Arc::from(list.instances);
         self.backends = backends;
         self.forget_old_starts();
-        self.merge_away();
+        self.merge_unavailable();
         true
     }
 
     /// Replaces the set of instances that get no new work; returns whether
     /// anything changed.
-    pub fn set_away(&mut self, away: BTreeSet<InstanceId>) -> bool {
-        if self.away == away {
+    pub fn set_unavailable(&mut self, unavailable: BTreeSet<InstanceId>) -> bool {
+        if self.unavailable == unavailable {
             return false;
         }
-        self.away = away;
-        self.merge_away();
+        self.unavailable = unavailable;
+        self.merge_unavailable();
         true
     }
 
@@ -186,10 +186,10 @@
     ///
     /// A shift may start so long after its commit that callers have forgotten
     /// an instance that missed it.
-    pub fn confirm_limit_ms(&self) -> u64 {
+    pub fn confirmation_timeout_ms(&self) -> u64 {
         let delays = self.policies.values().map(|policy| policy.shift_delay_ms);
         let shortest = delays.min().unwrap_or(SHIFT_DELAY_MS);
-        shortest.saturating_sub(entries::MAX_AGE_S * 1_000 + 1_000).max(CONFIRM_AT_LEAST_MS)
+        shortest.saturating_sub(entries::MAX_AGE_S * 1_000 + 1_000).max(MIN_CONFIRMATION_TIMEOUT_MS)
     }
 
     fn forget_old_starts(&mut self) {
@@ -204,10 +204,10 @@
         self.probes = probes;
     }
 
-    fn merge_away(&mut self) {
+    fn merge_unavailable(&mut self) {
         let mut instances = self.listed.to_vec();
         for instance in &mut instances {
-            if self.away.contains(&instance.id) {
+            if self.unavailable.contains(&instance.id) {
                 instance.liveness = Liveness::Leaving;
             }
         }
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -8,7 +8,7 @@
 };
 
 use azuregate_core::{
-    membership::{Heartbeat, Membership, Pace},
+    membership::{Heartbeat, HeartbeatTiming, Membership},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
     neighbours::{FULL_MESH, Graph, graph},
     probe::{ProbeReport, Watch, watched},
@@ -35,11 +35,11 @@
 /// Instance 0 of five, which all were heard of at 0.
 fn five() -> Membership {
     let mut membership = Membership::new(&id(0));
-    membership.watch(&ids(&[1, 2, 3, 4]), Millis(0));
-    membership.set_confirm_limit(LIMIT_MS);
-    membership.confirmed(Millis(0));
+    membership.set_neighbours(&ids(&[1, 2, 3, 4]), Millis(0));
+    membership.set_confirmation_timeout_ms(LIMIT_MS);
+    membership.record_confirmation(Millis(0));
     for index in 1..5 {
-        membership.heard(&id(index), StartNumber(1), beat(0), DIGEST, Millis(0));
+        membership.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST, Millis(0));
     }
     membership
 }
@@ -49,21 +49,21 @@
 #[test]
 fn one_lost_heartbeat_is_no_silence_at_any_size() {
     for listed in [2, 9, FULL_MESH, FULL_MESH + 1, 680] {
-        let pace = Pace::of(listed);
+        let timing = HeartbeatTiming::for_deployment(listed);
         let mut membership = five();
-        membership.set_pace(pace);
+        membership.set_heartbeat_timing(timing);
         let mut hear = |heard: &[usize], at_ms| {
-            membership.confirmed(at_ms);
+            membership.record_confirmation(at_ms);
             for &index in heard {
-                membership.heard(&id(index), StartNumber(1), beat(0), DIGEST, at_ms);
+                membership.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST, at_ms);
             }
-            membership.away(at_ms)
+            membership.unavailable(at_ms)
         };
-        let at = |beats| Millis(beats * pace.heartbeat_ms);
+        let at = |beats| Millis(beats * timing.heartbeat_ms);
         assert_eq!(hear(&[1, 2, 3], at(1)), ids(&[]), "of {listed}");
         assert_eq!(hear(&[1, 2, 3], at(2)), ids(&[]), "of {listed}, one lost");
         assert_eq!(hear(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, heard again");
-        let silent_at = at(2) + Millis(pace.silent_ms + 1);
+        let silent_at = at(2) + Millis(timing.failure_timeout_ms + 1);
         assert_eq!(hear(&[1, 2, 3], silent_at), ids(&[4]), "of {listed}, silent");
     }
 }
@@ -92,11 +92,11 @@
     ];
     for Case { case, heard, away } in cases {
         let mut membership = five();
-        membership.confirmed(later);
+        membership.record_confirmation(later);
         for &(index, age_ms) in heard {
-            membership.heard(&id(index), StartNumber(1), beat(age_ms), DIGEST, later);
+            membership.record_heartbeat(&id(index), StartNumber(1), beat(age_ms), DIGEST, later);
         }
-        assert_eq!(membership.away(later), ids(away), "{case}");
+        assert_eq!(membership.unavailable(later), ids(away), "{case}");
     }
 }
 
@@ -108,19 +108,23 @@
     let mut membership = five();
     let later = Millis(100_000);
     for index in 1..5 {
-        membership.heard(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
+        membership.record_heartbeat(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
     }
-    assert_eq!(membership.away(later), ids(&[]));
+    assert_eq!(membership.unavailable(later), ids(&[]));
 
-    membership.heard(&id(1), StartNumber(1), beat(0), DIGEST, later);
+    membership.record_heartbeat(&id(1), StartNumber(1), beat(0), DIGEST, later);
     assert_eq!(membership.confirmed_age_ms(later), Some(0));
-    assert_eq!(membership.away(later), ids(&[2, 3, 4]));
+    assert_eq!(membership.unavailable(later), ids(&[2, 3, 4]));
 
     let mut other = five();
     for index in 1..5 {
-        other.heard(&id(index), StartNumber(1), beat(0), DIGEST + 1, later);
+        other.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST + 1, later);
     }
-    assert_eq!(other.away(later), ids(&[0]), "it has other versions than all that confirmed");
+    assert_eq!(
+        other.unavailable(later),
+        ids(&[0]),
+        "it has other versions than all that confirmed"
+    );
 }
 
 // An instance tells that it stops, ends, and is started again. Heartbeats of its
@@ -128,12 +132,12 @@
 #[test]
 fn a_stop_holds_for_one_start() {
     let mut membership = five();
-    membership.stopping(&id(4), StartNumber(1));
-    assert_eq!(membership.away(Millis(1)), ids(&[4]));
-    membership.heard(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
-    assert_eq!(membership.away(Millis(2)), ids(&[]));
-    membership.heard(&id(4), StartNumber(1), beat(LIMIT_MS + 1), DIGEST, Millis(3));
-    assert_eq!(membership.away(Millis(3)), ids(&[]));
+    membership.record_stopping(&id(4), StartNumber(1));
+    assert_eq!(membership.unavailable(Millis(1)), ids(&[4]));
+    membership.record_heartbeat(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
+    assert_eq!(membership.unavailable(Millis(2)), ids(&[]));
+    membership.record_heartbeat(&id(4), StartNumber(1), beat(LIMIT_MS + 1), DIGEST, Millis(3));
+    assert_eq!(membership.unavailable(Millis(3)), ids(&[]));
 }
 
 // The platform is down, and an instance has just started: it knows of nothing,
@@ -142,18 +146,18 @@
 fn an_instance_that_is_not_ready_is_away() {
     let mut membership = five();
     let starting = Heartbeat { ready: false, confirmed_age_ms: None, digest: 0 };
-    membership.heard(&id(4), StartNumber(2), starting, DIGEST, Millis(1));
-    assert_eq!(membership.away(Millis(1)), ids(&[4]));
-    membership.heard(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
-    assert_eq!(membership.away(Millis(2)), ids(&[]));
+    membership.record_heartbeat(&id(4), StartNumber(2), starting, DIGEST, Millis(1));
+    assert_eq!(membership.unavailable(Millis(1)), ids(&[4]));
+    membership.record_heartbeat(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
+    assert_eq!(membership.unavailable(Millis(2)), ids(&[]));
 
     let mut all_down = five();
     let later = Millis(100_000);
     for index in 1..4 {
-        all_down.heard(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
+        all_down.record_heartbeat(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
     }
-    all_down.heard(&id(4), StartNumber(2), starting, DIGEST, later);
-    assert_eq!(all_down.away(later), ids(&[4]));
+    all_down.record_heartbeat(&id(4), StartNumber(2), starting, DIGEST, later);
+    assert_eq!(all_down.unavailable(later), ids(&[4]));
 }
 
 // A process is paused. On waking, the others seem silent, and what it had
@@ -161,12 +165,12 @@
 #[test]
 fn waking_starts_afresh() {
     let mut membership = five();
-    assert_eq!(membership.agreeing(Millis(1)), 4);
+    assert_eq!(membership.agreeing_peers(Millis(1)), 4);
     let woken = Millis(10_000);
-    membership.woke(woken);
-    assert_eq!((membership.agreeing(woken), membership.confirmed_age_ms(woken)), (0, None));
-    membership.heard(&id(1), StartNumber(1), beat(0), DIGEST, woken);
-    assert_eq!(membership.agreeing(woken), 1);
+    membership.reset_after_pause(woken);
+    assert_eq!((membership.agreeing_peers(woken), membership.confirmed_age_ms(woken)), (0, None));
+    membership.record_heartbeat(&id(1), StartNumber(1), beat(0), DIGEST, woken);
+    assert_eq!(membership.agreeing_peers(woken), 1);
 }
 
 fn instances(count: usize) -> Vec<Instance> {
@@ -323,8 +327,8 @@
     let live = |snapshot: &Snapshot| {
         snapshot.instances.iter().filter(|i| i.liveness == Liveness::Live).count()
     };
-    assert!(snapshot.set_away(ids(&[1, 2])));
+    assert!(snapshot.set_unavailable(ids(&[1, 2])));
     assert_eq!(live(&snapshot), 3);
-    assert!(snapshot.set_away(ids(&[0, 1, 2, 3, 4])));
+    assert!(snapshot.set_unavailable(ids(&[0, 1, 2, 3, 4])));
     assert_eq!(live(&snapshot), 5);
 }
--- a/crates/azuregate-lab/benches/capacity_peers.rs
+++ b/crates/azuregate-lab/benches/capacity_peers.rs
@@ -22,7 +22,7 @@
 
 use azuregate::peer::{Frame, PeerLink, WsLink};
 use azuregate_core::{
-    membership::{Heartbeat, Pace},
+    membership::{Heartbeat, HeartbeatTiming},
     names::{InstanceId, StartNumber},
     policy::Policy,
 };
@@ -84,7 +84,7 @@
     let traffic = Arc::new(Traffic::default());
     let (changes, _) = broadcast::channel(1_024);
     let mut tasks = Vec::new();
-    let beat = Duration::from_millis(Pace::of(world.listed).heartbeat_ms);
+    let beat = Duration::from_millis(HeartbeatTiming::for_deployment(world.listed).heartbeat_ms);
     for neighbour in &world.neighbours {
         let listener = TcpListener::bind(neighbour.peer_addr()).await?;
         let (id, traffic, changes) = (neighbour.id.clone(), Arc::clone(&traffic), changes.clone());
--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -12,7 +12,7 @@
 
 use azuregate::peer::Frame;
 use azuregate_core::{
-    membership::{Heartbeat, Pace},
+    membership::{Heartbeat, HeartbeatTiming},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
     neighbours::{Graph, graph},
     policy::{Cap, Policy, SHIFT_DELAY_MS, Shift},
@@ -65,7 +65,7 @@
     let (links_mean, links_max) = mean_max(&links);
     let frames: Vec<f64> = all.sent.iter().map(|&sent| sent as f64).collect();
     let (frames_mean, frames_max) = mean_max(&frames);
-    let beats_per_s = 1e3 / Pace::of(graph.len()).heartbeat_ms as f64;
+    let beats_per_s = 1e3 / HeartbeatTiming::for_deployment(graph.len()).heartbeat_ms as f64;
     let changes_per_s = CHANGES_PER_DAY / S_PER_DAY;
     let at_rest = |links: f64, frames: f64| {
         links * beats_per_s * heartbeat as f64 + changes_per_s * frames * change as f64
--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -175,9 +175,9 @@
             fresh
         }
         Change::Away(away) => {
-            let changed = snapshot.set_away(away);
+            let changed = snapshot.set_unavailable(away);
             if changed {
-                log::info!(away:? = snapshot.away; "instances away");
+                log::info!(away:? = snapshot.unavailable; "instances away");
             }
             changed
         }
--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -1,7 +1,7 @@
 //! Owns what this instance believes of the others, and notices its own pauses.
 
 use azuregate_core::{
-    membership::{Heartbeat, Membership, Pace, READY_PEERS},
+    membership::{Heartbeat, HeartbeatTiming, Membership, READY_QUORUM},
     names::{InstanceId, StartNumber},
     neighbours,
     snapshot::{Instance, Snapshot},
@@ -130,12 +130,12 @@
         match message {
             Message::Heard(id, start, heartbeat) => {
                 let digest = self.parts.snapshots.current().digest();
-                self.membership.heard(&id, start, heartbeat, digest, now_ms);
+                self.membership.record_heartbeat(&id, start, heartbeat, digest, now_ms);
             }
             Message::PlatformRead if self.was_paused(now_ms) => {}
             Message::PlatformRead => {
                 self.platform_down = false;
-                self.membership.confirmed(now_ms);
+                self.membership.record_confirmation(now_ms);
                 // In this order, or an instance that has just started would be
                 // ready while it still calls itself away.
                 self.tell_away(now_ms);
@@ -150,7 +150,7 @@
         if self.was_paused(now_ms) {
             // Whatever was decided meanwhile is not known here yet.
             log::warn!(paused_ms = now_ms.since(self.looked_at_ms).0; "process was paused");
-            self.membership.woke(now_ms);
+            self.membership.reset_after_pause(now_ms);
             self.parts.config.change(Change::Woken);
         }
         self.looked_at_ms = now_ms;
@@ -166,7 +166,7 @@
     }
 
     fn tell_away(&mut self, now_ms: Millis) {
-        let away = self.membership.away(now_ms);
+        let away = self.membership.unavailable(now_ms);
         if away != self.away {
             self.away = away.clone();
             self.parts.config.change(Change::Away(away));
@@ -177,20 +177,21 @@
         if !Arc::ptr_eq(&self.listed, &snapshot.listed) {
             self.listed = Arc::clone(&snapshot.listed);
             let neighbours = neighbours::neighbours(&self.parts.instance, &self.listed);
-            self.membership.watch(&neighbours, now_ms);
-            self.membership.set_pace(Pace::of(self.listed.len()));
+            self.membership.set_neighbours(&neighbours, now_ms);
+            self.membership
+                .set_heartbeat_timing(HeartbeatTiming::for_deployment(self.listed.len()));
         }
-        self.membership.set_confirm_limit(snapshot.confirm_limit_ms());
+        self.membership.set_confirmation_timeout_ms(snapshot.confirmation_timeout_ms());
         for (instance, start) in &snapshot.stopping {
-            self.membership.stopping(instance, *start);
+            self.membership.record_stopping(instance, *start);
         }
     }
 
     /// With the platform down, the word of several peers is enough to serve:
     /// no change can be made that they do not know of.
     fn get_ready(&self, snapshot: &Snapshot, now_ms: Millis) {
-        let needed = READY_PEERS.min(self.listed.len().saturating_sub(1)).max(1);
-        let agreeing = self.membership.agreeing(now_ms);
+        let needed = READY_QUORUM.min(self.listed.len().saturating_sub(1)).max(1);
+        let agreeing = self.membership.agreeing_peers(now_ms);
         if self.platform_down && !snapshot.ready && agreeing >= needed {
             self.parts.config.change(Change::ConfirmedByPeers(agreeing));
         }
--- a/crates/azuregate/src/operators/describe.rs
+++ b/crates/azuregate/src/operators/describe.rs
@@ -27,7 +27,7 @@
         ""
     } else if is_stopping {
         "it said that it stops"
-    } else if snapshot.away.contains(&instance.id) {
+    } else if snapshot.unavailable.contains(&instance.id) {
         "its peers do not hear of it"
     } else {
         "the platform lists it as leaving"
--- a/crates/azuregate/src/peer/mesh.rs
+++ b/crates/azuregate/src/peer/mesh.rs
@@ -7,7 +7,7 @@
 };
 
 use azuregate_core::{
-    membership::Pace,
+    membership::HeartbeatTiming,
     names::{InstanceId, StartNumber},
     neighbours,
     snapshot::Instance,
@@ -126,7 +126,7 @@
         expected: Expected,
         opened: &mpsc::UnboundedSender<InstanceId>,
     ) -> LinkParts {
-        let pace = Pace::of(self.snapshots.current().listed.len());
+        let timing = HeartbeatTiming::for_deployment(self.snapshots.current().listed.len());
         LinkParts {
             instance: self.instance.clone(),
             start: self.start,
@@ -135,7 +135,7 @@
             members: self.members.clone(),
             clock: Arc::clone(&self.clock),
             exchange: self.exchange.clone(),
-            heartbeats: self.timer.subscribe(pace.heartbeat_ms),
+            heartbeats: self.timer.subscribe(timing.heartbeat_ms),
             expected,
             opened: opened.clone(),
         }
