--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -87,7 +87,7 @@
     let mut retries = 0;
     for _ in 0..10_000 {
         budget.deposit();
-        retries += u32::from(budget.try_take());
+        retries += u32::from(budget.try_withdraw());
     }
     assert!((1_000..=1_020).contains(&retries), "{retries}");
 }
--- a/crates/azuregate/src/gateway/retries.rs
+++ b/crates/azuregate/src/gateway/retries.rs
@@ -22,7 +22,7 @@
 
     /// Takes one retry, if the budget has one.
     pub(crate) fn try_take(&self) -> bool {
-        self.budget.try_take()
+        self.budget.try_withdraw()
     }
 
     /// Takes in how long the head of an answer took.
