--- a/crates/azuregate-core/src/lib.rs
+++ b/crates/azuregate-core/src/lib.rs
@@ -32,7 +32,7 @@
 * [`probe`] tells which backend servers do not answer.
 * [`entries`] answers which entry instances a caller should use.
 * [`retry`] bounds retries to a share of recent requests.
-* [`late`] knows the usual time of an answer.
+* [`latency`] estimates the usual latency of an answer.
 * [`error`] is the closed list of error kinds and the table from kind to answer.
 */
 
@@ -42,7 +42,7 @@
 pub mod entries;
 pub mod error;
 pub mod home;
-pub mod late;
+pub mod latency;
 pub mod membership;
 pub mod names;
 pub mod neighbours;
--- a/crates/azuregate-core/tests/late.rs
+++ b/crates/azuregate-core/tests/latency.rs
@@ -1,6 +1,6 @@
 //! When an answer is late.
 
-use azuregate_core::late::UsualTime;
+use azuregate_core::latency::LatencyEstimator;
 
 #[test]
 fn an_answer_is_late_well_past_the_usual_time() {
@@ -13,12 +13,12 @@
         // Steady answers narrow it down.
         (&[100; 50], Some(100)),
     ];
-    for (taken_ms, late_after_ms) in cases {
-        let mut usual = UsualTime::default();
+    for (taken_ms, late_threshold_ms) in cases {
+        let mut estimator = LatencyEstimator::default();
         for taken_ms in *taken_ms {
-            usual.record(*taken_ms);
+            estimator.record(*taken_ms);
         }
-        assert_eq!(usual.late_after_ms(), *late_after_ms, "{taken_ms:?}");
+        assert_eq!(estimator.late_threshold_ms(), *late_threshold_ms, "{taken_ms:?}");
     }
 }
 
@@ -28,12 +28,12 @@
 #[test]
 fn a_read_that_only_takes_long_is_seldom_late() {
     let mut rng = fastrand::Rng::with_seed(1);
-    let mut usual = UsualTime::default();
+    let mut estimator = LatencyEstimator::default();
     let (count, mut late) = (20_000, 0);
     for _ in 0..count {
         let taken_ms = (-(1.0 - rng.f64()).ln() * 20.0) as u64;
-        late += u64::from(usual.late_after_ms().is_some_and(|limit| taken_ms > limit));
-        usual.record(taken_ms);
+        late += u64::from(estimator.late_threshold_ms().is_some_and(|limit| taken_ms > limit));
+        estimator.record(taken_ms);
     }
     assert!(late <= count / 200, "{late} of {count} are late");
 }
--- a/crates/azuregate/src/gateway/retries.rs
+++ b/crates/azuregate/src/gateway/retries.rs
@@ -5,13 +5,13 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-use azuregate_core::{late::UsualTime, names::ServiceName, retry::RetryBudget};
+use azuregate_core::{latency::LatencyEstimator, names::ServiceName, retry::RetryBudget};
 
 /// The retries of one service; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Retries {
     budget: Arc<RetryBudget>,
-    usual: Arc<Mutex<UsualTime>>,
+    usual: Arc<Mutex<LatencyEstimator>>,
 }
 
 impl Retries {
@@ -32,7 +32,7 @@
 
     /// After how many milliseconds the head of an answer is late.
     pub(crate) fn late_after_ms(&self) -> Option<u64> {
-        self.usual.lock().unwrap_or_else(PoisonError::into_inner).late_after_ms()
+        self.usual.lock().unwrap_or_else(PoisonError::into_inner).late_threshold_ms()
     }
 }
 
