--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -80,7 +80,7 @@
 
     /// Whether both have the same lists of instances and backend servers, by
     /// identity: what was worked out from the one holds for the other.
-    pub fn has_lists_of(&self, other: &Snapshot) -> bool {
+    pub fn shares_lists_with(&self, other: &Snapshot) -> bool {
         let same = |(a, b): (&Arc<[BackendServer]>, &Arc<[BackendServer]>)| Arc::ptr_eq(a, b);
         Arc::ptr_eq(&self.instances, &other.instances)
             && self.backends.len() == other.backends.len()
@@ -112,7 +112,7 @@
         }
         self.listed = Arc::from(list.instances);
         self.backends = backends;
-        self.forget_old_starts();
+        self.prune_unlisted();
         self.merge_unavailable();
         true
     }
@@ -152,28 +152,28 @@
     }
 
     /// Notes a start of an entry instance; returns whether it is news.
-    pub fn add_start(&mut self, id: &InstanceId, start: StartNumber) -> bool {
-        let is_news = self.starts.get(id).is_none_or(|known| *known < start);
-        if is_news {
+    pub fn record_start(&mut self, id: &InstanceId, start: StartNumber) -> bool {
+        let is_newer = self.starts.get(id).is_none_or(|known| *known < start);
+        if is_newer {
             self.starts.insert(id.clone(), start);
         }
-        is_news
+        is_newer
     }
 
     /// Notes a sign that a server is leaving; returns whether it is news.
     ///
     /// Servers that are not listed, and starts before the listed one, are
     /// ignored: the set would grow without bound.
-    pub fn add_leaving(&mut self, id: &BackendId, start: StartNumber) -> bool {
+    pub fn mark_leaving(&mut self, id: &BackendId, start: StartNumber) -> bool {
         let known = self.backend(id).is_some_and(|server| server.start <= start);
         known && self.leaving.insert((id.clone(), start))
     }
 
     /// Notes what a watcher says; returns whether it is news.
-    pub fn add_probes(&mut self, watcher: &InstanceId, report: ProbeReport) -> bool {
+    pub fn record_probe_report(&mut self, watcher: &InstanceId, report: ProbeReport) -> bool {
         let listed = self.listed.iter().any(|instance| instance.id == *watcher);
-        let is_news = self.probes.get(watcher).is_none_or(|known| report.is_newer(known));
-        if !listed || !is_news {
+        let is_newer = self.probes.get(watcher).is_none_or(|known| report.is_newer(known));
+        if !listed || !is_newer {
             return false;
         }
         self.probes.insert(watcher.clone(), report);
@@ -192,7 +192,7 @@
         shortest.saturating_sub(entries::MAX_AGE_S * 1_000 + 1_000).max(MIN_CONFIRMATION_TIMEOUT_MS)
     }
 
-    fn forget_old_starts(&mut self) {
+    fn prune_unlisted(&mut self) {
         let mut leaving = std::mem::take(&mut self.leaving);
         leaving.retain(|(id, start)| self.backend(id).is_some_and(|s| s.start <= *start));
         self.leaving = leaving;
--- a/crates/azuregate-core/src/snapshot/readiness.rs
+++ b/crates/azuregate-core/src/snapshot/readiness.rs
@@ -12,7 +12,8 @@
     #[default]
     Starting,
     /// It was paused and may have missed changes.
-    Woken,
+    #[serde(rename = "woken")]
+    Resumed,
     /// It has what the platform holds.
     Platform,
     /// The platform is down; it has the highest versions of so many peers.
@@ -30,7 +31,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Readiness::Starting => f.write_str("no configuration in force yet"),
-            Readiness::Woken => f.write_str("paused before, and not confirmed since"),
+            Readiness::Resumed => f.write_str("paused before, and not confirmed since"),
             Readiness::Platform => f.write_str("confirmed by the platform"),
             Readiness::Peers(count) => write!(f, "confirmed by {count} peers, platform down"),
         }
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -288,25 +288,25 @@
     let (first, second) = (id(watchers.next().unwrap()), id(watchers.next().unwrap()));
     assert_eq!(watchers.next(), None);
     let report = |sequence, failed| ProbeReport { start: StartNumber(1), sequence, failed };
-    assert!(snapshot.add_probes(&first, report(1, backends(&[0]))));
+    assert!(snapshot.record_probe_report(&first, report(1, backends(&[0]))));
     assert_eq!(open(&snapshot), 4);
-    assert!(snapshot.add_probes(&second, report(1, backends(&[0]))));
+    assert!(snapshot.record_probe_report(&second, report(1, backends(&[0]))));
     assert_eq!(open(&snapshot), 3);
-    assert!(snapshot.add_probes(&first, report(2, backends(&[]))));
+    assert!(snapshot.record_probe_report(&first, report(2, backends(&[]))));
     assert_eq!(open(&snapshot), 4, "it answers the first again");
-    assert!(!snapshot.add_probes(&first, report(1, backends(&[0]))), "an old report");
+    assert!(!snapshot.record_probe_report(&first, report(1, backends(&[0]))), "an old report");
     let stranger = InstanceId::new("stranger");
-    assert!(!snapshot.add_probes(&stranger, report(1, backends(&[0]))), "not listed");
+    assert!(!snapshot.record_probe_report(&stranger, report(1, backends(&[0]))), "not listed");
 }
 
 #[test]
 fn leaving_holds_for_one_start_of_a_listed_server() {
     let mut snapshot = snapshot(3);
     let first = server(0, 1).id;
-    assert!(!snapshot.add_leaving(&BackendId::new("stranger"), StartNumber(1)));
-    assert!(!snapshot.add_leaving(&first, StartNumber(0)), "a start before the listed one");
-    assert!(snapshot.add_leaving(&first, StartNumber(1)));
-    assert!(!snapshot.add_leaving(&first, StartNumber(1)), "no news");
+    assert!(!snapshot.mark_leaving(&BackendId::new("stranger"), StartNumber(1)));
+    assert!(!snapshot.mark_leaving(&first, StartNumber(0)), "a start before the listed one");
+    assert!(snapshot.mark_leaving(&first, StartNumber(1)));
+    assert!(!snapshot.mark_leaving(&first, StartNumber(1)), "no news");
     assert_eq!(open(&snapshot), 2);
     let backends = vec![server(0, 2), server(1, 1), server(2, 1)];
     snapshot.set_list(InstanceList { instances: instances(5), backends });
--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -45,7 +45,7 @@
             return snapshot;
         }
         let mut woken = Snapshot::clone(&snapshot);
-        woken.set_readiness(Readiness::Woken);
+        woken.set_readiness(Readiness::Resumed);
         Arc::new(woken)
     }
 
@@ -166,7 +166,7 @@
         Change::Closed(backend, start) => {
             most_stay(snapshot, &backend) && leave(snapshot, &backend, start, &Source::Backend)
         }
-        Change::Started(instance, start) => snapshot.add_start(&instance, start),
+        Change::Started(instance, start) => snapshot.record_start(&instance, start),
         Change::Stopping(instance, start) => {
             let fresh = snapshot.stopping.insert((instance.clone(), start));
             if fresh {
@@ -186,7 +186,7 @@
         Change::ConfirmedByPeers(count) => {
             !snapshot.ready && set_readiness(snapshot, Readiness::Peers(count))
         }
-        Change::Woken => set_readiness(snapshot, Readiness::Woken),
+        Change::Woken => set_readiness(snapshot, Readiness::Resumed),
         Change::Beat(_) => false,
     }
 }
@@ -218,7 +218,7 @@
     start: StartNumber,
     source: &Source,
 ) -> bool {
-    let fresh = snapshot.add_leaving(backend, start);
+    let fresh = snapshot.mark_leaving(backend, start);
     if fresh {
         log::info!(backend:% = backend, start:% = start, source:? = source; "backend server leaving");
     }
@@ -239,7 +239,7 @@
 
 fn apply_probes(snapshot: &mut Snapshot, watcher: &InstanceId, report: ProbeReport) -> bool {
     let before = snapshot.unreachable.clone();
-    let changed = snapshot.add_probes(watcher, report);
+    let changed = snapshot.record_probe_report(watcher, report);
     if before != snapshot.unreachable {
         log::warn!(backends:? = snapshot.unreachable; "backend servers unreachable");
     }
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -54,7 +54,7 @@
             // Every pair of an instance and a server is hashed to find out who
             // watches what: milliseconds at today's size, but 0.2 s of processor
             // time with 680 instances and 3,000 servers. The lists change seldom.
-            if !snapshot.has_lists_of(&lists) {
+            if !snapshot.shares_lists_with(&lists) {
                 servers = watched(&self.instance, &snapshot);
                 lists = snapshot;
             }
--- a/crates/azuregate/tests/configuration/config.rs
+++ b/crates/azuregate/tests/configuration/config.rs
@@ -40,7 +40,7 @@
 
     clock.jump(PAUSE_MS + 1);
     let woken = snapshots.current();
-    assert_eq!((woken.ready, woken.readiness), (false, Readiness::Woken));
+    assert_eq!((woken.ready, woken.readiness), (false, Readiness::Resumed));
 
     config.change(Change::Woken);
     config.change(Change::Beat(1_000 + PAUSE_MS + 1));
