--- a/crates/azuregate-core/src/probe.rs
+++ b/crates/azuregate-core/src/probe.rs
@@ -16,12 +16,12 @@
 };
 
 /// How many instances watch each backend server.
-pub const WATCHERS: usize = 2;
+pub const WATCHERS_PER_SERVER: usize = 2;
 /// How many probes in a row must fail: one lost packet is no failure.
-const FAILURES: u32 = 2;
+const FAILURE_THRESHOLD: u32 = 2;
 /// With fewer watched servers than this, a watcher cannot tell its own cut from
 /// theirs.
-const FEW: usize = 3;
+const MIN_SERVERS_FOR_ISOLATION_CHECK: usize = 3;
 
 /// What one watcher says, as a whole; a newer one replaces it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -43,11 +43,11 @@
 
 /// The probes of one watcher.
 #[derive(Clone, Debug, Default)]
-pub struct Watch {
+pub struct ProbeTracker {
     failures: BTreeMap<BackendId, u32>,
 }
 
-impl Watch {
+impl ProbeTracker {
     /// Sets the servers that are watched; counts of those that stay are kept.
     pub fn set_servers(&mut self, servers: &BTreeSet<BackendId>) {
         self.failures.retain(|id, _| servers.contains(id));
@@ -57,7 +57,7 @@
     }
 
     /// Counts a probe.
-    pub fn probed(&mut self, id: &BackendId, answered: bool) {
+    pub fn record_probe(&mut self, id: &BackendId, answered: bool) {
         if let Some(failures) = self.failures.get_mut(id) {
             *failures = if answered { 0 } else { *failures + 1 };
         }
@@ -67,25 +67,25 @@
     ///
     /// A watcher that reaches hardly any server is cut off itself, and says
     /// nothing.
-    pub fn failed(&self) -> BTreeSet<BackendId> {
-        let failed = self.failures.iter().filter(|(_, failures)| **failures >= FAILURES);
+    pub fn failed_servers(&self) -> BTreeSet<BackendId> {
+        let failed = self.failures.iter().filter(|(_, failures)| **failures >= FAILURE_THRESHOLD);
         let failed: BTreeSet<_> = failed.map(|(id, _)| id.clone()).collect();
         let watched = self.failures.len();
-        if watched >= FEW && failed.len() * 3 > watched * 2 {
+        if watched >= MIN_SERVERS_FOR_ISOLATION_CHECK && failed.len() * 3 > watched * 2 {
             return BTreeSet::new();
         }
         failed
     }
 }
 
-/// The servers that `me` watches.
-pub fn watched(me: &InstanceId, snapshot: &Snapshot) -> Vec<BackendServer> {
+/// The servers that `self_id` watches.
+pub fn watched_servers(self_id: &InstanceId, snapshot: &Snapshot) -> Vec<BackendServer> {
     let servers = snapshot.backends.values().flat_map(|servers| servers.iter());
-    servers.filter(|server| watchers(snapshot, &server.id).contains(&me)).cloned().collect()
+    servers.filter(|server| watchers(snapshot, &server.id).contains(&self_id)).cloned().collect()
 }
 
 /// The servers that every one of their watchers found not to answer.
-pub fn unreachable(snapshot: &Snapshot) -> BTreeSet<BackendId> {
+pub fn unreachable_servers(snapshot: &Snapshot) -> BTreeSet<BackendId> {
     let suspects: BTreeSet<_> =
         snapshot.probes.values().flat_map(|report| &report.failed).collect();
     let agreed = |id: &&BackendId| {
@@ -100,5 +100,5 @@
 
 fn watchers<'a>(snapshot: &'a Snapshot, id: &BackendId) -> Vec<&'a InstanceId> {
     let live = snapshot.instances.iter().filter(|i| i.liveness == Liveness::Live);
-    neighbours::watchers(id.as_str(), live.map(|instance| &instance.id), WATCHERS)
+    neighbours::watchers(id.as_str(), live.map(|instance| &instance.id), WATCHERS_PER_SERVER)
 }
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -177,7 +177,7 @@
             return false;
         }
         self.probes.insert(watcher.clone(), report);
-        self.unreachable = probe::unreachable(self);
+        self.unreachable = probe::unreachable_servers(self);
         true
     }
 
@@ -215,7 +215,7 @@
         // Callers are better off with an instance that may be gone than with
         // none.
         self.instances = if any_live { Arc::from(instances) } else { Arc::clone(&self.listed) };
-        self.unreachable = probe::unreachable(self);
+        self.unreachable = probe::unreachable_servers(self);
     }
 
     /// The backend servers of a service, each with whether it may get new work.
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -11,7 +11,7 @@
     membership::{Heartbeat, HeartbeatTiming, Membership},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
     neighbours::{FULL_MESH, Graph, graph},
-    probe::{ProbeReport, Watch, watched},
+    probe::{ProbeReport, ProbeTracker, watched_servers},
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
     time::Millis,
     topology::Topology,
@@ -262,18 +262,18 @@
         ("too few to tell", &[2, 2], &[0, 1]),
     ];
     for (case, failures, failed) in cases {
-        let mut watch = Watch::default();
+        let mut tracker = ProbeTracker::default();
         let all: Vec<usize> = (0..failures.len()).collect();
-        watch.set_servers(&backends(&all));
+        tracker.set_servers(&backends(&all));
         for (index, &count) in failures.iter().enumerate() {
-            watch.probed(&server(index, 1).id, true);
+            tracker.record_probe(&server(index, 1).id, true);
             for _ in 0..count {
-                watch.probed(&server(index, 1).id, false);
+                tracker.record_probe(&server(index, 1).id, false);
             }
         }
-        assert_eq!(watch.failed(), backends(failed), "{case}");
-        watch.probed(&server(0, 1).id, true);
-        assert!(!watch.failed().contains(&server(0, 1).id), "{case}: it answers again");
+        assert_eq!(tracker.failed_servers(), backends(failed), "{case}");
+        tracker.record_probe(&server(0, 1).id, true);
+        assert!(!tracker.failed_servers().contains(&server(0, 1).id), "{case}: it answers again");
     }
 }
 
@@ -283,8 +283,8 @@
 fn both_watchers_have_to_agree() {
     let mut snapshot = snapshot(4);
     let suspect = server(0, 1).id;
-    let mut watchers =
-        (0..5).filter(|&i| watched(&id(i), &snapshot).iter().any(|server| server.id == suspect));
+    let mut watchers = (0..5)
+        .filter(|&i| watched_servers(&id(i), &snapshot).iter().any(|server| server.id == suspect));
     let (first, second) = (id(watchers.next().unwrap()), id(watchers.next().unwrap()));
     assert_eq!(watchers.next(), None);
     let report = |sequence, failed| ProbeReport { start: StartNumber(1), sequence, failed };
--- a/crates/azuregate-lab/benches/world/mod.rs
+++ b/crates/azuregate-lab/benches/world/mod.rs
@@ -11,7 +11,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     neighbours,
     policy::{Cap, Policy},
-    probe::WATCHERS,
+    probe::WATCHERS_PER_SERVER,
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
     topology::{Region, Topology},
 };
@@ -57,7 +57,7 @@
         let linked = neighbours::neighbours(&me, &list.instances);
         let ids = || list.instances.iter().map(|instance| &instance.id);
         let watches = |server: &&BackendServer| {
-            neighbours::watchers(server.id.as_str(), ids(), WATCHERS).contains(&&me)
+            neighbours::watchers(server.id.as_str(), ids(), WATCHERS_PER_SERVER).contains(&&me)
         };
         let policies: Vec<_> = (0..services).map(policy).collect();
         World {
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     names::{BackendId, InstanceId, StartNumber},
-    probe::{ProbeReport, Watch, watched},
+    probe::{ProbeReport, ProbeTracker, watched_servers},
     snapshot::{BackendServer, Snapshot},
 };
 use futures_util::future;
@@ -45,25 +45,25 @@
     /// Probes until the task is aborted.
     pub async fn serve(self) {
         let mut ticks = self.timer.subscribe(PROBE_MS);
-        let mut watch = Watch::default();
+        let mut tracker = ProbeTracker::default();
         let mut report = self.report(0, BTreeSet::new());
         let mut lists = self.snapshots.current();
-        let mut servers = watched(&self.instance, &lists);
+        let mut servers = watched_servers(&self.instance, &lists);
         while ticks.recv().await.is_some() {
             let snapshot = self.snapshots.current();
             // Every pair of an instance and a server is hashed to find out who
             // watches what: milliseconds at today's size, but 0.2 s of processor
             // time with 680 instances and 3,000 servers. The lists change seldom.
             if !snapshot.shares_lists_with(&lists) {
-                servers = watched(&self.instance, &snapshot);
+                servers = watched_servers(&self.instance, &snapshot);
                 lists = snapshot;
             }
-            watch.set_servers(&servers.iter().map(|server| server.id.clone()).collect());
+            tracker.set_servers(&servers.iter().map(|server| server.id.clone()).collect());
             let probes = servers.iter().map(|server| self.probe(server));
             for (id, answered) in future::join_all(probes).await {
-                watch.probed(&id, answered);
+                tracker.record_probe(&id, answered);
             }
-            let failed = watch.failed();
+            let failed = tracker.failed_servers();
             if failed != report.failed {
                 report = self.report(report.sequence + 1, failed);
                 self.config.change(Change::Probes(self.instance.clone(), report.clone()));
