--- a/crates/azuregate-core/src/membership.rs
+++ b/crates/azuregate-core/src/membership.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     names::{InstanceId, StartNumber},
-    neighbours::FULL_MESH,
+    neighbours::MAX_FULL_MESH,
     time::Millis,
 };
 
@@ -31,7 +31,7 @@
     /// one an instance has up to 28 neighbours, and a heartbeat each second to
     /// and from all of them would take 8 kB/s with the headers of its packets.
     pub fn for_deployment(listed: usize) -> HeartbeatTiming {
-        if listed <= FULL_MESH {
+        if listed <= MAX_FULL_MESH {
             return HeartbeatTiming { heartbeat_ms: 500, failure_timeout_ms: 2_000 };
         }
         HeartbeatTiming { heartbeat_ms: 2_000, failure_timeout_ms: 5_000 }
--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -18,27 +18,27 @@
 };
 
 /// Up to this many instances, all keep links to all.
-pub const FULL_MESH: usize = 24;
+pub const MAX_FULL_MESH: usize = 24;
 /// How many instances of its own zone each picks.
-const PICKS_AT_HOME: usize = 2;
+const SAME_ZONE_LINKS: usize = 2;
 /// In how many other zones each picks one instance.
-const PICKS_AWAY: usize = 6;
+const OTHER_ZONE_LINKS: usize = 6;
 
 /// The links of a whole deployment: the neighbours of each instance.
-pub type Graph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
+pub type LinkGraph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
 
 /// The neighbours of `me` among `instances`.
 pub fn neighbours(me: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
-    graph(instances).remove(me).unwrap_or_default()
+    link_graph(instances).remove(me).unwrap_or_default()
 }
 
 /// All links among `instances`; each stands at both of its ends.
-pub fn graph(instances: &[Instance]) -> Graph {
+pub fn link_graph(instances: &[Instance]) -> LinkGraph {
     let zones = by_zone(instances);
-    let mut graph: Graph =
+    let mut graph: LinkGraph =
         instances.iter().map(|instance| (instance.id.clone(), BTreeSet::new())).collect();
     for instance in instances {
-        for picked in picks(instance, instances, &zones) {
+        for picked in picked_links(instance, instances, &zones) {
             if let Some(linked) = graph.get_mut(picked) {
                 linked.insert(instance.id.clone());
             }
@@ -60,24 +60,28 @@
     zones
 }
 
-fn picks<'a>(this: &Instance, instances: &'a [Instance], zones: &Zones<'a>) -> Vec<&'a InstanceId> {
-    if instances.len() <= FULL_MESH {
+fn picked_links<'a>(
+    this: &Instance,
+    instances: &'a [Instance],
+    zones: &Zones<'a>,
+) -> Vec<&'a InstanceId> {
+    if instances.len() <= MAX_FULL_MESH {
         let others = instances.iter().filter(|other| other.id != this.id);
         return others.map(|other| &other.id).collect();
     }
     let score = |name: &str| hash::score(&[this.id.as_str(), name]);
-    let mut away: Vec<_> = zones.keys().filter(|zone| ***zone != this.zone).collect();
-    away.sort_by_cached_key(|zone| score(zone.as_str()));
-    away.truncate(PICKS_AWAY);
+    let mut other_zones: Vec<_> = zones.keys().filter(|zone| ***zone != this.zone).collect();
+    other_zones.sort_by_cached_key(|zone| score(zone.as_str()));
+    other_zones.truncate(OTHER_ZONE_LINKS);
     let first = |zone: &&&ZoneName| {
         let members = zones[**zone].iter().copied();
         members.min_by_key(|id| score(id.as_str()))
     };
-    let mut picked: Vec<_> = away.iter().filter_map(first).collect();
-    let mut home = zones[&this.zone].clone();
-    home.retain(|id| **id != this.id);
-    home.sort_by_cached_key(|id| score(id.as_str()));
-    picked.extend(home.into_iter().take(PICKS_AT_HOME));
+    let mut picked: Vec<_> = other_zones.iter().filter_map(first).collect();
+    let mut same_zone = zones[&this.zone].clone();
+    same_zone.retain(|id| **id != this.id);
+    same_zone.sort_by_cached_key(|id| score(id.as_str()));
+    picked.extend(same_zone.into_iter().take(SAME_ZONE_LINKS));
     picked
 }
 
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -10,7 +10,7 @@
 use azuregate_core::{
     membership::{Heartbeat, HeartbeatTiming, Membership},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
-    neighbours::{FULL_MESH, Graph, graph},
+    neighbours::{LinkGraph, MAX_FULL_MESH, link_graph},
     probe::{ProbeReport, ProbeTracker, watched_servers},
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
     time::Millis,
@@ -48,7 +48,7 @@
 // sent away from a live instance if the one that was lost counted as silence.
 #[test]
 fn one_lost_heartbeat_is_no_silence_at_any_size() {
-    for listed in [2, 9, FULL_MESH, FULL_MESH + 1, 680] {
+    for listed in [2, 9, MAX_FULL_MESH, MAX_FULL_MESH + 1, 680] {
         let timing = HeartbeatTiming::for_deployment(listed);
         let mut membership = five();
         membership.set_heartbeat_timing(timing);
@@ -186,7 +186,7 @@
 }
 
 /// How many of the `alive` instances a change reaches that starts at one.
-fn reached(graph: &Graph, alive: &BTreeSet<InstanceId>) -> usize {
+fn reached(graph: &LinkGraph, alive: &BTreeSet<InstanceId>) -> usize {
     let first = alive.first().unwrap();
     let mut seen = BTreeSet::from([first]);
     let mut queue = VecDeque::from([first]);
@@ -199,8 +199,8 @@
 
 #[test]
 fn links_are_mutual_bounded_and_survive_deaths() {
-    for count in [1, 2, 9, FULL_MESH, FULL_MESH + 1, 85, 680] {
-        let graph = graph(&instances(count));
+    for count in [1, 2, 9, MAX_FULL_MESH, MAX_FULL_MESH + 1, 85, 680] {
+        let graph = link_graph(&instances(count));
         for (id, linked) in &graph {
             assert!(!linked.contains(id));
             assert!(linked.iter().all(|other| graph[other].contains(id)), "{id} of {count}");
--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -14,7 +14,7 @@
 use azuregate_core::{
     membership::{Heartbeat, HeartbeatTiming},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
-    neighbours::{Graph, graph},
+    neighbours::{LinkGraph, link_graph},
     policy::{Cap, Policy, SHIFT_DELAY_MS, Shift},
     probe::ProbeReport,
     snapshot::{Instance, Liveness},
@@ -46,7 +46,7 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for (count, zones) in SIZES {
-        let graph = graph(&instances(count, zones));
+        let graph = link_graph(&instances(count, zones));
         let dead = count * 46 / 680;
         let deaths = if dead == 0 { vec![0] } else { vec![0, dead] };
         for dead in deaths {
@@ -55,7 +55,7 @@
     }
 }
 
-fn print_row(graph: &Graph, dead: usize, change: usize, heartbeat: usize) {
+fn print_row(graph: &LinkGraph, dead: usize, change: usize, heartbeat: usize) {
     let mut all = Spread::default();
     let seeds = if dead == 0 { 1 } else { SEEDS };
     for seed in 0..seeds {
@@ -105,7 +105,7 @@
     }
 }
 
-fn spread(graph: &Graph, dead: usize, seed: u64) -> Spread {
+fn spread(graph: &LinkGraph, dead: usize, seed: u64) -> Spread {
     let mut rng = fastrand::Rng::with_seed(seed);
     let names: Vec<&InstanceId> = graph.keys().collect();
     let mut alive: BTreeSet<&InstanceId> = names.iter().copied().collect();
