--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -37,22 +37,22 @@
 
 /// A text that names no home.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ParseHomeError;
+pub struct ParseHomeTokenError;
 
 impl FromStr for HomeToken {
-    type Err = ParseHomeError;
+    type Err = ParseHomeTokenError;
 
-    fn from_str(text: &str) -> Result<HomeToken, ParseHomeError> {
+    fn from_str(text: &str) -> Result<HomeToken, ParseHomeTokenError> {
         // From the right, since the name of an instance may hold dots.
-        let (rest, issued) = text.rsplit_once('.').ok_or(ParseHomeError)?;
-        let (instance, start) = rest.rsplit_once('.').ok_or(ParseHomeError)?;
+        let (rest, issued) = text.rsplit_once('.').ok_or(ParseHomeTokenError)?;
+        let (instance, start) = rest.rsplit_once('.').ok_or(ParseHomeTokenError)?;
         if instance.is_empty() {
-            return Err(ParseHomeError);
+            return Err(ParseHomeTokenError);
         }
         Ok(HomeToken {
             instance: InstanceId::new(instance),
-            start: StartNumber(start.parse().map_err(|_| ParseHomeError)?),
-            issued_at_ms: Millis(issued.parse().map_err(|_| ParseHomeError)?),
+            start: StartNumber(start.parse().map_err(|_| ParseHomeTokenError)?),
+            issued_at_ms: Millis(issued.parse().map_err(|_| ParseHomeTokenError)?),
         })
     }
 }
@@ -65,9 +65,9 @@
     /// How far the clock of the instance that gave it out may be ahead.
     pub skew_ms: u64,
     /// How many keys are remembered at the most.
-    pub limit_keys: usize,
+    pub max_keys: usize,
     /// How much all kept answers may take together, in bytes.
-    pub limit_bytes: usize,
+    pub max_answer_bytes: usize,
 }
 
 impl Config {
@@ -83,7 +83,12 @@
 
 impl Default for Config {
     fn default() -> Config {
-        Config { validity_ms: 600_000, skew_ms: 60_000, limit_keys: 100_000, limit_bytes: 32 << 20 }
+        Config {
+            validity_ms: 600_000,
+            skew_ms: 60_000,
+            max_keys: 100_000,
+            max_answer_bytes: 32 << 20,
+        }
     }
 }
 
@@ -93,9 +98,9 @@
     config: Config,
     keys: HashMap<String, Entry>,
     /// Keys in the order in which they were first seen.
-    seen: VecDeque<(Millis, String, u64)>,
+    expiry_queue: VecDeque<(Millis, String, u64)>,
     /// Keys in the order in which their answers came.
-    answers: VecDeque<(String, u64)>,
+    answer_queue: VecDeque<(String, u64)>,
     answer_bytes: usize,
     next_sequence: u64,
 }
@@ -113,8 +118,8 @@
         HomeTable {
             config,
             keys: HashMap::new(),
-            seen: VecDeque::new(),
-            answers: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
+            answer_queue: VecDeque::new(),
             answer_bytes: 0,
             next_sequence: 0,
         }
@@ -131,7 +136,7 @@
         issued_at_ms: Millis,
         now_ms: Millis,
     ) -> (Verdict, u64) {
-        self.forget_old(now_ms);
+        self.evict_expired(now_ms);
         if let Some(entry) = self.keys.get(key) {
             let same = entry.fingerprint == fingerprint;
             let settled = entry.settled.as_ref();
@@ -144,14 +149,14 @@
         if ahead || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
             return (Verdict::Refuse(ErrorKind::HomeExpired), 0);
         }
-        if self.keys.len() >= self.config.limit_keys {
+        if self.keys.len() >= self.config.max_keys {
             return (Verdict::Refuse(ErrorKind::ClaimsFull), 0);
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let entry = Entry { sequence, fingerprint, settled: None };
         self.keys.insert(key.to_owned(), entry);
-        self.seen.push_back((now_ms, key.to_owned(), sequence));
+        self.expiry_queue.push_back((now_ms, key.to_owned(), sequence));
         (Verdict::Run, sequence)
     }
 
@@ -162,10 +167,10 @@
         };
         if let Settled::Answer(answer) = &settled {
             self.answer_bytes += answer.size_bytes();
-            self.answers.push_back((key.to_owned(), sequence));
+            self.answer_queue.push_back((key.to_owned(), sequence));
         }
         entry.settled = Some(settled);
-        self.drop_answers();
+        self.evict_answers();
     }
 
     /// Gives up a claim whose request certainly did not run.
@@ -177,8 +182,8 @@
 
     /// When the oldest key will be forgotten, in milliseconds from `now_ms`: when a
     /// full home has room again.
-    pub fn room_in_ms(&self, now_ms: Millis) -> u64 {
-        let oldest = self.seen.front();
+    pub fn next_expiry_in_ms(&self, now_ms: Millis) -> u64 {
+        let oldest = self.expiry_queue.front();
         oldest.map_or(0, |(seen_ms, ..)| {
             (*seen_ms + Millis(self.config.retention_ms())).since(now_ms).0
         })
@@ -199,12 +204,12 @@
         self.answer_bytes
     }
 
-    fn forget_old(&mut self, now_ms: Millis) {
+    fn evict_expired(&mut self, now_ms: Millis) {
         let retention_ms = self.config.retention_ms();
-        while let Some((seen_ms, _, _)) = self.seen.front()
+        while let Some((seen_ms, _, _)) = self.expiry_queue.front()
             && now_ms.since(*seen_ms).0 > retention_ms
         {
-            let Some((_, key, sequence)) = self.seen.pop_front() else { return };
+            let Some((_, key, sequence)) = self.expiry_queue.pop_front() else { return };
             if self.keys.get(&key).is_none_or(|entry| entry.sequence != sequence) {
                 continue;
             }
@@ -216,9 +221,9 @@
     }
 
     /// Drops the oldest answers while they take too much; their keys stay.
-    fn drop_answers(&mut self) {
-        while self.answer_bytes > self.config.limit_bytes {
-            let Some((key, sequence)) = self.answers.pop_front() else { return };
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > self.config.max_answer_bytes {
+            let Some((key, sequence)) = self.answer_queue.pop_front() else { return };
             let Some(entry) = self.keys.get_mut(&key) else { continue };
             if entry.sequence != sequence {
                 continue;
--- a/crates/azuregate-core/tests/home.rs
+++ b/crates/azuregate-core/tests/home.rs
@@ -13,7 +13,7 @@
 };
 use proptest::prelude::*;
 
-const SMALL: Config = Config { validity_ms: 100, skew_ms: 10, limit_keys: 5, limit_bytes: 50 };
+const SMALL: Config = Config { validity_ms: 100, skew_ms: 10, max_keys: 5, max_answer_bytes: 50 };
 
 fn answer(bytes: usize) -> Settled {
     let body = KeptBody::Inline(vec![0; bytes]);
@@ -83,8 +83,8 @@
                 prop_assert!(ran.insert(key), "key {key} ran twice");
                 running.insert(key, sequence);
             }
-            prop_assert!(table.len() <= SMALL.limit_keys);
-            prop_assert!(table.answer_bytes() <= SMALL.limit_bytes);
+            prop_assert!(table.len() <= SMALL.max_keys);
+            prop_assert!(table.answer_bytes() <= SMALL.max_answer_bytes);
         }
     }
 
@@ -120,7 +120,7 @@
     let other = table.claim("4", 8, now_ms, now_ms).0;
     assert_eq!(other, Verdict::Refuse(ErrorKind::ClaimMismatch));
     for (after_ms, verdict) in [(0, Verdict::Refuse(ErrorKind::ClaimsFull)), (1, Verdict::Run)] {
-        let then_ms = now_ms + Millis(table.room_in_ms(now_ms) + after_ms);
+        let then_ms = now_ms + Millis(table.next_expiry_in_ms(now_ms) + after_ms);
         assert_eq!(table.claim("5", 7, then_ms, then_ms).0, verdict);
     }
 }
--- a/crates/azuregate-lab/examples/claims.rs
+++ b/crates/azuregate-lab/examples/claims.rs
@@ -180,7 +180,7 @@
 
 /// What a home takes for each key, by the resident memory of this process.
 fn home_memory() -> Result<(), ClientError> {
-    let config = Config { limit_bytes: usize::MAX, ..Config::default() };
+    let config = Config { max_answer_bytes: usize::MAX, ..Config::default() };
     // Kept to the end, or the next table would live in what this one gave back.
     let mut tables = Vec::new();
     for keys in [25_000, 50_000, 100_000] {
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -87,7 +87,7 @@
             Message::Claim { key, fingerprint, issued_at_ms, reply } => {
                 let now_ms = origin_ms + clock.now();
                 let (verdict, sequence) = table.claim(&key, fingerprint, issued_at_ms, now_ms);
-                let room_in_ms = table.room_in_ms(now_ms);
+                let room_in_ms = table.next_expiry_in_ms(now_ms);
                 let _ = reply.send(Decided { verdict, sequence, room_in_ms });
             }
             Message::Settle { held, settled } => table.settle(&held.key, held.sequence, settled),
