--- a/crates/azuregate-core/src/claim.rs
+++ b/crates/azuregate-core/src/claim.rs
@@ -63,18 +63,18 @@
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
 /// How long one instance does the cleaning before it is another's turn.
-const TURN_MS: u64 = 60_000;
+const CLEANUP_TURN_MS: u64 = 60_000;
 
 impl Claim {
     /// Whether it is past its retention.
-    pub fn is_old(&self, now_ms: Millis) -> bool {
+    pub fn is_expired(&self, now_ms: Millis) -> bool {
         now_ms.since(self.made_at_ms).0 > RETENTION_MS
     }
 }
 
 /// Whose turn it is to delete old claims: one live instance at a time.
-pub fn cleaner(instances: &[Instance], now_ms: Millis) -> Option<&InstanceId> {
-    let turn = (now_ms.0 / TURN_MS).to_string();
+pub fn cleanup_instance(instances: &[Instance], now_ms: Millis) -> Option<&InstanceId> {
+    let turn = (now_ms.0 / CLEANUP_TURN_MS).to_string();
     let live = instances.iter().filter(|instance| instance.liveness == Liveness::Live);
     live.map(|instance| &instance.id).max_by_key(|id| hash::score(&[id.as_str(), &turn]))
 }
@@ -84,7 +84,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Settled {
     /// It ran, and this is its answer.
-    Answer(KeptAnswer),
+    Answer(StoredResponse),
     /// It ran, and its answer is not kept.
     NotKept,
     /// It may have run.
@@ -94,23 +94,23 @@
 /// An answer kept so that a repeated request gets the same one.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
-pub struct KeptAnswer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Header names and values that the caller gets.
     pub headers: Vec<(String, String)>,
     /// The body: small ones here, larger ones in the object store.
-    pub body: KeptBody,
+    pub body: StoredBody,
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// What it takes in memory, in bytes.
     pub fn size_bytes(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
         let body = match &self.body {
-            KeptBody::Inline(bytes) => bytes.len(),
-            KeptBody::Object(name) => name.len(),
+            StoredBody::Inline(bytes) => bytes.len(),
+            StoredBody::Object(name) => name.len(),
         };
         headers + body
     }
@@ -119,7 +119,7 @@
 /// Where the body of a kept answer is.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum KeptBody {
+pub enum StoredBody {
     /// Here, as bytes.
     Inline(Vec<u8>),
     /// In the object store, under this name.
@@ -128,20 +128,20 @@
 
 /// What a request with a key may do.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Verdict {
+pub enum Decision {
     /// It owns the claim: run it.
     Run,
     /// It ran before: give the kept answer.
-    Repeat(KeptAnswer),
+    Replay(StoredResponse),
     /// It may not run, and there is no answer to give.
-    Refuse(ErrorKind),
+    Reject(ErrorKind),
 }
 
 /// What is known of the body of a request when it is claimed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyDigest<'a> {
     /// All of it.
-    Whole(&'a [u8]),
+    Full(&'a [u8]),
     /// Its length in bytes, if that: it streams, and is gone by the time its hash
     /// is known.
     Length(Option<u64>),
@@ -151,7 +151,7 @@
 pub fn fingerprint(head: u64, body: BodyDigest<'_>) -> u64 {
     let mut hasher = Xxh3::with_seed(head);
     match body {
-        BodyDigest::Whole(bytes) => hasher.update(bytes),
+        BodyDigest::Full(bytes) => hasher.update(bytes),
         BodyDigest::Length(length) => {
             hasher.update(b"length");
             hasher.update(&length.map_or(0, |length| length + 1).to_be_bytes());
@@ -163,28 +163,28 @@
 /// Decides from the row that the platform holds for the key.
 ///
 /// `owner_live` says whether the owner may still be running the request.
-pub fn judge(row: &Claim, mine: &AttemptId, fingerprint: u64, owner_live: bool) -> Verdict {
+pub fn decide(row: &Claim, mine: &AttemptId, fingerprint: u64, owner_live: bool) -> Decision {
     if row.attempt == *mine {
-        return Verdict::Run;
+        return Decision::Run;
     }
     let in_progress =
         if owner_live { ErrorKind::ClaimInProgress } else { ErrorKind::ClaimOrphaned };
-    judge_settled(row.fingerprint == fingerprint, row.settled.as_ref(), in_progress)
+    decide_settled(row.fingerprint == fingerprint, row.settled.as_ref(), in_progress)
 }
 
 /// Decides from how the request of a key that was used before ended.
-pub(crate) fn judge_settled(
+pub(crate) fn decide_settled(
     same_request: bool,
     settled: Option<&Settled>,
     in_progress: ErrorKind,
-) -> Verdict {
+) -> Decision {
     if !same_request {
-        return Verdict::Refuse(ErrorKind::ClaimMismatch);
+        return Decision::Reject(ErrorKind::ClaimMismatch);
     }
     match settled {
-        Some(Settled::Answer(answer)) => Verdict::Repeat(answer.clone()),
-        Some(Settled::NotKept) => Verdict::Refuse(ErrorKind::AnswerNotKept),
-        Some(Settled::Unknown) => Verdict::Refuse(ErrorKind::ClaimOrphaned),
-        None => Verdict::Refuse(in_progress),
+        Some(Settled::Answer(answer)) => Decision::Replay(answer.clone()),
+        Some(Settled::NotKept) => Decision::Reject(ErrorKind::AnswerNotKept),
+        Some(Settled::Unknown) => Decision::Reject(ErrorKind::ClaimOrphaned),
+        None => Decision::Reject(in_progress),
     }
 }
--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -12,7 +12,7 @@
 };
 
 use crate::{
-    claim::{self, Settled, Verdict},
+    claim::{self, Decision, Settled},
     error::ErrorKind,
     names::{InstanceId, StartNumber},
     time::Millis,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// Decides for a request; with [`Verdict::Run`] comes the number that names
+    /// Decides for a request; with [`Decision::Run`] comes the number that names
     /// this claim.
     ///
     /// `now_ms` never goes back, and agrees with the Unix epoch but for the skew.
@@ -135,29 +135,29 @@
         fingerprint: u64,
         issued_at_ms: Millis,
         now_ms: Millis,
-    ) -> (Verdict, u64) {
+    ) -> (Decision, u64) {
         self.evict_expired(now_ms);
         if let Some(entry) = self.keys.get(key) {
             let same = entry.fingerprint == fingerprint;
             let settled = entry.settled.as_ref();
-            let verdict = claim::judge_settled(same, settled, ErrorKind::ClaimInProgress);
-            return (verdict, entry.sequence);
+            let decision = claim::decide_settled(same, settled, ErrorKind::ClaimInProgress);
+            return (decision, entry.sequence);
         }
         // The failure: a key that was forgotten comes back, and runs again. A
         // token too old, or from a clock too far ahead, could be of such a key.
         let ahead = issued_at_ms > now_ms + Millis(self.config.skew_ms);
         if ahead || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
-            return (Verdict::Refuse(ErrorKind::HomeExpired), 0);
+            return (Decision::Reject(ErrorKind::HomeExpired), 0);
         }
         if self.keys.len() >= self.config.max_keys {
-            return (Verdict::Refuse(ErrorKind::ClaimsFull), 0);
+            return (Decision::Reject(ErrorKind::ClaimsFull), 0);
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let entry = Entry { sequence, fingerprint, settled: None };
         self.keys.insert(key.to_owned(), entry);
         self.expiry_queue.push_back((now_ms, key.to_owned(), sequence));
-        (Verdict::Run, sequence)
+        (Decision::Run, sequence)
     }
 
     /// Keeps how the request of a claim ended.
--- a/crates/azuregate-core/tests/home.rs
+++ b/crates/azuregate-core/tests/home.rs
@@ -5,7 +5,7 @@
 use std::collections::{HashMap, HashSet};
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody, Settled, Verdict},
+    claim::{Decision, Settled, StoredBody, StoredResponse},
     error::ErrorKind,
     home::{Config, HomeTable, HomeToken},
     names::{InstanceId, StartNumber},
@@ -16,8 +16,8 @@
 const SMALL: Config = Config { validity_ms: 100, skew_ms: 10, max_keys: 5, max_answer_bytes: 50 };
 
 fn answer(bytes: usize) -> Settled {
-    let body = KeptBody::Inline(vec![0; bytes]);
-    Settled::Answer(KeptAnswer { status: 200, headers: Vec::new(), body })
+    let body = StoredBody::Inline(vec![0; bytes]);
+    Settled::Answer(StoredResponse { status: 200, headers: Vec::new(), body })
 }
 
 /// One step of a caller, or of time.
@@ -78,8 +78,8 @@
                 }
                 Step::Again(_) => continue,
             };
-            let (verdict, sequence) = table.claim(&key.to_string(), 7, tokens[key], now_ms);
-            if verdict == Verdict::Run {
+            let (decision, sequence) = table.claim(&key.to_string(), 7, tokens[key], now_ms);
+            if decision == Decision::Run {
                 prop_assert!(ran.insert(key), "key {key} ran twice");
                 running.insert(key, sequence);
             }
@@ -108,19 +108,19 @@
     let mut table = HomeTable::new(SMALL);
     let now_ms = Millis(1_000);
     for key in 0..5 {
-        let (verdict, sequence) = table.claim(&key.to_string(), 7, now_ms, now_ms);
-        assert_eq!(verdict, Verdict::Run);
+        let (decision, sequence) = table.claim(&key.to_string(), 7, now_ms, now_ms);
+        assert_eq!(decision, Decision::Run);
         table.settle(&key.to_string(), sequence, answer(20));
     }
     let full = table.claim("5", 7, now_ms, now_ms).0;
-    assert_eq!(full, Verdict::Refuse(ErrorKind::ClaimsFull));
+    assert_eq!(full, Decision::Reject(ErrorKind::ClaimsFull));
     let oldest = table.claim("0", 7, now_ms, now_ms).0;
-    assert_eq!(oldest, Verdict::Refuse(ErrorKind::AnswerNotKept));
-    assert!(matches!(table.claim("4", 7, now_ms, now_ms).0, Verdict::Repeat(_)));
+    assert_eq!(oldest, Decision::Reject(ErrorKind::AnswerNotKept));
+    assert!(matches!(table.claim("4", 7, now_ms, now_ms).0, Decision::Replay(_)));
     let other = table.claim("4", 8, now_ms, now_ms).0;
-    assert_eq!(other, Verdict::Refuse(ErrorKind::ClaimMismatch));
-    for (after_ms, verdict) in [(0, Verdict::Refuse(ErrorKind::ClaimsFull)), (1, Verdict::Run)] {
+    assert_eq!(other, Decision::Reject(ErrorKind::ClaimMismatch));
+    for (after_ms, decision) in [(0, Decision::Reject(ErrorKind::ClaimsFull)), (1, Decision::Run)] {
         let then_ms = now_ms + Millis(table.next_expiry_in_ms(now_ms) + after_ms);
-        assert_eq!(table.claim("5", 7, then_ms, then_ms).0, verdict);
+        assert_eq!(table.claim("5", 7, then_ms, then_ms).0, decision);
     }
 }
--- a/crates/azuregate-lab/examples/claims.rs
+++ b/crates/azuregate-lab/examples/claims.rs
@@ -18,7 +18,7 @@
 };
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody, Settled},
+    claim::{Settled, StoredBody, StoredResponse},
     entries::Entries,
     home::{Config, HomeTable},
     time::Millis,
@@ -208,8 +208,8 @@
         return Settled::NotKept;
     }
     let headers = vec![("content-type".to_owned(), "application/json".to_owned())];
-    let body = KeptBody::Inline(vec![0; answer_bytes]);
-    Settled::Answer(KeptAnswer { status: 200, headers, body })
+    let body = StoredBody::Inline(vec![0; answer_bytes]);
+    Settled::Answer(StoredResponse { status: 200, headers, body })
 }
 
 fn resident_bytes() -> Result<usize, ClientError> {
--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/answer.rs
@@ -1,7 +1,7 @@
 //! Answers on their way into a claim and out of it again.
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody},
+    claim::{StoredBody, StoredResponse},
     error::{Error, ErrorKind},
 };
 use bytes::Bytes;
@@ -34,13 +34,13 @@
 
 impl WholeAnswer {
     /// What is kept of it, and its body.
-    pub(crate) fn kept(&self) -> (KeptAnswer, Bytes) {
+    pub(crate) fn kept(&self) -> (StoredResponse, Bytes) {
         let headers = self.head.headers.iter();
         let headers = headers
             .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
             .collect();
-        let body = KeptBody::Inline(self.bytes.to_vec());
-        let kept = KeptAnswer { status: self.head.status.as_u16(), headers, body };
+        let body = StoredBody::Inline(self.bytes.to_vec());
+        let kept = StoredResponse { status: self.head.status.as_u16(), headers, body };
         (kept, self.bytes.clone())
     }
 
@@ -73,11 +73,11 @@
 /// Gives a kept answer again.
 pub(crate) async fn replay(
     platform: &dyn Platform,
-    kept: KeptAnswer,
+    kept: StoredResponse,
 ) -> Result<Response<Body>, Error> {
     let bytes = match kept.body {
-        KeptBody::Inline(bytes) => Bytes::from(bytes),
-        KeptBody::Object(name) => {
+        StoredBody::Inline(bytes) => Bytes::from(bytes),
+        StoredBody::Object(name) => {
             let object = platform.get_object(&name).await;
             let object = object.map_err(|e| {
                 Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_earlier_unknown()
--- a/crates/azuregate/src/claims/cleanup.rs
+++ b/crates/azuregate/src/claims/cleanup.rs
@@ -51,7 +51,7 @@
         // Instances whose clocks or lists differ may both look, or none for a
         // while. Both delete rows at the version that they read, so neither
         // harms the other.
-        if claim::cleaner(&snapshot.instances, now_ms) != Some(&self.instance) {
+        if claim::cleanup_instance(&snapshot.instances, now_ms) != Some(&self.instance) {
             return;
         }
         for _ in 0..PAGES {
@@ -73,7 +73,7 @@
         let now_ms = self.clock.epoch();
         let is_old = |row: &Row| {
             let claim: Option<Claim> = serde_json::from_value(row.value.clone()).ok();
-            claim.is_some_and(|claim| claim.is_old(now_ms))
+            claim.is_some_and(|claim| claim.is_expired(now_ms))
         };
         let delete = |row: Row| {
             let expect = Expect::Version(row.version);
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -1,7 +1,7 @@
 //! Claims in the memory of this start, owned by one task.
 
 use azuregate_core::{
-    claim::{Settled, Verdict},
+    claim::{Decision, Settled},
     error::{Error, ErrorKind},
     home::{Config, HomeTable},
     names::StartNumber,
@@ -18,7 +18,7 @@
 
 /// What the task decided for a key.
 struct Decided {
-    verdict: Verdict,
+    verdict: Decision,
     sequence: u64,
     /// When a full home has room again.
     room_in_ms: u64,
@@ -49,7 +49,7 @@
         &self,
         wanted: Wanted<'_>,
         issued_at_ms: Millis,
-    ) -> Result<(Verdict, HeldKey), Error> {
+    ) -> Result<(Decision, HeldKey), Error> {
         let key = format!("{}/{}", wanted.service, wanted.key);
         let (reply, answer) = oneshot::channel();
         let fingerprint = wanted.fingerprint;
@@ -57,7 +57,7 @@
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
         let decided = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
-        if decided.verdict == Verdict::Refuse(ErrorKind::ClaimsFull) {
+        if decided.verdict == Decision::Reject(ErrorKind::ClaimsFull) {
             let error = Error::new(ErrorKind::ClaimsFull, "this home remembers all it can");
             return Err(error.with_retry_after_ms(decided.room_in_ms));
         }
--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -16,7 +16,7 @@
 use std::{sync::Arc, time::Duration};
 
 use azuregate_core::{
-    claim::{KeptAnswer, Settled, Verdict},
+    claim::{Decision, Settled, StoredResponse},
     error::{Error, ErrorKind, Outcome},
     home::HomeToken,
     names::{InstanceId, ServiceName, StartNumber},
@@ -73,7 +73,7 @@
     /// Run it, and settle the claim.
     Run(HeldClaim),
     /// Give the kept answer.
-    Repeat(KeptAnswer),
+    Repeat(StoredResponse),
 }
 
 impl Claims {
@@ -131,9 +131,9 @@
             }
         };
         match verdict {
-            Verdict::Run => Ok(Claimed::Run(HeldClaim(held))),
-            Verdict::Repeat(kept) => Ok(Claimed::Repeat(kept)),
-            Verdict::Refuse(kind) => {
+            Decision::Run => Ok(Claimed::Run(HeldClaim(held))),
+            Decision::Replay(kept) => Ok(Claimed::Repeat(kept)),
+            Decision::Reject(kind) => {
                 Err(Error::new(kind, format!("the idempotency key is {:?}", wanted.key)))
             }
         }
@@ -183,7 +183,7 @@
     /// # Errors
     ///
     /// When the body cannot be read from the object store.
-    pub async fn replay(&self, kept: KeptAnswer) -> Result<Response<Body>, Error> {
+    pub async fn replay(&self, kept: StoredResponse) -> Result<Response<Body>, Error> {
         answer::replay(self.platform.as_ref(), kept).await
     }
 
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -9,7 +9,7 @@
 };
 
 use azuregate_core::{
-    claim::{self, AttemptId, Claim, KeptBody, Settled, Verdict},
+    claim::{self, AttemptId, Claim, Decision, Settled, StoredBody},
     error::{Error, ErrorKind},
     names::{InstanceId, StartNumber},
     time::Millis,
@@ -65,7 +65,7 @@
     }
 
     /// Inserts the claim of a request, or judges the one that is there.
-    pub(crate) async fn claim(&self, wanted: Wanted<'_>) -> Result<(Verdict, HeldRow), Error> {
+    pub(crate) async fn claim(&self, wanted: Wanted<'_>) -> Result<(Decision, HeldRow), Error> {
         let attempt = AttemptId {
             instance: self.owner.instance.clone(),
             start: self.owner.start,
@@ -87,7 +87,7 @@
 
     /// Inserting again is safe: the row tells by its attempt whether an insert
     /// whose answer was lost had taken effect.
-    async fn insert(&self, mut held: HeldRow) -> Result<(Verdict, HeldRow), Error> {
+    async fn insert(&self, mut held: HeldRow) -> Result<(Decision, HeldRow), Error> {
         let write = held.write(Expect::Absent)?;
         let mut may_be_there = false;
         let mut detail = "the claim changed hands".to_owned();
@@ -95,14 +95,14 @@
             match self.platform.transact(std::slice::from_ref(&write)).await {
                 Ok(Commit::Done(versions)) => {
                     held.row_version = versions.first().copied().unwrap_or(1);
-                    return Ok((Verdict::Run, held));
+                    return Ok((Decision::Run, held));
                 }
                 Ok(Commit::Conflict { row: Some(row), .. }) => {
                     let there: Claim = serde_json::from_value(row.value).map_err(internal)?;
                     held.row_version = row.version;
                     let live = self.may_run_still(&there);
                     let mine = &held.claim;
-                    let verdict = claim::judge(&there, &mine.attempt, mine.fingerprint, live);
+                    let verdict = claim::decide(&there, &mine.attempt, mine.fingerprint, live);
                     return Ok((verdict, held));
                 }
                 Ok(Commit::Conflict { row: None, .. }) => {}
@@ -148,7 +148,7 @@
         {
             // The name holds the attempt, so that no two requests share one.
             let name = format!("answer/{}/{}", held.key, held.claim.attempt);
-            kept.body = KeptBody::Object(name.clone());
+            kept.body = StoredBody::Object(name.clone());
             object = Some((name, bytes));
         }
         held.claim.settled = Some(settled);
--- a/crates/azuregate/src/gateway/payload.rs
+++ b/crates/azuregate/src/gateway/payload.rs
@@ -71,7 +71,7 @@
     /// Hash of the whole request, from the one of its head.
     pub(crate) fn fingerprint(&self, head: u64) -> u64 {
         let digest = match self {
-            Payload::Buffered(bytes) => BodyDigest::Whole(bytes),
+            Payload::Buffered(bytes) => BodyDigest::Full(bytes),
             Payload::Streaming(body) => BodyDigest::Length(body.size_hint().exact()),
         };
         claim::fingerprint(head, digest)
