--- a/crates/azuregate-core/src/error.rs
+++ b/crates/azuregate-core/src/error.rs
@@ -47,7 +47,7 @@
 
 /// How azuregate answers an error kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
     /// What the caller may conclude.
@@ -72,9 +72,9 @@
             pub const ALL: &'static [ErrorKind] = &[$( ErrorKind::$kind, )*];
 
             /// The kind's row in the table of answers.
-            pub fn answer(self) -> Answer {
+            pub fn response(self) -> ErrorResponse {
                 match self {
-                    $( ErrorKind::$kind => Answer {
+                    $( ErrorKind::$kind => ErrorResponse {
                         status: $status,
                         outcome: Outcome::$outcome,
                         retry_after_s: $after,
@@ -165,13 +165,18 @@
     kind: ErrorKind,
     detail: String,
     retry_after_ms: Option<u64>,
-    earlier_unknown: bool,
+    has_unknown_earlier_attempt: bool,
 }
 
 impl Error {
     /// Makes an error; `detail` says what happened and where.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Error {
-        Error { kind, detail: detail.into(), retry_after_ms: None, earlier_unknown: false }
+        Error {
+            kind,
+            detail: detail.into(),
+            retry_after_ms: None,
+            has_unknown_earlier_attempt: false,
+        }
     }
 
     /// Sets a better time to come back than the table's, in milliseconds.
@@ -187,14 +192,18 @@
     /// again, and is refused before its claim was read. `not-run` would be true
     /// of the second sending alone; the caller would order anew under another
     /// key. Hence such a refusal says `unknown`, and the same key stays safe.
-    pub fn with_earlier_unknown(mut self) -> Error {
-        self.earlier_unknown = true;
+    pub fn with_unknown_earlier_attempt(mut self) -> Error {
+        self.has_unknown_earlier_attempt = true;
         self
     }
 
     /// What the caller may conclude.
     pub fn outcome(&self) -> Outcome {
-        if self.earlier_unknown { Outcome::Unknown } else { self.kind.answer().outcome }
+        if self.has_unknown_earlier_attempt {
+            Outcome::Unknown
+        } else {
+            self.kind.response().outcome
+        }
     }
 
     /// The row of the table that applies.
@@ -209,7 +218,7 @@
 
     /// When the caller may come back, in whole seconds, rounded up.
     pub fn retry_after_s(&self) -> Option<u32> {
-        let from_table = self.kind.answer().retry_after_s?;
+        let from_table = self.kind.response().retry_after_s?;
         let Some(ms) = self.retry_after_ms else {
             return Some(from_table);
         };
--- a/crates/azuregate-core/src/lib.rs
+++ b/crates/azuregate-core/src/lib.rs
@@ -10,8 +10,8 @@
     time::Millis,
 };
 
-let answer = ErrorKind::QueueFull.answer();
-assert_eq!(answer.outcome, Outcome::NotRun);
+let response = ErrorKind::QueueFull.response();
+assert_eq!(response.outcome, Outcome::NotRun);
 assert!(Millis(5) < Millis(7));
 ```
 
--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/answer.rs
@@ -80,7 +80,7 @@
         StoredBody::Object(name) => {
             let object = platform.get_object(&name).await;
             let object = object.map_err(|e| {
-                Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_earlier_unknown()
+                Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_unknown_earlier_attempt()
             })?;
             let gone =
                 || Error::new(ErrorKind::AnswerNotKept, format!("the object {name} is gone"));
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -56,7 +56,7 @@
         let _ =
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let decided = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
+        let decided = answer.await.map_err(gone).map_err(Error::with_unknown_earlier_attempt)?;
         if decided.verdict == Decision::Reject(ErrorKind::ClaimsFull) {
             let error = Error::new(ErrorKind::ClaimsFull, "this home remembers all it can");
             return Err(error.with_retry_after_ms(decided.room_in_ms));
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -178,7 +178,7 @@
 
 /// An error before the claim was read: an earlier request may have used the key.
 fn unsure(kind: ErrorKind, detail: impl Into<String>) -> Error {
-    Error::new(kind, detail).with_earlier_unknown()
+    Error::new(kind, detail).with_unknown_earlier_attempt()
 }
 
 fn internal(e: impl ToString) -> Error {
--- a/crates/azuregate/src/gateway/answer.rs
+++ b/crates/azuregate/src/gateway/answer.rs
@@ -10,7 +10,7 @@
 
 /// The answer for an error, from the table of answers.
 pub(crate) fn error(error: &Error) -> Response<Body> {
-    let row = error.kind().answer();
+    let row = error.kind().response();
     let text = format!("{error}\n");
     let mut builder = Response::builder()
         .status(row.status)
@@ -21,7 +21,7 @@
     }
     builder.body(body::full(text)).unwrap_or_else(|_| {
         let mut response = Response::new(body::empty());
-        *response.status_mut() = StatusCode::from_u16(ErrorKind::Internal.answer().status)
+        *response.status_mut() = StatusCode::from_u16(ErrorKind::Internal.response().status)
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         response
     })
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -70,7 +70,11 @@
                 // The last attempt may be refused as not run where an earlier one
                 // ran and lost its answer; the caller asks about the request.
                 let error = failed.error;
-                return Err(if may_have_run { error.with_earlier_unknown() } else { error });
+                return Err(if may_have_run {
+                    error.with_unknown_earlier_attempt()
+                } else {
+                    error
+                });
             };
             payload = again;
             attempt += 1;
@@ -95,7 +99,7 @@
         // A refusal costs a backend server next to nothing. What may have run
         // costs it a whole request, so only those draw on the budget.
         at_backend
-            && match kind.answer().retry {
+            && match kind.response().retry {
                 Retry::Always => true,
                 Retry::IfIdempotent => self.attributes.idempotent && self.retries.try_take(),
                 Retry::Never => false,
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -168,7 +168,7 @@
         let key = attributes.idempotency_key.clone().filter(|_| handed.is_none());
         let keyed = key.is_some();
         // A request with a key is refused here before its claim was read.
-        let refuse = |e: Error| if keyed { e.with_earlier_unknown() } else { e };
+        let refuse = |e: Error| if keyed { e.with_unknown_earlier_attempt() } else { e };
         if !snapshot.ready {
             let error = Error::new(ErrorKind::NotReady, "no configuration in force yet");
             return Err(refuse(error));
--- a/crates/azuregate/tests/docs.rs
+++ b/crates/azuregate/tests/docs.rs
@@ -50,7 +50,7 @@
 fn every_error_kind_is_explained() {
     let page = fs::read_to_string(format!("{ROOT}/docs/OPERATING.md")).unwrap();
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let row = format!("| `{kind}` | {} | {} |", answer.status, answer.outcome.as_str());
         assert!(page.contains(&row), "docs/OPERATING.md lacks {row}");
     }
--- a/crates/azuregate/tests/outcomes/answers.rs
+++ b/crates/azuregate/tests/outcomes/answers.rs
@@ -8,7 +8,7 @@
 fn each_kind_has_one_answer() {
     let mut table = String::new();
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let after = answer.retry_after_s.map_or("-".to_owned(), |s| s.to_string());
         let (code, outcome) = (kind.code(), answer.outcome.as_str());
         let retry = answer.retry;
@@ -20,7 +20,7 @@
 #[test]
 fn what_may_have_run_is_never_called_not_run_nor_always_tried_again() {
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let told_unknown = answer.outcome == Outcome::Unknown;
         assert!(!(told_unknown && answer.retry == Retry::Always), "{kind}");
     }
@@ -33,6 +33,6 @@
 fn a_refusal_before_the_claim_was_read_is_unknown() {
     let error = Error::new(ErrorKind::ClaimNotMade, "down");
     assert_eq!(error.outcome(), Outcome::NotRun);
-    let error = error.with_earlier_unknown();
+    let error = error.with_unknown_earlier_attempt();
     assert_eq!((error.outcome(), error.retry_after_s()), (Outcome::Unknown, Some(1)));
 }
