--- a/crates/azuregate-core/src/policy/change.rs
+++ b/crates/azuregate-core/src/policy/change.rs
@@ -16,21 +16,21 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ChangeErrorKind {
     /// A share is more than the whole, or the shares do not add up to it.
-    BadShares,
+    InvalidShares,
     /// The cap is zero, more than the whole, or has no window.
-    BadCap,
+    InvalidCap,
     /// A timeout is zero.
-    BadTimeout,
+    InvalidTimeout,
     /// The shares are the ones in force.
-    SameShares,
+    SharesUnchanged,
     /// Shares change by a shift only, or they would jump.
-    SharesJump,
+    SharesChangedWithoutShift,
     /// A shift is in progress; it has to be stopped or to end first.
-    ShiftRunning,
+    ShiftInProgress,
     /// No shift is in progress.
-    NoShift,
+    NoShiftInProgress,
     /// The backend server is drained already.
-    Drained,
+    AlreadyDrained,
     /// The backend server is not drained.
     NotDrained,
 }
@@ -78,14 +78,14 @@
         let cap = cap.unwrap_or(self.cap);
         check_shares("to_share_ppm", to_share_ppm)?;
         check_cap("cap", cap)?;
-        let mut next = self.settled(now_ms).next_version();
+        let mut next = self.with_ended_shift_applied(now_ms).next_version();
         if let Some(shift) = &next.shift {
             let detail = format!("a shift is in progress until {} ms", shift.end_at_ms().0);
-            return Err(ChangeError::new(ChangeErrorKind::ShiftRunning, detail));
+            return Err(ChangeError::new(ChangeErrorKind::ShiftInProgress, detail));
         }
         if next.zone_share_ppm == *to_share_ppm {
             let detail = "the shares are the ones in force";
-            return Err(ChangeError::new(ChangeErrorKind::SameShares, detail));
+            return Err(ChangeError::new(ChangeErrorKind::SharesUnchanged, detail));
         }
         next.shift = Some(Shift {
             from_share_ppm: next.zone_share_ppm.clone(),
@@ -107,9 +107,12 @@
     ///
     /// When no shift is in progress.
     pub fn stop_shift(&self, now_ms: Millis) -> Result<Policy, ChangeError> {
-        let mut next = self.settled(now_ms).next_version();
+        let mut next = self.with_ended_shift_applied(now_ms).next_version();
         let Some(shift) = next.shift.take() else {
-            return Err(ChangeError::new(ChangeErrorKind::NoShift, "no shift is in progress"));
+            return Err(ChangeError::new(
+                ChangeErrorKind::NoShiftInProgress,
+                "no shift is in progress",
+            ));
         };
         next.zone_share_ppm = shift.shares_at(now_ms).unwrap_or(shift.from_share_ppm);
         Ok(next)
@@ -124,7 +127,7 @@
         let mut next = self.clone().next_version();
         if !next.drains.insert(backend.clone()) {
             let detail = format!("{backend} is drained already");
-            return Err(ChangeError::new(ChangeErrorKind::Drained, detail));
+            return Err(ChangeError::new(ChangeErrorKind::AlreadyDrained, detail));
         }
         Ok(next)
     }
@@ -150,7 +153,7 @@
     /// When `wanted` is out of bounds, or shares or the shift would change.
     pub fn check_replace(&self, wanted: &Policy, now_ms: Millis) -> Result<(), ChangeError> {
         wanted.check()?;
-        let now = self.settled(now_ms);
+        let now = self.with_ended_shift_applied(now_ms);
         let same_shares = [&self.zone_share_ppm, &now.zone_share_ppm]
             .contains(&&wanted.zone_share_ppm)
             && [&self.shift, &now.shift].contains(&&wanted.shift);
@@ -158,7 +161,7 @@
             return Ok(());
         }
         let detail = "shares move by a shift only: start or stop one instead";
-        Err(ChangeError::new(ChangeErrorKind::SharesJump, detail))
+        Err(ChangeError::new(ChangeErrorKind::SharesChangedWithoutShift, detail))
     }
 
     /// Checks the bounds of all fields.
@@ -171,7 +174,7 @@
         check_cap("cap", self.cap)?;
         if self.timeout_ms == 0 {
             let detail = "timeout_ms must be at least 1";
-            return Err(ChangeError::new(ChangeErrorKind::BadTimeout, detail));
+            return Err(ChangeError::new(ChangeErrorKind::InvalidTimeout, detail));
         }
         let Some(shift) = &self.shift else {
             return Ok(());
@@ -182,7 +185,7 @@
     }
 
     /// The same policy with a shift that has ended turned into plain shares.
-    pub fn settled(&self, now_ms: Millis) -> Policy {
+    pub fn with_ended_shift_applied(&self, now_ms: Millis) -> Policy {
         let mut policy = self.clone();
         if let Some(shift) = policy.shift.take_if(|shift| shift.end_at_ms() <= now_ms) {
             policy.zone_share_ppm = shift.to_share_ppm;
@@ -202,7 +205,7 @@
         return Ok(());
     }
     let detail = format!("{field} adds up to {sum}, not {WHOLE_PPM}");
-    Err(ChangeError::new(ChangeErrorKind::BadShares, detail))
+    Err(ChangeError::new(ChangeErrorKind::InvalidShares, detail))
 }
 
 fn check_cap(field: &str, cap: Cap) -> Result<(), ChangeError> {
@@ -213,5 +216,5 @@
     } else {
         return Ok(());
     };
-    Err(ChangeError::new(ChangeErrorKind::BadCap, detail))
+    Err(ChangeError::new(ChangeErrorKind::InvalidCap, detail))
 }
--- a/crates/azuregate-core/src/policy/mod.rs
+++ b/crates/azuregate-core/src/policy/mod.rs
@@ -18,7 +18,7 @@
 
 /// The time in which a change is in force on every instance, in milliseconds,
 /// unless the policy says otherwise.
-pub const SHIFT_DELAY_MS: u64 = 13_000;
+pub const DEFAULT_SHIFT_DELAY_MS: u64 = 13_000;
 
 /// Share of traffic for each availability zone, in parts per million. An empty
 /// table leaves the choice to nearness.
@@ -62,7 +62,7 @@
 }
 
 fn default_shift_delay_ms() -> u64 {
-    SHIFT_DELAY_MS
+    DEFAULT_SHIFT_DELAY_MS
 }
 
 /// The largest share of traffic that may move in any window of time.
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -11,7 +11,7 @@
 use crate::{
     entries,
     names::{BackendId, InstanceId, ServiceName, StartNumber},
-    policy::{Policy, SHIFT_DELAY_MS},
+    policy::{DEFAULT_SHIFT_DELAY_MS, Policy},
     probe::{self, ProbeReport},
     route::{RouteServer, hash},
     topology::Topology,
@@ -188,7 +188,7 @@
     /// an instance that missed it.
     pub fn confirmation_timeout_ms(&self) -> u64 {
         let delays = self.policies.values().map(|policy| policy.shift_delay_ms);
-        let shortest = delays.min().unwrap_or(SHIFT_DELAY_MS);
+        let shortest = delays.min().unwrap_or(DEFAULT_SHIFT_DELAY_MS);
         shortest.saturating_sub(entries::MAX_AGE_S * 1_000 + 1_000).max(MIN_CONFIRMATION_TIMEOUT_MS)
     }
 
--- a/crates/azuregate-core/tests/shift.rs
+++ b/crates/azuregate-core/tests/shift.rs
@@ -414,17 +414,25 @@
     let jump = Policy { zone_share_ppm: goal.clone(), ..base.clone() };
     let no_timeout = Policy { timeout_ms: 0, ..base.clone() };
     let cases = [
-        ("sum", base.start_shift(&short, None, now), E::BadShares),
-        ("cap", base.start_shift(&goal, bad_cap, now), E::BadCap),
-        ("window", base.start_shift(&goal, bad_window, now), E::BadCap),
-        ("same", base.start_shift(&base.zone_share_ppm, None, now), E::SameShares),
-        ("two shifts", running.start_shift(&short_of(&base), None, now), E::ShiftRunning),
-        ("stop", base.stop_shift(now), E::NoShift),
-        ("drain twice", drained.drain(&BackendId::new("x")), E::Drained),
+        ("sum", base.start_shift(&short, None, now), E::InvalidShares),
+        ("cap", base.start_shift(&goal, bad_cap, now), E::InvalidCap),
+        ("window", base.start_shift(&goal, bad_window, now), E::InvalidCap),
+        ("same", base.start_shift(&base.zone_share_ppm, None, now), E::SharesUnchanged),
+        ("two shifts", running.start_shift(&short_of(&base), None, now), E::ShiftInProgress),
+        ("stop", base.stop_shift(now), E::NoShiftInProgress),
+        ("drain twice", drained.drain(&BackendId::new("x")), E::AlreadyDrained),
         ("undrain", base.undrain(&BackendId::new("x")), E::NotDrained),
-        ("jump", base.check_replace(&jump, now).map(|()| jump.clone()), E::SharesJump),
-        ("lost shift", running.check_replace(&base, now).map(|()| base.clone()), E::SharesJump),
-        ("timeout", base.check_replace(&no_timeout, now).map(|()| base.clone()), E::BadTimeout),
+        (
+            "jump",
+            base.check_replace(&jump, now).map(|()| jump.clone()),
+            E::SharesChangedWithoutShift,
+        ),
+        (
+            "lost shift",
+            running.check_replace(&base, now).map(|()| base.clone()),
+            E::SharesChangedWithoutShift,
+        ),
+        ("timeout", base.check_replace(&no_timeout, now).map(|()| base.clone()), E::InvalidTimeout),
     ];
     for (case, result, kind) in cases {
         assert_eq!(result.unwrap_err().kind(), kind, "{case}");
@@ -452,6 +460,6 @@
 
     let stopped = running.stop_shift(Millis(COMMIT_MS + DELAY_MS + 2_174)).unwrap();
     assert_eq!((stopped.zone_share_ppm, stopped.shift), (shares([200_000, 800_000, 0]), None));
-    let ended = running.settled(Millis(COMMIT_MS + 60_000));
+    let ended = running.with_ended_shift_applied(Millis(COMMIT_MS + 60_000));
     assert_eq!((ended.zone_share_ppm, ended.shift), (goal, None));
 }
--- a/crates/azuregate-lab/src/example.rs
+++ b/crates/azuregate-lab/src/example.rs
@@ -10,7 +10,7 @@
 use azuregate::settings::{PlatformSettings, Settings};
 use azuregate_core::{
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
-    policy::{Cap, Policy, SHIFT_DELAY_MS},
+    policy::{Cap, DEFAULT_SHIFT_DELAY_MS, Policy},
     snapshot::{BackendServer, Instance, InstanceList, Liveness},
     topology::Topology,
 };
@@ -280,7 +280,7 @@
             zone_share_ppm: BTreeMap::new(),
             cap: Cap { share_ppm: 100_000, window_ms: 1_000 },
             shift: None,
-            shift_delay_ms: SHIFT_DELAY_MS,
+            shift_delay_ms: DEFAULT_SHIFT_DELAY_MS,
             drains: BTreeSet::new(),
             timeout_ms: 10_000,
             queue_ms: 200,
--- a/crates/azuregate/src/operators/answer.rs
+++ b/crates/azuregate/src/operators/answer.rs
@@ -88,14 +88,14 @@
 
 pub(super) fn change_error(e: &ChangeError) -> Status {
     match e.kind() {
-        ChangeErrorKind::BadShares | ChangeErrorKind::BadCap | ChangeErrorKind::BadTimeout => {
-            usage(e.to_string())
-        }
-        ChangeErrorKind::SameShares
-        | ChangeErrorKind::SharesJump
-        | ChangeErrorKind::ShiftRunning
-        | ChangeErrorKind::NoShift
-        | ChangeErrorKind::Drained
+        ChangeErrorKind::InvalidShares
+        | ChangeErrorKind::InvalidCap
+        | ChangeErrorKind::InvalidTimeout => usage(e.to_string()),
+        ChangeErrorKind::SharesUnchanged
+        | ChangeErrorKind::SharesChangedWithoutShift
+        | ChangeErrorKind::ShiftInProgress
+        | ChangeErrorKind::NoShiftInProgress
+        | ChangeErrorKind::AlreadyDrained
         | ChangeErrorKind::NotDrained => refused(e.to_string()),
     }
 }
--- a/crates/azuregate/src/operators/convert.rs
+++ b/crates/azuregate/src/operators/convert.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     names::{BackendId, ServiceName, ZoneName},
-    policy::{Cap, Policy, SHIFT_DELAY_MS, Shares, Shift},
+    policy::{Cap, DEFAULT_SHIFT_DELAY_MS, Policy, Shares, Shift},
     time::Millis,
 };
 use azuregate_schema::v1;
@@ -61,7 +61,7 @@
         zone_share_ppm,
         cap: cap_from_proto("cap", policy.cap)?,
         shift,
-        shift_delay_ms: policy.shift_delay_ms.unwrap_or(SHIFT_DELAY_MS),
+        shift_delay_ms: policy.shift_delay_ms.unwrap_or(DEFAULT_SHIFT_DELAY_MS),
         drains: policy.drains.iter().map(|id| BackendId::new(id)).collect(),
         timeout_ms: policy.timeout_ms,
         queue_ms: policy.queue_ms,
--- a/crates/azuregate/src/operators/effect.rs
+++ b/crates/azuregate/src/operators/effect.rs
@@ -109,7 +109,7 @@
 /// The shares in force at `now_ms` since the Unix epoch; `None` where nearness
 /// decides.
 pub(super) fn shares_now(policy: &Policy, now_ms: Millis) -> Option<Shares> {
-    let policy = policy.settled(now_ms);
+    let policy = policy.with_ended_shift_applied(now_ms);
     match policy.shift {
         Some(shift) => shift.shares_at(now_ms),
         None => Some(policy.zone_share_ppm).filter(|shares| !shares.is_empty()),
--- a/crates/azuregate/src/operators/service.rs
+++ b/crates/azuregate/src/operators/service.rs
@@ -141,7 +141,7 @@
         let policy = self.policy_in_force(&request.into_inner().service)?;
         let now_ms = self.parts.clock.epoch();
         let shares = effect::shares_now(&policy, now_ms).unwrap_or_default();
-        let shift = policy.settled(now_ms).shift;
+        let shift = policy.with_ended_shift_applied(now_ms).shift;
         Ok(Response::new(v1::GetShiftResponse {
             progress_ppm: shift.as_ref().map_or(0, |shift| shift.progress_ppm(now_ms)),
             share_ppm: convert::shares_to_proto(&shares),
--- a/crates/azuregate/tests/configuration/world.rs
+++ b/crates/azuregate/tests/configuration/world.rs
@@ -18,7 +18,7 @@
 };
 use azuregate_core::{
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
-    policy::{Cap, Policy, SHIFT_DELAY_MS},
+    policy::{Cap, DEFAULT_SHIFT_DELAY_MS, Policy},
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
     time::Millis,
     topology::Topology,
@@ -142,7 +142,7 @@
         zone_share_ppm: [].into(),
         cap: Cap { share_ppm: 100_000, window_ms: 1_000 },
         shift: None,
-        shift_delay_ms: SHIFT_DELAY_MS,
+        shift_delay_ms: DEFAULT_SHIFT_DELAY_MS,
         drains: [].into(),
         timeout_ms: 1_000,
         queue_ms: 100,
