--- a/crates/azuregate-core/src/entries.rs
+++ b/crates/azuregate-core/src/entries.rs
@@ -17,13 +17,13 @@
 pub const MAX_AGE_S: u64 = 5;
 
 /// How many entry instances an answer names at the most.
-pub const ENTRIES_LIMIT: usize = 8;
+pub const MAX_ENTRIES: usize = 8;
 
 /// How many orders of the entry instances there are.
 ///
 /// Answers are made once for each order and kept, so there are few; with 16 the
 /// callers of one zone spread over its instances to within a sixteenth.
-pub const VARIANTS: u8 = 16;
+pub const RANKING_VARIANTS: u8 = 16;
 
 /// The answer to `GET /v1/entries`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -51,11 +51,11 @@
 
 /// The entry instances that take new work, the one to prefer first.
 ///
-/// At most [`ENTRIES_LIMIT`] are named: an answer that named all would grow with
+/// At most [`MAX_ENTRIES`] are named: an answer that named all would grow with
 /// the deployment, in bytes and in time. Callers at `salt` (their address, say)
 /// get the instances in the order of [`rank`].
 pub fn entries(snapshot: &Snapshot, service: &ServiceName, zone: &ZoneName, salt: &str) -> Entries {
-    let ranked = rank(snapshot, service, zone, variant(salt));
+    let ranked = rank(snapshot, service, zone, ranking_variant(salt));
     let entry = |instance: &Instance| Entry {
         id: instance.id.clone(),
         addr: instance.traffic_addr(),
@@ -65,12 +65,12 @@
     Entries { service: service.clone(), entries: ranked.into_iter().map(entry).collect() }
 }
 
-/// Which of the [`VARIANTS`] orders callers at `salt` get.
-pub fn variant(salt: &str) -> u8 {
-    (hash::score(&[salt]) % u64::from(VARIANTS)) as u8
+/// Which of the [`RANKING_VARIANTS`] orders callers at `salt` get.
+pub fn ranking_variant(salt: &str) -> u8 {
+    (hash::score(&[salt]) % u64::from(RANKING_VARIANTS)) as u8
 }
 
-/// The first [`ENTRIES_LIMIT`] entry instances for callers near `zone`.
+/// The first [`MAX_ENTRIES`] entry instances for callers near `zone`.
 ///
 /// A dispatcher of the zone's own backend servers comes first, since requests
 /// that reach it need no hand-over. The others follow nearest first; among those
@@ -90,7 +90,7 @@
         let dispatches = dispatcher.as_ref() == Some(&instance.id);
         (!dispatches, distance, hash::score(&[instance.id.as_str(), &salt]))
     });
-    live.truncate(ENTRIES_LIMIT);
+    live.truncate(MAX_ENTRIES);
     live
 }
 
--- a/crates/azuregate-core/tests/entries.rs
+++ b/crates/azuregate-core/tests/entries.rs
@@ -9,7 +9,7 @@
 };
 
 use azuregate_core::{
-    entries::{ENTRIES_LIMIT, VARIANTS, entries, rank, variant},
+    entries::{MAX_ENTRIES, RANKING_VARIANTS, entries, rank, ranking_variant},
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::group::{GroupId, sort_by_preference},
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -74,7 +74,7 @@
         let snapshot = snapshot(instances, zones, live);
         let answer = entries(&snapshot, &service(), &zone(0), "192.0.2.1");
         assert_eq!(answer.entries.len(), named, "of {instances}");
-        assert!(named <= ENTRIES_LIMIT);
+        assert!(named <= MAX_ENTRIES);
     }
 }
 
@@ -87,7 +87,7 @@
         let mut all: Vec<_> = snapshot.instances.iter().collect();
         let group = GroupId { zone: zone(at), part: 0 };
         sort_by_preference(&mut all, &snapshot.topology, SERVICE, &group);
-        for variant in 0..VARIANTS {
+        for variant in 0..RANKING_VARIANTS {
             assert_eq!(rank(&snapshot, &service(), &zone(at), variant)[0].id, all[0].id);
         }
     }
@@ -96,7 +96,7 @@
 #[test]
 fn nearer_instances_come_before_farther_ones() {
     let snapshot = snapshot(9, 6, live);
-    for variant in 0..VARIANTS {
+    for variant in 0..RANKING_VARIANTS {
         let ranked = rank(&snapshot, &service(), &zone(0), variant);
         let distances: Vec<_> =
             ranked.iter().map(|i| snapshot.topology.distance(&zone(0), &i.zone)).collect();
@@ -123,7 +123,8 @@
     let snapshot = snapshot(680, 19, live);
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for caller in 0..1_000 {
-        let ranked = rank(&snapshot, &service(), &zone(3), variant(&format!("192.0.2.{caller}")));
+        let ranked =
+            rank(&snapshot, &service(), &zone(3), ranking_variant(&format!("192.0.2.{caller}")));
         assert_eq!(ranked[1].zone, zone(3));
         *chosen.entry(ranked[1].id.clone()).or_default() += 1;
     }
--- a/crates/azuregate/src/gateway/entry_answers.rs
+++ b/crates/azuregate/src/gateway/entry_answers.rs
@@ -48,7 +48,7 @@
         caller: SocketAddr,
     ) -> Result<Bytes, Error> {
         let salt = caller.ip().to_string();
-        let key = (service.clone(), entries::variant(&salt));
+        let key = (service.clone(), entries::ranking_variant(&salt));
         let now_ms = parts.clock.now().0;
         if let Some(made) = self.kept_answer(snapshot, &key, now_ms) {
             return Ok(made);
