--- a/crates/azuregate-core/benches/capacity_blocks.rs
+++ b/crates/azuregate-core/benches/capacity_blocks.rs
@@ -25,7 +25,7 @@
 const RUNS: usize = 5;
 const LOOKUPS: usize = 2_000_000;
 /// How long look-ups go on beside deltas.
-const BESIDE: Duration = Duration::from_secs(2);
+const CONCURRENT_DURATION: Duration = Duration::from_secs(2);
 
 fn main() {
     println!(
@@ -33,54 +33,54 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for size in SIZES {
-        row("random", size, random_world);
-        row("nested", size, nested_world);
+        bench_size("random", size, random_blocks);
+        bench_size("nested", size, nested_blocks);
     }
-    beside();
+    bench_concurrent_updates();
 }
 
-type World = fn(&mut Rng, usize) -> Vec<(IpNet, SiteId)>;
+type Dataset = fn(&mut Rng, usize) -> Vec<(IpNet, SiteId)>;
 
 /// Blocks of any place and length from /16 to /28.
-fn random_world(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
-    let mut world = Distinct::default();
-    while world.blocks.len() < size {
-        world.add(block(rng.u32(..), rng.u8(16..=28), rng));
+fn random_blocks(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
+    let mut set = DistinctBlocks::default();
+    while set.blocks.len() < size {
+        set.add(block(rng.u32(..), rng.u8(16..=28), rng));
     }
-    world.blocks
+    set.blocks
 }
 
 /// Blocks as registries give them out: regions of /8 to /12 hold networks of
 /// /14 to /20, which hold customers of /22 to /29, many with their neighbours.
-fn nested_world(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
-    let mut world = Distinct::default();
-    while world.blocks.len() < size {
+fn nested_blocks(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
+    let mut set = DistinctBlocks::default();
+    while set.blocks.len() < size {
         let region = rng.u32(..);
-        world.add(block(region, rng.u8(8..=12), rng));
+        set.add(block(region, rng.u8(8..=12), rng));
         for _ in 0..64 {
             let network = (region & 0xfff0_0000) | rng.u32(..1 << 20);
             let len = rng.u8(14..=20);
-            world.add(block(network, len, rng));
+            set.add(block(network, len, rng));
             let customer = rng.u8(22..=29);
             let mut at = network & (u32::MAX << (32 - len));
             for _ in 0..rng.usize(1..64) {
-                world.add(block(at, customer, rng));
+                set.add(block(at, customer, rng));
                 at = at.wrapping_add(1 << (32 - customer));
             }
         }
     }
-    world.blocks.truncate(size);
-    world.blocks
+    set.blocks.truncate(size);
+    set.blocks
 }
 
 /// Blocks of which each is given once, so that a world has the size asked for.
 #[derive(Default)]
-struct Distinct {
+struct DistinctBlocks {
     seen: HashSet<IpNet>,
     blocks: Vec<(IpNet, SiteId)>,
 }
 
-impl Distinct {
+impl DistinctBlocks {
     fn add(&mut self, (block, site): (IpNet, SiteId)) {
         if self.seen.insert(block) {
             self.blocks.push((block, site));
@@ -93,26 +93,26 @@
     (IpNet::V4(net.trunc()), SiteId(rng.u16(..SITES)))
 }
 
-fn row(name: &str, size: usize, world: World) {
+fn bench_size(name: &str, size: usize, dataset: Dataset) {
     let mut rng = Rng::with_seed(size as u64);
-    let blocks = world(&mut rng, size);
+    let blocks = dataset(&mut rng, size);
     let map = BlockMap::from_blocks(blocks.clone()).expect("all blocks are IPv4");
     let count = map.len();
     let snapshot = map.encode();
-    let build = runs(|| {
+    let build = summarize_runs(|| {
         let blocks = blocks.clone();
         let start = Instant::now();
         black_box(BlockMap::from_blocks(blocks).expect("all blocks are IPv4"));
         start.elapsed().as_nanos() as f64 / count as f64
     });
-    let decode = runs(|| {
+    let decode = summarize_runs(|| {
         let start = Instant::now();
         black_box(BlockMap::decode(&snapshot).expect("it was just encoded"));
         start.elapsed().as_nanos() as f64 / count as f64
     });
-    let lookup = runs(|| lookup_ns(&map, &mut rng));
-    let one = runs(|| delta_us(&map, &mut rng, 1));
-    let hundred = runs(|| delta_us(&map, &mut rng, 100));
+    let lookup = summarize_runs(|| lookup_ns(&map, &mut rng));
+    let one = summarize_runs(|| delta_us(&map, &mut rng, 1));
+    let hundred = summarize_runs(|| delta_us(&map, &mut rng, 100));
     println!(
         "| {name} | {count} | {:.1} | {:.1} | {build} | {decode} | {lookup} | {one} | {hundred} |",
         map.memory_bytes() as f64 / count as f64,
@@ -121,7 +121,7 @@
 }
 
 /// Runs a measurement several times: its median, smallest and largest.
-fn runs(mut measure: impl FnMut() -> f64) -> String {
+fn summarize_runs(mut measure: impl FnMut() -> f64) -> String {
     let mut taken: Vec<f64> = (0..RUNS).map(|_| measure()).collect();
     taken.sort_by(f64::total_cmp);
     format!("{:.1} ({:.1} to {:.1})", taken[RUNS / 2], taken[0], taken[RUNS - 1])
@@ -156,9 +156,9 @@
 
 /// One thread looks up as fast as it can while another swaps in a delta of a
 /// hundred blocks ten times a second.
-fn beside() {
+fn bench_concurrent_updates() {
     let mut rng = Rng::with_seed(1);
-    let blocks = nested_world(&mut rng, 3_600_000);
+    let blocks = nested_blocks(&mut rng, 3_600_000);
     let map = BlockMap::from_blocks(blocks).expect("all blocks are IPv4");
     let current = Arc::new(RwLock::new(Arc::new(map)));
     let stop = Arc::new(AtomicBool::new(false));
@@ -184,7 +184,7 @@
     };
     let start = Instant::now();
     let mut swaps = 0;
-    while start.elapsed() < BESIDE {
+    while start.elapsed() < CONCURRENT_DURATION {
         let map = Arc::clone(&current.read().expect("no reader panics"));
         let next = map.apply(&deltas(&mut rng, 100)).expect("all blocks are IPv4");
         *current.write().expect("no reader panics") = Arc::new(next);
--- a/crates/azuregate-core/src/blocks/chunk.rs
+++ b/crates/azuregate-core/src/blocks/chunk.rs
@@ -19,17 +19,17 @@
 
 impl Entry {
     /// The order of blocks: enclosing ones before those that they enclose.
-    pub(crate) fn order(&self) -> (u64, u8) {
+    pub(crate) fn key(&self) -> (u64, u8) {
         (self.start, self.len)
     }
 
-    pub(crate) fn holds(&self, addr: u64) -> bool {
-        self.start <= addr && addr <= last(self.start, self.len)
+    pub(crate) fn contains(&self, addr: u64) -> bool {
+        self.start <= addr && addr <= last_addr(self.start, self.len)
     }
 }
 
 /// The last address of a block.
-pub(crate) fn last(start: u64, len: u8) -> u64 {
+pub(crate) fn last_addr(start: u64, len: u8) -> u64 {
     // A shift by all 64 bits is undefined; a block that long is one address.
     start | u64::MAX.checked_shr(u32::from(len)).unwrap_or(0)
 }
@@ -78,7 +78,7 @@
         let after = self.starts.partition_point(|&start| start <= addr);
         let mut index = after.checked_sub(1)?;
         loop {
-            if addr <= last(self.starts[index], self.lens[index]) {
+            if addr <= last_addr(self.starts[index], self.lens[index]) {
                 return Some(self.sites[index]);
             }
             index = self.parent(index)?;
@@ -88,13 +88,13 @@
     /// The blocks of this chunk that hold `addr`, which comes after all of its
     /// starts; the longest first.
     pub(crate) fn enclosing(&self, addr: u64) -> impl Iterator<Item = Entry> + '_ {
-        let mut at = Some(self.len() - 1);
-        let climb = std::iter::from_fn(move || {
-            let index = at?;
-            at = self.parent(index);
+        let mut next = Some(self.len() - 1);
+        let ancestors = std::iter::from_fn(move || {
+            let index = next?;
+            next = self.parent(index);
             Some(self.entry(index))
         });
-        climb.filter(move |entry| entry.holds(addr))
+        ancestors.filter(move |entry| entry.contains(addr))
     }
 
     pub(crate) fn memory_bytes(&self) -> usize {
@@ -112,7 +112,7 @@
     let mut open: Vec<u16> = Vec::new();
     let mut parents = Vec::with_capacity(entries.len());
     for (index, entry) in (0_u16..).zip(entries) {
-        while open.last().is_some_and(|&top| !entries[usize::from(top)].holds(entry.start)) {
+        while open.last().is_some_and(|&top| !entries[usize::from(top)].contains(entry.start)) {
             open.pop();
         }
         parents.push(open.last().copied().unwrap_or(NO_PARENT));
--- a/crates/azuregate-core/src/blocks/codec.rs
+++ b/crates/azuregate-core/src/blocks/codec.rs
@@ -7,7 +7,7 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::blocks::{BlockMap, BlocksError, SiteId, chunk::Entry, family::Family};
+use crate::blocks::{BlockMap, BlocksError, SiteId, chunk::Entry, family::FamilyMap};
 
 const MAGIC: &[u8; 8] = b"azgblk01";
 const CHECKSUM_BYTES: usize = size_of::<u64>();
@@ -26,37 +26,37 @@
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<BlockMap, BlocksError> {
     let Some(body_bytes) = bytes.len().checked_sub(CHECKSUM_BYTES) else {
-        return Err(BlocksError::garbage(0, "it is too short"));
+        return Err(BlocksError::malformed(0, "it is too short"));
     };
     let (body, checksum) = bytes.split_at(body_bytes);
     if xxh3_64(body).to_le_bytes() != *checksum {
-        return Err(BlocksError::garbage(body_bytes, "the checksum does not match"));
+        return Err(BlocksError::malformed(body_bytes, "the checksum does not match"));
     }
     let mut reader = Reader { bytes: body, at: 0 };
     if reader.take(MAGIC.len())? != MAGIC {
-        return Err(BlocksError::garbage(0, "it does not start as a block snapshot"));
+        return Err(BlocksError::malformed(0, "it does not start as a block snapshot"));
     }
     let v4 = reader.family(V4_SHIFT)?;
     let v6 = reader.family(V6_SHIFT)?;
     if reader.at != body.len() {
-        return Err(BlocksError::garbage(reader.at, "bytes follow the last block"));
+        return Err(BlocksError::malformed(reader.at, "bytes follow the last block"));
     }
     Ok(BlockMap { v4, v6 })
 }
 
-fn put_family(bytes: &mut Vec<u8>, family: &Family, shift: u32) {
-    put(bytes, family.len() as u64);
+fn put_family(bytes: &mut Vec<u8>, family: &FamilyMap, shift: u32) {
+    put_varint(bytes, family.len() as u64);
     let mut before = 0;
     for Entry { start, len, site } in family.entries() {
-        put(bytes, (start - before) >> shift);
+        put_varint(bytes, (start - before) >> shift);
         bytes.push(len);
-        put(bytes, u64::from(site.0));
+        put_varint(bytes, u64::from(site.0));
         before = start;
     }
 }
 
 /// Writes a number in groups of seven bits, the lowest first (LEB128).
-fn put(bytes: &mut Vec<u8>, mut number: u64) {
+fn put_varint(bytes: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         bytes.push(number as u8 | 0x80);
         number >>= 7;
@@ -72,7 +72,7 @@
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], BlocksError> {
         let Some(taken) = self.bytes.get(self.at..self.at + count) else {
-            return Err(BlocksError::garbage(self.at, "it ends early"));
+            return Err(BlocksError::malformed(self.at, "it ends early"));
         };
         self.at += count;
         Ok(taken)
@@ -82,7 +82,7 @@
         Ok(self.take(1)?[0])
     }
 
-    fn number(&mut self) -> Result<u64, BlocksError> {
+    fn varint(&mut self) -> Result<u64, BlocksError> {
         let mut number = 0;
         for shift in (0..u64::BITS).step_by(7) {
             let byte = self.byte()?;
@@ -91,40 +91,40 @@
                 return Ok(number);
             }
         }
-        Err(BlocksError::garbage(self.at, "a number has too many bytes"))
+        Err(BlocksError::malformed(self.at, "a number has too many bytes"))
     }
 
-    fn family(&mut self, shift: u32) -> Result<Family, BlocksError> {
-        let count = self.number()?;
+    fn family(&mut self, shift: u32) -> Result<FamilyMap, BlocksError> {
+        let count = self.varint()?;
         // A count that lies must not make room for more than the bytes hold.
         let mut entries = Vec::with_capacity((count as usize).min(self.bytes.len()));
         let mut start = 0_u64;
         for _ in 0..count {
             let at = self.at;
-            let gap = self.number()?;
+            let gap = self.varint()?;
             let shifted = gap.checked_mul(1 << shift);
             let next = shifted.and_then(|gap| start.checked_add(gap));
             let Some(next) = next else {
-                return Err(BlocksError::garbage(at, "a block starts beyond all addresses"));
+                return Err(BlocksError::malformed(at, "a block starts beyond all addresses"));
             };
             start = next;
             entries.push(self.entry(start, shift)?);
         }
-        Ok(Family::from_entries(entries))
+        Ok(FamilyMap::from_entries(entries))
     }
 
     fn entry(&mut self, start: u64, shift: u32) -> Result<Entry, BlocksError> {
         let at = self.at;
         let len = self.byte()?;
         if u32::from(len) > u64::BITS - shift {
-            return Err(BlocksError::garbage(at, "a block is too long"));
+            return Err(BlocksError::malformed(at, "a block is too long"));
         }
         let host_bits = u64::MAX.checked_shr(u32::from(len)).unwrap_or(0);
         if start & host_bits != 0 {
-            return Err(BlocksError::garbage(at, "a block does not start on its boundary"));
+            return Err(BlocksError::malformed(at, "a block does not start on its boundary"));
         }
-        let site = u16::try_from(self.number()?);
-        let site = site.map_err(|_| BlocksError::garbage(at, "a site is out of range"))?;
+        let site = u16::try_from(self.varint()?);
+        let site = site.map_err(|_| BlocksError::malformed(at, "a site is out of range"))?;
         Ok(Entry { start, len, site: SiteId(site) })
     }
 }
--- a/crates/azuregate-core/src/blocks/mod.rs
+++ b/crates/azuregate-core/src/blocks/mod.rs
@@ -40,7 +40,7 @@
 
 use crate::blocks::{
     chunk::Entry,
-    family::{Family, FamilyDelta},
+    family::{FamilyChange, FamilyMap},
 };
 
 /// The longest IPv6 block that is kept; clients within a /64 share a link.
@@ -78,12 +78,12 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum BlocksErrorKind {
     TooLong(IpNet),
-    Garbage { at_bytes: usize, what: &'static str },
+    Malformed { at_bytes: usize, what: &'static str },
 }
 
 impl BlocksError {
-    fn garbage(at_bytes: usize, what: &'static str) -> BlocksError {
-        BlocksError { kind: BlocksErrorKind::Garbage { at_bytes, what } }
+    fn malformed(at_bytes: usize, what: &'static str) -> BlocksError {
+        BlocksError { kind: BlocksErrorKind::Malformed { at_bytes, what } }
     }
 }
 
@@ -93,7 +93,7 @@
             BlocksErrorKind::TooLong(block) => {
                 write!(f, "block {block} is longer than /{MAX_IPV6_LEN}")
             }
-            BlocksErrorKind::Garbage { at_bytes, what } => {
+            BlocksErrorKind::Malformed { at_bytes, what } => {
                 write!(f, "block snapshot is not understood at byte {at_bytes}: {what}")
             }
         }
@@ -105,8 +105,8 @@
 /// Blocks of clients and the site of each; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct BlockMap {
-    v4: Family,
-    v6: Family,
+    v4: FamilyMap,
+    v6: FamilyMap,
 }
 
 impl BlockMap {
@@ -122,7 +122,7 @@
             let entry = entry(block, site)?;
             if block.addr().is_ipv4() { v4.push(entry) } else { v6.push(entry) }
         }
-        Ok(BlockMap { v4: Family::from_entries(v4), v6: Family::from_entries(v6) })
+        Ok(BlockMap { v4: FamilyMap::from_entries(v4), v6: FamilyMap::from_entries(v6) })
     }
 
     /// The site of the longest block that holds `addr`.
@@ -147,7 +147,7 @@
                 Delta::Remove { block } => (block, None),
             };
             let Entry { start, len, .. } = entry(block, SiteId(0))?;
-            let delta = FamilyDelta { start, len, site };
+            let delta = FamilyChange { start, len, site };
             if block.addr().is_ipv4() { v4.push(delta) } else { v6.push(delta) }
         }
         Ok(BlockMap { v4: self.v4.apply(v4), v6: self.v6.apply(v6) })
--- a/crates/azuregate-core/tests/blocks.rs
+++ b/crates/azuregate-core/tests/blocks.rs
@@ -8,11 +8,11 @@
 use ipnet::IpNet;
 use proptest::prelude::*;
 
-/// The plain answer: the longest block that holds the address.
+/// The linear answer: the longest block that holds the address.
 #[derive(Clone, Debug, Default)]
-struct Plain(BTreeMap<IpNet, SiteId>);
+struct LinearMap(BTreeMap<IpNet, SiteId>);
 
-impl Plain {
+impl LinearMap {
     fn lookup(&self, addr: IpAddr) -> Option<SiteId> {
         let holding = self.0.iter().filter(|(block, _)| block.contains(&addr));
         holding.max_by_key(|(block, _)| block.prefix_len()).map(|(_, &site)| site)
@@ -58,19 +58,19 @@
         first in prop::collection::vec((block(), 0_u16..140), 0..1_500),
         rounds in prop::collection::vec(prop::collection::vec(delta(), 1..300), 0..4),
     ) {
-        let mut plain = Plain(first.iter().map(|&(block, site)| (block, SiteId(site))).collect());
+        let mut linear = LinearMap(first.iter().map(|&(block, site)| (block, SiteId(site))).collect());
         let blocks = first.iter().map(|&(block, site)| (block, SiteId(site))).collect();
         let mut map = BlockMap::from_blocks(blocks).unwrap();
         for deltas in &rounds {
-            plain.apply(deltas);
+            linear.apply(deltas);
             map = map.apply(deltas).unwrap();
         }
-        prop_assert_eq!(map.len(), plain.0.len());
+        prop_assert_eq!(map.len(), linear.0.len());
         let gone = rounds.iter().flatten().map(|delta| match *delta {
             Delta::Set { block, .. } | Delta::Remove { block } => block,
         });
-        for addr in addresses(plain.0.keys().copied().chain(gone)) {
-            prop_assert_eq!(map.lookup(addr), plain.lookup(addr), "at {}", addr);
+        for addr in addresses(linear.0.keys().copied().chain(gone)) {
+            prop_assert_eq!(map.lookup(addr), linear.lookup(addr), "at {}", addr);
         }
     }
 
