--- a/crates/azuregate-core/src/replica/table.rs
+++ b/crates/azuregate-core/src/replica/table.rs
@@ -1,4 +1,4 @@
-//! One table, and how it changes.
+//! A replica of one table.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,14 +7,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Removals that are remembered for those who follow. One that has missed more
-/// gets the whole table; a table of some hundred servers is removed once.
+/// Number of removed rows that are kept for followers; one that has missed more gets the
+/// whole table.
 const MAX_REMOVED_ROWS: usize = 512;
 
-/// The tables that instances read.
+/// A replicated table.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Table {
-    /// What operators decided.
+    /// Configuration set by operators.
     Operator,
     /// Backend servers.
     Backends,
@@ -26,7 +26,7 @@
     /// All tables.
     pub const ALL: [Table; 3] = [Table::Operator, Table::Backends, Table::Members];
 
-    /// The table's name in logs.
+    /// Returns the table's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Table::Operator => "operator",
@@ -36,75 +36,80 @@
     }
 }
 
-/// A row as it is now.
+/// The current state of a row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
     /// Its key.
     pub key: String,
-    /// Its content, `None` if it was removed or is not text.
+    /// Its value, or `None` if it was removed or is not valid UTF-8.
     pub value: Option<String>,
     /// Whether it was removed.
     pub is_removed: bool,
-    /// The store's version at its last change.
+    /// The version of the store at the row's last change.
     pub version: u64,
 }
 
-/// Changes of a table, or all of it.
+/// Changes of a table, or the whole table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Changes {
-    /// Whether `rows` are all rows of the table, not only those that changed.
+    /// Whether `rows` holds the whole table rather than changes only.
     pub is_whole: bool,
-    /// The changed rows, by version.
+    /// The rows, ordered by version.
     pub rows: Vec<Row>,
-    /// The store's version up to which nothing is missing.
+    /// The version of the store up to which the changes are complete.
     pub version: u64,
 }
 
-/// A table that was read from a copy that is behind what is known.
+/// A read of a table that returned an older version than the replica has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct StaleRead {
     /// The version that was read.
     pub version: u64,
-    /// The version that is known.
+    /// The version of the replica.
     pub known_version: u64,
 }
 
 impl fmt::Display for StaleRead {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "version {} after {}", self.version, self.known_version)
+        write!(
+            f,
+            "stale read: got version {}, already at version {}",
+            self.version, self.known_version
+        )
     }
 }
 
 impl std::error::Error for StaleRead {}
 
-/// A copy of one table.
+/// A replica of one table.
 #[derive(Clone, Debug, Default)]
 pub struct Replica {
     rows: BTreeMap<String, Row>,
     version: u64,
-    /// Removals up to here are forgotten.
+    /// Removed rows up to this version were dropped.
     compacted_version: u64,
     last_change_version: u64,
     is_loaded: bool,
 }
 
 impl Replica {
-    /// The store's version up to which nothing is missing; 0 before the first.
+    /// Returns the version up to which the replica is complete, or 0 before the first
+    /// read.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The version of the last change that was seen.
+    /// Returns the version of the newest change that was applied.
     pub fn last_change_version(&self) -> u64 {
         self.last_change_version
     }
 
-    /// Whether the table was read once.
+    /// Returns whether the whole table was read at least once.
     pub fn is_loaded(&self) -> bool {
         self.is_loaded
     }
 
-    /// What one that has everything up to `version` lacks.
+    /// Returns what a replica at `version` lacks.
     pub fn changes_since(&self, version: u64) -> Changes {
         let is_whole = version < self.compacted_version || version == 0;
         let after = if is_whole { 0 } else { version };
@@ -114,11 +119,11 @@
         Changes { is_whole, rows, version: self.version }
     }
 
-    /// Takes in changes; returns the rows that changed.
+    /// Applies changes and returns the rows that changed.
     ///
-    /// Changes that come by two ways are taken in once, and what is older than
-    /// the copy is left out: a source that lags must not bring back a server that
-    /// has left.
+    /// Changes that arrive from two sources are applied once, and rows that are older
+    /// than the replica are ignored: a lagging source must not restore a server that
+    /// was removed.
     pub fn apply(&mut self, changes: Changes) -> Vec<Row> {
         if changes.is_whole {
             return self.replace(changes.rows, changes.version).unwrap_or_default();
@@ -131,12 +136,12 @@
         changed
     }
 
-    /// Takes in the whole table; returns the rows that changed, those that are
-    /// missing from it as removed.
+    /// Replaces the whole table and returns the rows that changed, with a removal for
+    /// each row that is missing from `rows`.
     ///
     /// # Errors
     ///
-    /// When the copy is newer.
+    /// When the replica is newer than `version`.
     pub fn replace(&mut self, rows: Vec<Row>, version: u64) -> Result<Vec<Row>, StaleRead> {
         if version < self.version {
             return Err(StaleRead { version, known_version: self.version });
@@ -175,7 +180,7 @@
         if versions.len() <= MAX_REMOVED_ROWS {
             return;
         }
-        // Half at once, so that this is not done for every row.
+        // Drops half at once to amortize the scan.
         let (_, &mut newest, _) = versions.select_nth_unstable(MAX_REMOVED_ROWS / 2);
         self.compacted_version = self.compacted_version.max(newest);
         self.rows.retain(|_, row| !row.is_removed || row.version > newest);
