--- a/crates/azuregate-core/tests/blocks.rs
+++ b/crates/azuregate-core/tests/blocks.rs
@@ -54,7 +54,7 @@
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
     #[test]
-    fn lookups_and_deltas_match_the_plain_list(
+    fn lookups_and_deltas_match_a_linear_scan(
         first in prop::collection::vec((block(), 0_u16..140), 0..1_500),
         rounds in prop::collection::vec(prop::collection::vec(delta(), 1..300), 0..4),
     ) {
@@ -75,7 +75,7 @@
     }
 
     #[test]
-    fn a_snapshot_is_read_back_whole(
+    fn snapshot_round_trips(
         blocks in prop::collection::vec((block(), 0_u16..140), 0..600),
     ) {
         let blocks: Vec<_> = blocks.into_iter().map(|(block, site)| (block, SiteId(site))).collect();
@@ -90,7 +90,7 @@
     // The platform hands back an object that was cut short or changed. It is
     // refused, so that no client is steered by half a map.
     #[test]
-    fn a_damaged_snapshot_is_refused(
+    fn damaged_snapshot_is_rejected(
         blocks in prop::collection::vec((block(), 0_u16..140), 1..50),
         at in any::<prop::sample::Index>(),
         flip in 1_u8..,
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn an_ipv6_block_longer_than_a_link_is_refused() {
+fn ipv6_block_longer_than_64_bits_is_rejected() {
     let error = BlockMap::from_blocks(vec![("2001:db8::/65".parse().unwrap(), SiteId(1))]);
     assert_eq!(error.unwrap_err().to_string(), "block 2001:db8::/65 is longer than /64");
 }
 
 #[test]
-fn an_older_map_is_not_changed_by_deltas() {
+fn apply_leaves_the_original_map_unchanged() {
     let block = "10.0.0.0/8".parse().unwrap();
     let old = BlockMap::from_blocks(vec![(block, SiteId(1))]).unwrap();
     let new = old.apply(&[Delta::Set { block, site: SiteId(2) }]).unwrap();
--- a/crates/azuregate-core/tests/entries.rs
+++ b/crates/azuregate-core/tests/entries.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_answer_is_as_short_at_680_instances_as_at_9() {
+fn entry_count_is_bounded() {
     for (instances, zones, named) in [(3, 3, 3), (9, 6, 8), (85, 19, 8), (680, 19, 8)] {
         let snapshot = snapshot(instances, zones, live);
         let answer = entries(&snapshot, &service(), &zone(0), "192.0.2.1");
@@ -81,7 +81,7 @@
 // With the dispatcher further down, each request of a caller that follows the
 // answer would be handed over once.
 #[test]
-fn the_dispatcher_of_the_callers_zone_comes_first() {
+fn dispatcher_of_callers_zone_ranks_first() {
     let snapshot = snapshot(85, 19, live);
     for at in 0..19 {
         let mut all: Vec<_> = snapshot.instances.iter().collect();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn nearer_instances_come_before_farther_ones() {
+fn nearer_instances_rank_first() {
     let snapshot = snapshot(9, 6, live);
     for variant in 0..RANKING_VARIANTS {
         let ranked = rank(&snapshot, &service(), &zone(0), variant);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn leaving_instances_are_not_named() {
+fn leaving_instances_are_excluded() {
     let leaving = |index| if index % 2 == 0 { Liveness::Leaving } else { Liveness::Live };
     let snapshot = snapshot(9, 3, leaving);
     let answer = entries(&snapshot, &service(), &zone(0), "192.0.2.1");
@@ -119,7 +119,7 @@
 // All callers of a zone fail over when its dispatcher dies. If all had the same
 // second choice, that one would get all of their load at once.
 #[test]
-fn second_choices_are_spread_over_the_zone() {
+fn second_choices_spread_over_the_zone() {
     let snapshot = snapshot(680, 19, live);
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for caller in 0..1_000 {
--- a/crates/azuregate-core/tests/home.rs
+++ b/crates/azuregate-core/tests/home.rs
@@ -29,7 +29,7 @@
         off_ms: i64,
     },
     /// An earlier key again, with its token.
-    Again(usize),
+    Repeat(usize),
     Settle(usize, usize),
     Release(usize),
 }
@@ -38,7 +38,7 @@
     prop_oneof![
         (0_u64..90).prop_map(Step::Wait),
         (-200_i64..200).prop_map(|off_ms| Step::New { off_ms }),
-        (0_usize..100).prop_map(Step::Again),
+        (0_usize..100).prop_map(Step::Repeat),
         (0_usize..100, 0_usize..40).prop_map(|(key, bytes)| Step::Settle(key, bytes)),
         (0_usize..100).prop_map(Step::Release),
     ]
@@ -62,7 +62,7 @@
                     tokens.push(Millis(now_ms.0.saturating_add_signed(off_ms)));
                     tokens.len() - 1
                 }
-                Step::Again(key) if key < tokens.len() => key,
+                Step::Repeat(key) if key < tokens.len() => key,
                 Step::Settle(key, bytes) => {
                     if let Some(sequence) = running.remove(&key) {
                         table.settle(&key.to_string(), sequence, answer(bytes));
@@ -76,7 +76,7 @@
                     }
                     continue
                 }
-                Step::Again(_) => continue,
+                Step::Repeat(_) => continue,
             };
             let (decision, sequence) = table.claim(&key.to_string(), 7, tokens[key], now_ms);
             if decision == Decision::Run {
@@ -89,7 +89,7 @@
     }
 
     #[test]
-    fn a_token_is_read_as_it_was_written(name in "[a-z][a-z0-9.-]{0,20}", start: u64, issued: u64) {
+    fn token_round_trips(name in "[a-z][a-z0-9.-]{0,20}", start: u64, issued: u64) {
         let (instance, start) = (InstanceId::new(&name), StartNumber(start));
         let token = HomeToken { instance, start, issued_at_ms: Millis(issued) };
         prop_assert_eq!(token.to_string().parse(), Ok(token));
@@ -97,14 +97,14 @@
 }
 
 #[test]
-fn texts_that_name_no_home_are_refused() {
+fn malformed_tokens_are_rejected() {
     for text in ["", "entry-1", "entry-1.1", ".1.2", "entry-1.x.2", "entry-1.1.", "e.1.-2"] {
         assert!(text.parse::<HomeToken>().is_err(), "{text:?}");
     }
 }
 
 #[test]
-fn a_full_home_refuses_new_keys_and_drops_old_answers() {
+fn full_table_rejects_new_keys_and_evicts_old_answers() {
     let mut table = HomeTable::new(SMALL);
     let now_ms = Millis(1_000);
     for key in 0..5 {
--- a/crates/azuregate-core/tests/latency.rs
+++ b/crates/azuregate-core/tests/latency.rs
@@ -3,7 +3,7 @@
 use azuregate_core::latency::LatencyEstimator;
 
 #[test]
-fn an_answer_is_late_well_past_the_usual_time() {
+fn late_threshold_by_recorded_times() {
     let cases: &[(&[u64], Option<u64>)] = &[
         // Nothing is usual before the first answer.
         (&[], None),
@@ -26,7 +26,7 @@
 // run again, which costs a slot twice and helps nobody. Of exponential times one
 // in two hundred may be taken for late at the most.
 #[test]
-fn a_read_that_only_takes_long_is_seldom_late() {
+fn slow_answers_are_rarely_late() {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut estimator = LatencyEstimator::default();
     let (count, mut late) = (20_000, 0);
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -18,7 +18,7 @@
 };
 
 const DIGEST: u64 = 7;
-const LIMIT_MS: u64 = 7_000;
+const CONFIRMATION_TIMEOUT_MS: u64 = 7_000;
 
 fn id(index: usize) -> InstanceId {
     InstanceId::new(&format!("entry-{index:03}"))
@@ -28,18 +28,18 @@
     indices.iter().map(|&index| id(index)).collect()
 }
 
-fn beat(confirmed_age_ms: u64) -> Heartbeat {
+fn heartbeat(confirmed_age_ms: u64) -> Heartbeat {
     Heartbeat { ready: true, confirmed_age_ms: Some(confirmed_age_ms), digest: DIGEST }
 }
 
 /// Instance 0 of five, which all were heard of at 0.
-fn five() -> Membership {
+fn five_instances() -> Membership {
     let mut membership = Membership::new(&id(0));
     membership.set_neighbours(&ids(&[1, 2, 3, 4]), Millis(0));
-    membership.set_confirmation_timeout_ms(LIMIT_MS);
+    membership.set_confirmation_timeout_ms(CONFIRMATION_TIMEOUT_MS);
     membership.record_confirmation(Millis(0));
     for index in 1..5 {
-        membership.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST, Millis(0));
+        membership.record_heartbeat(&id(index), StartNumber(1), heartbeat(0), DIGEST, Millis(0));
     }
     membership
 }
@@ -47,38 +47,44 @@
 // One heartbeat of a neighbour is lost, then it falls silent. Callers would be
 // sent away from a live instance if the one that was lost counted as silence.
 #[test]
-fn one_lost_heartbeat_is_no_silence_at_any_size() {
+fn one_lost_heartbeat_is_tolerated_at_any_size() {
     for listed in [2, 9, MAX_FULL_MESH, MAX_FULL_MESH + 1, 680] {
         let timing = HeartbeatTiming::for_deployment(listed);
-        let mut membership = five();
+        let mut membership = five_instances();
         membership.set_heartbeat_timing(timing);
-        let mut hear = |heard: &[usize], at_ms| {
+        let mut record = |heard: &[usize], at_ms| {
             membership.record_confirmation(at_ms);
             for &index in heard {
-                membership.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST, at_ms);
+                membership.record_heartbeat(
+                    &id(index),
+                    StartNumber(1),
+                    heartbeat(0),
+                    DIGEST,
+                    at_ms,
+                );
             }
             membership.unavailable(at_ms)
         };
         let at = |beats| Millis(beats * timing.heartbeat_ms);
-        assert_eq!(hear(&[1, 2, 3], at(1)), ids(&[]), "of {listed}");
-        assert_eq!(hear(&[1, 2, 3], at(2)), ids(&[]), "of {listed}, one lost");
-        assert_eq!(hear(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, heard again");
-        let silent_at = at(2) + Millis(timing.failure_timeout_ms + 1);
-        assert_eq!(hear(&[1, 2, 3], silent_at), ids(&[4]), "of {listed}, silent");
+        assert_eq!(record(&[1, 2, 3], at(1)), ids(&[]), "of {listed}");
+        assert_eq!(record(&[1, 2, 3], at(2)), ids(&[]), "of {listed}, one lost");
+        assert_eq!(record(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, heard again");
+        let timed_out_at_ms = at(2) + Millis(timing.failure_timeout_ms + 1);
+        assert_eq!(record(&[1, 2, 3], timed_out_at_ms), ids(&[4]), "of {listed}, silent");
     }
 }
 
 // Which instances of five send heartbeats goes through a table; the others have
 // gone silent, or cannot confirm their configuration.
 #[test]
-fn who_is_away() {
+fn unavailable_instances() {
     struct Case {
         case: &'static str,
         /// Who is heard, and how long ago its configuration was confirmed.
         heard: &'static [(usize, u64)],
         away: &'static [usize],
     }
-    let later = Millis(100_000);
+    let later_ms = Millis(100_000);
     let cases = [
         Case { case: "all heard", heard: &[(1, 0), (2, 0), (3, 0), (4, 0)], away: &[] },
         Case { case: "one silent", heard: &[(1, 0), (2, 0), (3, 0)], away: &[4] },
@@ -86,17 +92,23 @@
         Case { case: "cut off itself", heard: &[(1, 0)], away: &[] },
         Case {
             case: "one missed a change",
-            heard: &[(1, 0), (2, 0), (3, LIMIT_MS + 1), (4, 0)],
+            heard: &[(1, 0), (2, 0), (3, CONFIRMATION_TIMEOUT_MS + 1), (4, 0)],
             away: &[3],
         },
     ];
     for Case { case, heard, away } in cases {
-        let mut membership = five();
-        membership.record_confirmation(later);
+        let mut membership = five_instances();
+        membership.record_confirmation(later_ms);
         for &(index, age_ms) in heard {
-            membership.record_heartbeat(&id(index), StartNumber(1), beat(age_ms), DIGEST, later);
+            membership.record_heartbeat(
+                &id(index),
+                StartNumber(1),
+                heartbeat(age_ms),
+                DIGEST,
+                later_ms,
+            );
         }
-        assert_eq!(membership.unavailable(later), ids(away), "{case}");
+        assert_eq!(membership.unavailable(later_ms), ids(away), "{case}");
     }
 }
 
@@ -104,24 +116,30 @@
 // no change can be made meanwhile. Then one reads the platform again, and by its
 // heartbeats so do those with the same versions; one with others is away.
 #[test]
-fn nobody_leaves_while_the_platform_is_down() {
-    let mut membership = five();
-    let later = Millis(100_000);
+fn platform_outage_leaves_all_available() {
+    let mut membership = five_instances();
+    let later_ms = Millis(100_000);
     for index in 1..5 {
-        membership.record_heartbeat(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
+        membership.record_heartbeat(
+            &id(index),
+            StartNumber(1),
+            heartbeat(100_000),
+            DIGEST,
+            later_ms,
+        );
     }
-    assert_eq!(membership.unavailable(later), ids(&[]));
+    assert_eq!(membership.unavailable(later_ms), ids(&[]));
 
-    membership.record_heartbeat(&id(1), StartNumber(1), beat(0), DIGEST, later);
-    assert_eq!(membership.confirmed_age_ms(later), Some(0));
-    assert_eq!(membership.unavailable(later), ids(&[2, 3, 4]));
+    membership.record_heartbeat(&id(1), StartNumber(1), heartbeat(0), DIGEST, later_ms);
+    assert_eq!(membership.confirmed_age_ms(later_ms), Some(0));
+    assert_eq!(membership.unavailable(later_ms), ids(&[2, 3, 4]));
 
-    let mut other = five();
+    let mut other = five_instances();
     for index in 1..5 {
-        other.record_heartbeat(&id(index), StartNumber(1), beat(0), DIGEST + 1, later);
+        other.record_heartbeat(&id(index), StartNumber(1), heartbeat(0), DIGEST + 1, later_ms);
     }
     assert_eq!(
-        other.unavailable(later),
+        other.unavailable(later_ms),
         ids(&[0]),
         "it has other versions than all that confirmed"
     );
@@ -130,47 +148,56 @@
 // An instance tells that it stops, ends, and is started again. Heartbeats of its
 // former start come late.
 #[test]
-fn a_stop_holds_for_one_start() {
-    let mut membership = five();
+fn stopping_applies_to_one_start() {
+    let mut membership = five_instances();
     membership.record_stopping(&id(4), StartNumber(1));
     assert_eq!(membership.unavailable(Millis(1)), ids(&[4]));
-    membership.record_heartbeat(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
+    membership.record_heartbeat(&id(4), StartNumber(2), heartbeat(0), DIGEST, Millis(2));
     assert_eq!(membership.unavailable(Millis(2)), ids(&[]));
-    membership.record_heartbeat(&id(4), StartNumber(1), beat(LIMIT_MS + 1), DIGEST, Millis(3));
+    membership.record_heartbeat(
+        &id(4),
+        StartNumber(1),
+        heartbeat(CONFIRMATION_TIMEOUT_MS + 1),
+        DIGEST,
+        Millis(3),
+    );
     assert_eq!(membership.unavailable(Millis(3)), ids(&[]));
 }
 
 // The platform is down, and an instance has just started: it knows of nothing,
 // and says so. It is named to callers once it serves.
 #[test]
-fn an_instance_that_is_not_ready_is_away() {
-    let mut membership = five();
+fn instance_that_is_not_ready_is_unavailable() {
+    let mut membership = five_instances();
     let starting = Heartbeat { ready: false, confirmed_age_ms: None, digest: 0 };
     membership.record_heartbeat(&id(4), StartNumber(2), starting, DIGEST, Millis(1));
     assert_eq!(membership.unavailable(Millis(1)), ids(&[4]));
-    membership.record_heartbeat(&id(4), StartNumber(2), beat(0), DIGEST, Millis(2));
+    membership.record_heartbeat(&id(4), StartNumber(2), heartbeat(0), DIGEST, Millis(2));
     assert_eq!(membership.unavailable(Millis(2)), ids(&[]));
 
-    let mut all_down = five();
-    let later = Millis(100_000);
+    let mut all_down = five_instances();
+    let later_ms = Millis(100_000);
     for index in 1..4 {
-        all_down.record_heartbeat(&id(index), StartNumber(1), beat(100_000), DIGEST, later);
+        all_down.record_heartbeat(&id(index), StartNumber(1), heartbeat(100_000), DIGEST, later_ms);
     }
-    all_down.record_heartbeat(&id(4), StartNumber(2), starting, DIGEST, later);
-    assert_eq!(all_down.unavailable(later), ids(&[4]));
+    all_down.record_heartbeat(&id(4), StartNumber(2), starting, DIGEST, later_ms);
+    assert_eq!(all_down.unavailable(later_ms), ids(&[4]));
 }
 
 // A process is paused. On waking, the others seem silent, and what it had
 // confirmed and they had agreed to is of no use.
 #[test]
-fn waking_starts_afresh() {
-    let mut membership = five();
+fn pause_discards_confirmations() {
+    let mut membership = five_instances();
     assert_eq!(membership.agreeing_peers(Millis(1)), 4);
-    let woken = Millis(10_000);
-    membership.reset_after_pause(woken);
-    assert_eq!((membership.agreeing_peers(woken), membership.confirmed_age_ms(woken)), (0, None));
-    membership.record_heartbeat(&id(1), StartNumber(1), beat(0), DIGEST, woken);
-    assert_eq!(membership.agreeing_peers(woken), 1);
+    let resumed_at_ms = Millis(10_000);
+    membership.reset_after_pause(resumed_at_ms);
+    assert_eq!(
+        (membership.agreeing_peers(resumed_at_ms), membership.confirmed_age_ms(resumed_at_ms)),
+        (0, None)
+    );
+    membership.record_heartbeat(&id(1), StartNumber(1), heartbeat(0), DIGEST, resumed_at_ms);
+    assert_eq!(membership.agreeing_peers(resumed_at_ms), 1);
 }
 
 fn instances(count: usize) -> Vec<Instance> {
@@ -185,20 +212,20 @@
     (0..count).map(instance).collect()
 }
 
-/// How many of the `alive` instances a change reaches that starts at one.
-fn reached(graph: &LinkGraph, alive: &BTreeSet<InstanceId>) -> usize {
-    let first = alive.first().unwrap();
+/// How many of the `live` instances a change reaches that starts at one.
+fn count_reachable(graph: &LinkGraph, live: &BTreeSet<InstanceId>) -> usize {
+    let first = live.first().unwrap();
     let mut seen = BTreeSet::from([first]);
     let mut queue = VecDeque::from([first]);
     while let Some(id) = queue.pop_front() {
-        let next = graph[id].iter().filter(|other| alive.contains(*other));
+        let next = graph[id].iter().filter(|other| live.contains(*other));
         queue.extend(next.filter(|other| seen.insert(*other)));
     }
     seen.len()
 }
 
 #[test]
-fn links_are_mutual_bounded_and_survive_deaths() {
+fn link_graph_is_symmetric_bounded_and_fault_tolerant() {
     for count in [1, 2, 9, MAX_FULL_MESH, MAX_FULL_MESH + 1, 85, 680] {
         let graph = link_graph(&instances(count));
         for (id, linked) in &graph {
@@ -207,12 +234,12 @@
             assert!(linked.len() <= 40, "{id} of {count} has {} links", linked.len());
         }
         let mut rng = fastrand::Rng::with_seed(count as u64);
-        for deaths in [0, count / 15] {
-            let mut alive: BTreeSet<_> = graph.keys().cloned().collect();
-            for _ in 0..deaths {
-                alive.remove(&id(rng.usize(..count)));
+        for failures in [0, count / 15] {
+            let mut live: BTreeSet<_> = graph.keys().cloned().collect();
+            for _ in 0..failures {
+                live.remove(&id(rng.usize(..count)));
             }
-            assert_eq!(reached(&graph, &alive), alive.len(), "{deaths} of {count} died");
+            assert_eq!(count_reachable(&graph, &live), live.len(), "{failures} of {count} died");
         }
     }
 }
@@ -242,7 +269,7 @@
     snapshot
 }
 
-fn open(snapshot: &Snapshot) -> usize {
+fn open_servers(snapshot: &Snapshot) -> usize {
     let servers = snapshot.route_servers(&ServiceName::new("desk"));
     servers.iter().filter(|server| server.open).count()
 }
@@ -253,7 +280,7 @@
 
 // The probes of one watcher: the failures in a row of each of its servers.
 #[test]
-fn what_a_watcher_says() {
+fn failed_servers_by_consecutive_failures() {
     let cases: [(&str, &[u32], &[usize]); 5] = [
         ("one lost packet", &[1, 0, 0, 0], &[]),
         ("one server gone", &[2, 0, 0, 0], &[0]),
@@ -280,7 +307,7 @@
 // A server has two watchers. One word takes nothing out of service: the way of
 // one watcher may be cut. Reports that come late change nothing.
 #[test]
-fn both_watchers_have_to_agree() {
+fn server_is_unreachable_when_all_watchers_agree() {
     let mut snapshot = snapshot(4);
     let suspect = server(0, 1).id;
     let mut watchers = (0..5)
@@ -289,40 +316,40 @@
     assert_eq!(watchers.next(), None);
     let report = |sequence, failed| ProbeReport { start: StartNumber(1), sequence, failed };
     assert!(snapshot.record_probe_report(&first, report(1, backends(&[0]))));
-    assert_eq!(open(&snapshot), 4);
+    assert_eq!(open_servers(&snapshot), 4);
     assert!(snapshot.record_probe_report(&second, report(1, backends(&[0]))));
-    assert_eq!(open(&snapshot), 3);
+    assert_eq!(open_servers(&snapshot), 3);
     assert!(snapshot.record_probe_report(&first, report(2, backends(&[]))));
-    assert_eq!(open(&snapshot), 4, "it answers the first again");
+    assert_eq!(open_servers(&snapshot), 4, "it answers the first again");
     assert!(!snapshot.record_probe_report(&first, report(1, backends(&[0]))), "an old report");
     let stranger = InstanceId::new("stranger");
     assert!(!snapshot.record_probe_report(&stranger, report(1, backends(&[0]))), "not listed");
 }
 
 #[test]
-fn leaving_holds_for_one_start_of_a_listed_server() {
+fn leaving_applies_to_one_start_of_a_listed_server() {
     let mut snapshot = snapshot(3);
     let first = server(0, 1).id;
     assert!(!snapshot.mark_leaving(&BackendId::new("stranger"), StartNumber(1)));
     assert!(!snapshot.mark_leaving(&first, StartNumber(0)), "a start before the listed one");
     assert!(snapshot.mark_leaving(&first, StartNumber(1)));
     assert!(!snapshot.mark_leaving(&first, StartNumber(1)), "no news");
-    assert_eq!(open(&snapshot), 2);
+    assert_eq!(open_servers(&snapshot), 2);
     let backends = vec![server(0, 2), server(1, 1), server(2, 1)];
     snapshot.set_list(InstanceList { instances: instances(5), backends });
-    assert_eq!((open(&snapshot), snapshot.leaving.len()), (3, 0), "it was started again");
+    assert_eq!((open_servers(&snapshot), snapshot.leaving.len()), (3, 0), "it was started again");
 }
 
 #[test]
-fn an_empty_list_takes_nothing_out_of_service() {
+fn empty_list_is_ignored() {
     let mut snapshot = snapshot(3);
     assert!(!snapshot.set_list(InstanceList::default()));
-    assert_eq!((open(&snapshot), snapshot.instances.len()), (3, 5));
+    assert_eq!((open_servers(&snapshot), snapshot.instances.len()), (3, 5));
 }
 
 // The peers' word is joined with the list, and callers always get somebody.
 #[test]
-fn instances_that_are_away_count_as_leaving() {
+fn unavailable_instances_count_as_leaving() {
     let mut snapshot = snapshot(1);
     let live = |snapshot: &Snapshot| {
         snapshot.instances.iter().filter(|i| i.liveness == Liveness::Live).count()
--- a/crates/azuregate-core/tests/replica.rs
+++ b/crates/azuregate-core/tests/replica.rs
@@ -18,12 +18,12 @@
     Row { key: key.to_owned(), value: None, is_removed: true, version }
 }
 
-fn some(rows: Vec<Row>, version: u64) -> Changes {
+fn partial(rows: Vec<Row>, version: u64) -> Changes {
     Changes { is_whole: false, rows, version }
 }
 
 /// What a copy holds: keys and values of rows that are there.
-fn held(replica: &Replica) -> BTreeMap<String, String> {
+fn live_rows(replica: &Replica) -> BTreeMap<String, String> {
     let rows = replica.changes_since(0).rows.into_iter();
     rows.map(|row| (row.key, row.value.unwrap())).collect()
 }
@@ -32,46 +32,46 @@
 /// before, once as changes and once as the whole table; the server must not come
 /// back.
 #[test]
-fn a_source_that_lags_brings_nothing_back() {
+fn lagging_source_does_not_restore_removed_rows() {
     let mut replica = Replica::default();
     replica.replace(vec![row("a", "ready", 3)], 3).unwrap();
-    replica.apply(some(vec![removal("a", 5)], 5));
-    assert_eq!(replica.apply(some(vec![row("a", "ready", 3)], 4)), []);
+    replica.apply(partial(vec![removal("a", 5)], 5));
+    assert_eq!(replica.apply(partial(vec![row("a", "ready", 3)], 4)), []);
     let whole = Changes { is_whole: true, rows: vec![row("a", "ready", 3)], version: 4 };
     assert_eq!(replica.apply(whole), []);
     let stale = replica.replace(vec![row("a", "ready", 3)], 4);
     assert_eq!(stale, Err(StaleRead { version: 4, known_version: 5 }));
-    assert!(held(&replica).is_empty());
+    assert!(live_rows(&replica).is_empty());
 }
 
 #[test]
-fn rows_that_are_missing_from_a_whole_table_were_removed() {
+fn replace_removes_missing_rows() {
     let mut replica = Replica::default();
     replica.replace(vec![row("a", "1", 1), row("b", "1", 2)], 2).unwrap();
     let changed = replica.replace(vec![row("b", "1", 2), row("c", "1", 7)], 9).unwrap();
     assert_eq!(changed, [removal("a", 9), row("c", "1", 7)]);
     // One who follows and had everything up to 2 learns of both.
-    let lacks = replica.changes_since(2);
-    assert_eq!((lacks.is_whole, lacks.rows.len(), lacks.version), (false, 2, 9));
+    let missing = replica.changes_since(2);
+    assert_eq!((missing.is_whole, missing.rows.len(), missing.version), (false, 2, 9));
 }
 
 /// So many rows were removed that not all removals are remembered. One who had
 /// seen the first of the rows gets the whole table, and drops them.
 #[test]
-fn one_who_missed_forgotten_removals_gets_the_whole_table() {
+fn follower_behind_compaction_gets_the_whole_table() {
     let mut source = Replica::default();
     source.replace(vec![row("a", "1", 1)], 1).unwrap();
     let mut follower = source.clone();
     for version in 2..1_000 {
         let key = format!("k{version}");
-        source.apply(some(vec![row(&key, "1", version * 2)], version * 2));
-        source.apply(some(vec![removal(&key, version * 2 + 1)], version * 2 + 1));
+        source.apply(partial(vec![row(&key, "1", version * 2)], version * 2));
+        source.apply(partial(vec![removal(&key, version * 2 + 1)], version * 2 + 1));
     }
-    source.apply(some(vec![removal("a", 3_000), row("b", "1", 3_001)], 3_001));
-    let lacks = source.changes_since(follower.version());
-    assert!(lacks.is_whole);
-    follower.apply(lacks);
-    assert_eq!(held(&follower), held(&source));
+    source.apply(partial(vec![removal("a", 3_000), row("b", "1", 3_001)], 3_001));
+    let missing = source.changes_since(follower.version());
+    assert!(missing.is_whole);
+    follower.apply(missing);
+    assert_eq!(live_rows(&follower), live_rows(&source));
     assert!(!source.changes_since(2_990).is_whole);
 }
 
@@ -85,7 +85,7 @@
     /// hears both in any order, now and then after a new connection. It never
     /// steps back and ends with what the store holds.
     #[test]
-    fn a_follower_of_two_sources_ends_with_what_the_store_holds(
+    fn follower_of_two_sources_converges(
         history in history(),
         reads in prop::collection::vec((0..2_usize, any::<bool>(), any::<bool>()), 1..80),
     ) {
@@ -95,17 +95,17 @@
         let mut follower = store.clone();
         let mut sent = [1, 1];
         let mut changes = history.into_iter().zip(2_u64..);
-        for (source, reads, connects_anew) in reads {
+        for (source, reads, reconnects) in reads {
             if let Some(((key, is_written), version)) = changes.next() {
                 let key = key.to_string();
                 let change = if is_written { row(&key, "x", version) } else { removal(&key, version) };
-                store.apply(some(vec![change], version));
+                store.apply(partial(vec![change], version));
             }
             if reads {
-                let lacks = store.changes_since(sources[source].version());
-                sources[source].apply(lacks);
+                let missing = store.changes_since(sources[source].version());
+                sources[source].apply(missing);
             }
-            if connects_anew {
+            if reconnects {
                 sent[source] = follower.version();
             }
             let before = follower.version();
@@ -115,7 +115,7 @@
         }
         sources[0].apply(store.changes_since(sources[0].version()));
         follower.apply(sources[0].changes_since(sent[0]));
-        prop_assert_eq!(held(&follower), held(&store));
+        prop_assert_eq!(live_rows(&follower), live_rows(&store));
     }
 }
 
@@ -124,43 +124,43 @@
 /// store itself: they lose the store, they are silent, or they go on talking
 /// while the store has not answered them.
 #[test]
-fn a_source_is_relied_on_for_a_part_of_the_allowed_time() {
+fn source_goes_stale_within_the_propagation_limit() {
     let name = InstanceId::new("entry-1");
     let report =
         |requested_at_ms, held_ms, age_ms| Some(SourceReport { requested_at_ms, held_ms, age_ms });
-    let heard = |age_ms| report(10_000, 0, age_ms);
+    let just_received = |age_ms| report(10_000, 0, age_ms);
     let cases = [
-        ("just heard", heard(0), 10_000, true),
+        ("just heard", just_received(0), 10_000, true),
         ("held back by the source", report(9_700, 300, 0), 11_199, true),
         ("long under way", report(8_600, 200, 0), 10_000, false),
-        ("the store's answer was old", heard(1_300), 10_000, false),
-        ("silent for a while", heard(0), 11_199, true),
-        ("silent for too long", heard(0), 11_200, false),
-        ("both together", heard(800), 10_400, false),
+        ("the store's answer was old", just_received(1_300), 10_000, false),
+        ("silent for a while", just_received(0), 11_199, true),
+        ("silent for too long", just_received(0), 11_200, false),
+        ("both together", just_received(800), 10_400, false),
         ("it says that it has lost the store", None, 10_000, false),
     ];
-    let has_just_heard = |now_ms: u64| now_ms < 11_200;
+    let is_still_fresh = |now_ms: u64| now_ms < 11_200;
     for (case, report, now_ms, is_fresh) in cases {
         let mut tracker = FreshnessTracker::new(2_000);
-        tracker.record_report(&name, heard(0));
+        tracker.record_report(&name, just_received(0));
         tracker.record_report(&name, report);
         assert_eq!(tracker.has_fresh_source(now_ms), is_fresh, "{case}");
         // What was heard before stays known, whatever becomes of its source.
-        assert_eq!(tracker.is_fresh(now_ms), has_just_heard(now_ms), "{case}");
+        assert_eq!(tracker.is_fresh(now_ms), is_still_fresh(now_ms), "{case}");
         assert_eq!(tracker.age_ms(now_ms), Some(now_ms - 10_000), "{case}");
     }
 }
 
 #[test]
-fn the_own_watch_keeps_contact_without_sources() {
+fn direct_watch_keeps_data_fresh_without_sources() {
     let mut tracker = FreshnessTracker::new(3_000);
     tracker.record_answer(10_000);
     assert!(tracker.is_fresh(11_000) && !tracker.has_fresh_source(11_000));
     assert!(tracker.poll_wait_ms() < tracker.staleness_limit_ms(), "a watch at rest keeps contact");
     // So does one that asks only now and then because it has no source.
-    let asks_at_ms = (10_000..).find(|&now_ms| tracker.needs_direct_watch(now_ms)).unwrap();
-    assert!(asks_at_ms >= 10_500, "one that has just started waits for sources");
-    assert!(tracker.is_fresh(asks_at_ms + tracker.fallback_poll_wait_ms()));
+    let watches_at_ms = (10_000..).find(|&now_ms| tracker.needs_direct_watch(now_ms)).unwrap();
+    assert!(watches_at_ms >= 10_500, "one that has just started waits for sources");
+    assert!(tracker.is_fresh(watches_at_ms + tracker.fallback_poll_wait_ms()));
     tracker.record_failure(11_000);
     assert!(tracker.is_fresh(11_799) && !tracker.is_fresh(11_800));
 }
@@ -171,7 +171,7 @@
 /// chosen again, and so on, and each time believe for two seconds in servers whose
 /// rows were removed.
 #[test]
-fn contact_lasts_from_the_last_source_to_the_own_watch() {
+fn data_stays_fresh_from_last_source_to_direct_watch() {
     let name = InstanceId::new("entry-1");
     let mut tracker = FreshnessTracker::new(2_000);
     tracker.record_report(
@@ -188,7 +188,7 @@
 /// An instance hears of the store by others and fails to reach it itself. It is
 /// not to be chosen, or those who follow it would have one source less.
 #[test]
-fn whoever_fails_to_reach_the_store_does_not_watch_for_others() {
+fn instance_with_recent_failure_does_not_watch_for_others() {
     let name = InstanceId::new("entry-1");
     let mut tracker = FreshnessTracker::new(2_000);
     tracker.record_failure(10_000);
@@ -202,16 +202,16 @@
 /// Guards against two instances that follow each other taking each other for fresh
 /// after both have lost the store.
 #[test]
-fn a_circle_of_sources_grows_old() {
+fn cycle_of_sources_goes_stale() {
     let name = InstanceId::new("other");
-    let mut circle = [FreshnessTracker::new(2_000), FreshnessTracker::new(2_000)];
-    circle.iter_mut().for_each(|tracker| tracker.record_answer(10_000));
+    let mut cycle = [FreshnessTracker::new(2_000), FreshnessTracker::new(2_000)];
+    cycle.iter_mut().for_each(|tracker| tracker.record_answer(10_000));
     for requested_at_ms in (10_000..12_000).step_by(100) {
-        for (asks, answers) in [(0, 1), (1, 0)] {
-            let age_ms = circle[answers].age_ms(requested_at_ms + 50).unwrap();
-            circle[asks]
+        for (requester, responder) in [(0, 1), (1, 0)] {
+            let age_ms = cycle[responder].age_ms(requested_at_ms + 50).unwrap();
+            cycle[requester]
                 .record_report(&name, Some(SourceReport { requested_at_ms, held_ms: 50, age_ms }));
         }
     }
-    assert!(circle.iter().all(|tracker| !tracker.is_fresh(11_200)));
+    assert!(cycle.iter().all(|tracker| !tracker.is_fresh(11_200)));
 }
