--- a/crates/azuregate-core/tests/replica.rs
+++ b/crates/azuregate-core/tests/replica.rs
@@ -1,4 +1,4 @@
-//! Copies of the store's tables, and whether they are fresh.
+//! Replicas of the store's tables, and the tracking of their freshness.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -22,15 +22,14 @@
     Changes { is_whole: false, rows, version }
 }
 
-/// What a copy holds: keys and values of rows that are there.
+/// The rows of a replica that are not removed, by key.
 fn live_rows(replica: &Replica) -> BTreeMap<String, String> {
     let rows = replica.changes_since(0).rows.into_iter();
     rows.map(|row| (row.key, row.value.unwrap())).collect()
 }
 
-/// An instance has seen that a server left. A source that lags tells of the time
-/// before, once as changes and once as the whole table; the server must not come
-/// back.
+/// A lagging source sends an older state, as changes and as the whole table. It must
+/// not restore a server that was removed.
 #[test]
 fn lagging_source_does_not_restore_removed_rows() {
     let mut replica = Replica::default();
@@ -50,13 +49,12 @@
     replica.replace(vec![row("a", "1", 1), row("b", "1", 2)], 2).unwrap();
     let changed = replica.replace(vec![row("b", "1", 2), row("c", "1", 7)], 9).unwrap();
     assert_eq!(changed, [removal("a", 9), row("c", "1", 7)]);
-    // One who follows and had everything up to 2 learns of both.
+    // A follower at version 2 gets both changes.
     let missing = replica.changes_since(2);
     assert_eq!((missing.is_whole, missing.rows.len(), missing.version), (false, 2, 9));
 }
 
-/// So many rows were removed that not all removals are remembered. One who had
-/// seen the first of the rows gets the whole table, and drops them.
+/// Guards against a follower that keeps a row whose removal was dropped.
 #[test]
 fn follower_behind_compaction_gets_the_whole_table() {
     let mut source = Replica::default();
@@ -75,15 +73,15 @@
     assert!(!source.changes_since(2_990).is_whole);
 }
 
-/// Changes of the table, each a key and whether it is written or removed.
+/// Changes of a table: a key, and whether it is written or removed.
 fn history() -> impl Strategy<Value = Vec<(u8, bool)>> {
     prop::collection::vec((0..6_u8, any::<bool>()), 1..60)
 }
 
 proptest! {
-    /// A store changes, two sources read it at moments of their own, and a follower
-    /// hears both in any order, now and then after a new connection. It never
-    /// steps back and ends with what the store holds.
+    /// Guards against a follower that goes back to an older version or ends with other
+    /// rows than the store, whichever source it hears first, with reconnects in
+    /// between.
     #[test]
     fn follower_of_two_sources_converges(
         history in history(),
@@ -119,10 +117,8 @@
     }
 }
 
-/// An instance follows two others, where a change must be in force within two
-/// seconds. Whatever becomes of them, it must know early enough to watch the
-/// store itself: they lose the store, they are silent, or they go on talking
-/// while the store has not answered them.
+/// Guards against an instance that relies for too long on a source that has lost the
+/// store, stopped responding, or reports old data.
 #[test]
 fn source_goes_stale_within_the_propagation_limit() {
     let name = InstanceId::new("entry-1");
@@ -130,14 +126,14 @@
         |requested_at_ms, held_ms, age_ms| Some(SourceReport { requested_at_ms, held_ms, age_ms });
     let just_received = |age_ms| report(10_000, 0, age_ms);
     let cases = [
-        ("just heard", just_received(0), 10_000, true),
+        ("just received", just_received(0), 10_000, true),
         ("held back by the source", report(9_700, 300, 0), 11_199, true),
-        ("long under way", report(8_600, 200, 0), 10_000, false),
-        ("the store's answer was old", just_received(1_300), 10_000, false),
-        ("silent for a while", just_received(0), 11_199, true),
-        ("silent for too long", just_received(0), 11_200, false),
-        ("both together", just_received(800), 10_400, false),
-        ("it says that it has lost the store", None, 10_000, false),
+        ("long in transit", report(8_600, 200, 0), 10_000, false),
+        ("the data of the source was old", just_received(1_300), 10_000, false),
+        ("no report for a while", just_received(0), 11_199, true),
+        ("no report for too long", just_received(0), 11_200, false),
+        ("old data and no report", just_received(800), 10_400, false),
+        ("the source has lost the store", None, 10_000, false),
     ];
     let is_still_fresh = |now_ms: u64| now_ms < 11_200;
     for (case, report, now_ms, is_fresh) in cases {
@@ -145,7 +141,7 @@
         tracker.record_report(&name, just_received(0));
         tracker.record_report(&name, report);
         assert_eq!(tracker.has_fresh_source(now_ms), is_fresh, "{case}");
-        // What was heard before stays known, whatever becomes of its source.
+        // What was received before stays known, whatever becomes of its source.
         assert_eq!(tracker.is_fresh(now_ms), is_still_fresh(now_ms), "{case}");
         assert_eq!(tracker.age_ms(now_ms), Some(now_ms - 10_000), "{case}");
     }
@@ -156,20 +152,18 @@
     let mut tracker = FreshnessTracker::new(3_000);
     tracker.record_answer(10_000);
     assert!(tracker.is_fresh(11_000) && !tracker.has_fresh_source(11_000));
-    assert!(tracker.poll_wait_ms() < tracker.staleness_limit_ms(), "a watch at rest keeps contact");
-    // So does one that asks only now and then because it has no source.
+    assert!(tracker.poll_wait_ms() < tracker.staleness_limit_ms(), "an idle watch stays fresh");
+    // An instance that starts to watch for want of a source stays fresh, too.
     let watches_at_ms = (10_000..).find(|&now_ms| tracker.needs_direct_watch(now_ms)).unwrap();
-    assert!(watches_at_ms >= 10_500, "one that has just started waits for sources");
+    assert!(watches_at_ms >= 10_500, "an instance that has just started waits for sources");
     assert!(tracker.is_fresh(watches_at_ms + tracker.fallback_poll_wait_ms()));
     tracker.record_failure(11_000);
     assert!(tracker.is_fresh(11_799) && !tracker.is_fresh(11_800));
 }
 
-/// An instance follows two others and is chosen to watch. It lets go of its
-/// sources, and its own watch has not answered yet. It must not take the store for
-/// lost in between: it would be chosen no longer, follow the others again, be
-/// chosen again, and so on, and each time believe for two seconds in servers whose
-/// rows were removed.
+/// Guards against an instance that loses freshness between dropping its sources and the
+/// first response to its own watch. It would alternate between watching and following,
+/// and use removed servers each time.
 #[test]
 fn data_stays_fresh_from_last_source_to_direct_watch() {
     let name = InstanceId::new("entry-1");
@@ -185,8 +179,8 @@
     assert!(tracker.has_fresh_direct_watch(12_100) && tracker.can_watch(12_100));
 }
 
-/// An instance hears of the store by others and fails to reach it itself. It is
-/// not to be chosen, or those who follow it would have one source less.
+/// Guards against choosing an instance that cannot reach the store itself as a source
+/// for others.
 #[test]
 fn instance_with_recent_failure_does_not_watch_for_others() {
     let name = InstanceId::new("entry-1");
@@ -199,8 +193,8 @@
     }
 }
 
-/// Guards against two instances that follow each other taking each other for fresh
-/// after both have lost the store.
+/// Guards against two instances that follow each other and keep each other fresh after
+/// both have lost the store.
 #[test]
 fn cycle_of_sources_goes_stale() {
     let name = InstanceId::new("other");
