--- a/crates/azuregate-core/src/membership.rs
+++ b/crates/azuregate-core/src/membership.rs
@@ -1,8 +1,8 @@
 /*!
-Which instances take new work, from what is heard on the peer links.
+Tracks which instances take new work, from heartbeats on the peer links.
 
-The platform's list lags by minutes at the worst. Heartbeats tell within seconds
-that an instance has gone silent, and carry how old its configuration may be.
+The platform's list can lag by minutes. Heartbeats show within seconds that an instance
+has failed, and carry the age of its configuration.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,21 +15,20 @@
     time::Millis,
 };
 
-/// How often neighbours send heartbeats, and what silence means.
+/// Heartbeat interval and failure timeout.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct HeartbeatTiming {
-    /// A heartbeat goes to each neighbour so often.
+    /// Interval of the heartbeats to each neighbour.
     pub heartbeat_ms: u64,
-    /// An instance that was not heard of for this long gets no new work.
+    /// An instance without a heartbeat for this long gets no new work.
     pub failure_timeout_ms: u64,
 }
 
 impl HeartbeatTiming {
-    /// The pace in a deployment of `listed` instances.
+    /// Returns the timing for a deployment of `listed` instances.
     ///
-    /// A small one can afford to notice silence within two seconds. In a large
-    /// one an instance has up to 28 neighbours, and a heartbeat each second to
-    /// and from all of them would take 8 kB/s with the headers of its packets.
+    /// In a large deployment an instance has up to 28 neighbours. Heartbeats are less
+    /// frequent there to bound the traffic on the peer links.
     pub fn for_deployment(listed: usize) -> HeartbeatTiming {
         if listed <= MAX_FULL_MESH {
             return HeartbeatTiming { heartbeat_ms: 500, failure_timeout_ms: 2_000 };
@@ -38,26 +37,26 @@
     }
 }
 
-/// How many peers must agree with an instance that starts while the platform is
-/// down.
+/// Number of peers whose configuration versions must agree before an instance that
+/// starts while the platform is down serves requests.
 pub const READY_QUORUM: usize = 2;
 
-/// What an instance says of itself at rest.
+/// A heartbeat of an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Heartbeat {
-    /// Whether it has a configuration in force.
+    /// Whether the sender has a configuration in force.
     #[serde(rename = "r")]
     pub ready: bool,
-    /// How long ago its configuration was the platform's newest, by its own
-    /// reading or by that of an instance with the same versions.
+    /// Time since the sender's configuration was confirmed as the platform's newest, by
+    /// its own read or by an instance with the same versions.
     #[serde(rename = "a")]
     pub confirmed_age_ms: Option<u64>,
-    /// A hash of the versions that it has in force.
+    /// Hash of the configuration versions that the sender has in force.
     #[serde(rename = "d")]
     pub digest: u64,
 }
 
-/// What one instance believes of the others.
+/// The state of the other instances as seen by one instance.
 #[derive(Clone, Debug)]
 pub struct Membership {
     self_id: InstanceId,
@@ -78,7 +77,7 @@
 }
 
 impl Membership {
-    /// What `self_id` believes before it has heard of anyone.
+    /// Creates the state of `self_id` before the first heartbeat.
     pub fn new(self_id: &InstanceId) -> Membership {
         Membership {
             self_id: self_id.clone(),
@@ -90,8 +89,8 @@
         }
     }
 
-    /// Sets the instances that are watched. New ones count as heard of now, so
-    /// that they have time to open a link.
+    /// Sets the instances to watch. New ones start with a full failure timeout, so that
+    /// they have time to open a link.
     pub fn set_neighbours(&mut self, neighbours: &BTreeSet<InstanceId>, now_ms: Millis) {
         self.peers.retain(|id, _| neighbours.contains(id));
         for id in neighbours {
@@ -105,17 +104,17 @@
         }
     }
 
-    /// Sets how often heartbeats come, and what silence means.
+    /// Sets the heartbeat interval and the failure timeout.
     pub fn set_heartbeat_timing(&mut self, timing: HeartbeatTiming) {
         self.timing = timing;
     }
 
-    /// Sets how long an instance stays in the answers without confirmation.
+    /// Sets how long an instance stays available without a confirmed configuration.
     pub fn set_confirmation_timeout_ms(&mut self, timeout_ms: u64) {
         self.confirmation_timeout_ms = timeout_ms;
     }
 
-    /// Takes in a heartbeat; `digest` is that of the own versions.
+    /// Records a heartbeat; `digest` is that of this instance's own versions.
     pub fn record_heartbeat(
         &mut self,
         id: &InstanceId,
@@ -131,8 +130,8 @@
         let same = heartbeat.digest == digest;
         peer.start = start;
         peer.last_heartbeat_at_ms = now_ms;
-        // What is older than this process counts as not confirmed: monotonic time
-        // cannot tell of it, and would make it look young.
+        // A time before the start of this process counts as unconfirmed: monotonic time
+        // cannot represent it, and saturating would make it look recent.
         let at_ms = heartbeat.confirmed_age_ms.and_then(|age_ms| now_ms.0.checked_sub(age_ms));
         peer.confirmed_at_ms = at_ms.map(Millis);
         peer.ready = heartbeat.ready;
@@ -142,18 +141,18 @@
         }
     }
 
-    /// Notes that an instance has started a planned stop.
+    /// Records that an instance has started a planned stop.
     pub fn record_stopping(&mut self, id: &InstanceId, start: StartNumber) {
         let latest = self.stopping.entry(id.clone()).or_default();
         *latest = start.max(*latest);
     }
 
-    /// Notes that the own versions are the platform's newest.
+    /// Records that this instance's versions are the platform's newest.
     pub fn record_confirmation(&mut self, now_ms: Millis) {
         self.confirmed_at_ms = Some(now_ms);
     }
 
-    /// Forgets what may have changed while this process was paused.
+    /// Discards what may have changed while this process was paused.
     pub fn reset_after_pause(&mut self, now_ms: Millis) {
         self.confirmed_at_ms = None;
         for peer in self.peers.values_mut() {
@@ -162,18 +161,19 @@
         }
     }
 
-    /// How long ago the own versions were the platform's newest.
+    /// Returns the time since this instance's versions were confirmed as the platform's
+    /// newest.
     pub fn confirmed_age_ms(&self, now_ms: Millis) -> Option<u64> {
         self.confirmed_at_ms.map(|at_ms| now_ms.since(at_ms).0)
     }
 
-    /// How many peers serve with the same versions as this instance.
+    /// Returns how many responsive peers serve with the same versions as this instance.
     pub fn agreeing_peers(&self, now_ms: Millis) -> usize {
         self.peers.values().filter(|peer| peer.agrees && !self.is_timed_out(peer, now_ms)).count()
     }
 
-    /// The instances that get no new work: those that stop, have gone silent, may
-    /// have missed a change, or say that they are not ready.
+    /// Returns the instances that get no new work: those that are stopping, have timed
+    /// out, may have missed a change, or report that they are not ready.
     pub fn unavailable(&self, now_ms: Millis) -> BTreeSet<InstanceId> {
         let mut unavailable: BTreeSet<_> = self.timed_out(now_ms).collect();
         unavailable.extend(self.unconfirmed(now_ms));
@@ -190,8 +190,9 @@
 
     fn timed_out(&self, now_ms: Millis) -> impl Iterator<Item = InstanceId> {
         let timed_out = self.peers.iter().filter(move |(_, peer)| self.is_timed_out(peer, now_ms));
-        // An instance that hears hardly anyone is cut off itself. If it believed
-        // the others dead it would send all callers to itself.
+        // An instance that hears from less than half of its peers is partitioned
+        // itself. If it took the others for failed, it would direct all callers to
+        // itself.
         let is_isolated = timed_out.clone().count() * 2 > self.peers.len();
         timed_out.filter(move |_| !is_isolated).map(|(id, _)| id.clone())
     }
@@ -200,13 +201,13 @@
         let is_old = |at_ms: Option<Millis>| {
             at_ms.is_none_or(|at_ms| now_ms.since(at_ms).0 > self.confirmation_timeout_ms)
         };
-        // What a silent instance has confirmed is not known; silence is judged by
-        // itself.
+        // Instances that have timed out are handled separately; what they have
+        // confirmed is unknown.
         let heard = self.peers.iter().filter(|(_, peer)| !self.is_timed_out(peer, now_ms));
         let peers = heard.map(|(id, peer)| (id, peer.confirmed_at_ms));
         let all = peers.chain([(&self.self_id, self.confirmed_at_ms)]);
         let (old, fresh): (Vec<_>, Vec<_>) = all.partition(|(_, at_ms)| is_old(*at_ms));
-        // With the platform down nobody can confirm, and no change can be made.
+        // While the platform is down nobody can confirm, and no change can be made.
         if fresh.is_empty() {
             return Vec::new();
         }
