--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Who takes new work, from what is heard of instances and backend servers.
+//! Availability of instances and backend servers, from heartbeats, lists and
+//! probes.
 
 #![allow(missing_docs, clippy::unwrap_used, reason = "tests")]
 
@@ -32,7 +33,7 @@
     Heartbeat { ready: true, confirmed_age_ms: Some(confirmed_age_ms), digest: DIGEST }
 }
 
-/// Instance 0 of five, which all were heard of at 0.
+/// Instance 0 of five, with a heartbeat from each of the others at time 0.
 fn five_instances() -> Membership {
     let mut membership = Membership::new(&id(0));
     membership.set_neighbours(&ids(&[1, 2, 3, 4]), Millis(0));
@@ -44,8 +45,7 @@
     membership
 }
 
-// One heartbeat of a neighbour is lost, then it falls silent. Callers would be
-// sent away from a live instance if the one that was lost counted as silence.
+// Guards against taking an instance out of service after a single lost heartbeat.
 #[test]
 fn one_lost_heartbeat_is_tolerated_at_any_size() {
     for listed in [2, 9, MAX_FULL_MESH, MAX_FULL_MESH + 1, 680] {
@@ -70,28 +70,28 @@
         assert_eq!(record(&[1, 2, 3], at(2)), ids(&[]), "of {listed}, one lost");
         assert_eq!(record(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, heard again");
         let timed_out_at_ms = at(2) + Millis(timing.failure_timeout_ms + 1);
-        assert_eq!(record(&[1, 2, 3], timed_out_at_ms), ids(&[4]), "of {listed}, silent");
+        assert_eq!(record(&[1, 2, 3], timed_out_at_ms), ids(&[4]), "of {listed}, timed out");
     }
 }
 
-// Which instances of five send heartbeats goes through a table; the others have
-// gone silent, or cannot confirm their configuration.
+// Some of the five instances send heartbeats; the others have timed out or cannot
+// confirm their configuration.
 #[test]
 fn unavailable_instances() {
     struct Case {
         case: &'static str,
-        /// Who is heard, and how long ago its configuration was confirmed.
+        /// The instances with a heartbeat, and the age of their confirmation.
         heard: &'static [(usize, u64)],
         away: &'static [usize],
     }
     let later_ms = Millis(100_000);
     let cases = [
-        Case { case: "all heard", heard: &[(1, 0), (2, 0), (3, 0), (4, 0)], away: &[] },
-        Case { case: "one silent", heard: &[(1, 0), (2, 0), (3, 0)], away: &[4] },
-        Case { case: "two silent", heard: &[(1, 0), (2, 0)], away: &[3, 4] },
-        Case { case: "cut off itself", heard: &[(1, 0)], away: &[] },
+        Case { case: "all send heartbeats", heard: &[(1, 0), (2, 0), (3, 0), (4, 0)], away: &[] },
+        Case { case: "one timed out", heard: &[(1, 0), (2, 0), (3, 0)], away: &[4] },
+        Case { case: "two timed out", heard: &[(1, 0), (2, 0)], away: &[3, 4] },
+        Case { case: "the observer is partitioned", heard: &[(1, 0)], away: &[] },
         Case {
-            case: "one missed a change",
+            case: "one is unconfirmed",
             heard: &[(1, 0), (2, 0), (3, CONFIRMATION_TIMEOUT_MS + 1), (4, 0)],
             away: &[3],
         },
@@ -112,9 +112,8 @@
     }
 }
 
-// The platform is down for so long that nobody can confirm anything. All go on:
-// no change can be made meanwhile. Then one reads the platform again, and by its
-// heartbeats so do those with the same versions; one with others is away.
+// While the platform is down nobody can confirm, and all stay available. Once one
+// instance has read the platform again, those with other versions become unavailable.
 #[test]
 fn platform_outage_leaves_all_available() {
     let mut membership = five_instances();
@@ -145,8 +144,8 @@
     );
 }
 
-// An instance tells that it stops, ends, and is started again. Heartbeats of its
-// former start come late.
+// A planned stop applies to one start of an instance; late heartbeats of an earlier
+// start change nothing.
 #[test]
 fn stopping_applies_to_one_start() {
     let mut membership = five_instances();
@@ -164,8 +163,7 @@
     assert_eq!(membership.unavailable(Millis(3)), ids(&[]));
 }
 
-// The platform is down, and an instance has just started: it knows of nothing,
-// and says so. It is named to callers once it serves.
+// An instance that starts while the platform is down gets no callers until it is ready.
 #[test]
 fn instance_that_is_not_ready_is_unavailable() {
     let mut membership = five_instances();
@@ -184,8 +182,8 @@
     assert_eq!(all_down.unavailable(later_ms), ids(&[4]));
 }
 
-// A process is paused. On waking, the others seem silent, and what it had
-// confirmed and they had agreed to is of no use.
+// After a pause of the process, peers have not timed out, and earlier confirmations and
+// agreement no longer count.
 #[test]
 fn pause_discards_confirmations() {
     let mut membership = five_instances();
@@ -212,7 +210,7 @@
     (0..count).map(instance).collect()
 }
 
-/// How many of the `live` instances a change reaches that starts at one.
+/// Counts the `live` instances that a change reaches from one of them.
 fn count_reachable(graph: &LinkGraph, live: &BTreeSet<InstanceId>) -> usize {
     let first = live.first().unwrap();
     let mut seen = BTreeSet::from([first]);
@@ -239,7 +237,7 @@
             for _ in 0..failures {
                 live.remove(&id(rng.usize(..count)));
             }
-            assert_eq!(count_reachable(&graph, &live), live.len(), "{failures} of {count} died");
+            assert_eq!(count_reachable(&graph, &live), live.len(), "{failures} of {count} failed");
         }
     }
 }
@@ -278,15 +276,15 @@
     indices.iter().map(|&index| server(index, 1).id).collect()
 }
 
-// The probes of one watcher: the failures in a row of each of its servers.
+// Consecutive probe failures per server of one watcher.
 #[test]
 fn failed_servers_by_consecutive_failures() {
     let cases: [(&str, &[u32], &[usize]); 5] = [
         ("one lost packet", &[1, 0, 0, 0], &[]),
-        ("one server gone", &[2, 0, 0, 0], &[0]),
-        ("half of them gone", &[2, 2, 0, 0], &[0, 1]),
-        ("the watcher is cut off", &[2, 2, 2, 0], &[]),
-        ("too few to tell", &[2, 2], &[0, 1]),
+        ("one server failed", &[2, 0, 0, 0], &[0]),
+        ("half of the servers failed", &[2, 2, 0, 0], &[0, 1]),
+        ("the watcher is partitioned", &[2, 2, 2, 0], &[]),
+        ("too few servers to detect a partition", &[2, 2], &[0, 1]),
     ];
     for (case, failures, failed) in cases {
         let mut tracker = ProbeTracker::default();
@@ -304,8 +302,8 @@
     }
 }
 
-// A server has two watchers. One word takes nothing out of service: the way of
-// one watcher may be cut. Reports that come late change nothing.
+// A server is unreachable only if both of its watchers report it, since one watcher may
+// be partitioned. Reports that arrive out of order change nothing.
 #[test]
 fn server_is_unreachable_when_all_watchers_agree() {
     let mut snapshot = snapshot(4);
@@ -320,24 +318,24 @@
     assert!(snapshot.record_probe_report(&second, report(1, backends(&[0]))));
     assert_eq!(open_servers(&snapshot), 3);
     assert!(snapshot.record_probe_report(&first, report(2, backends(&[]))));
-    assert_eq!(open_servers(&snapshot), 4, "it answers the first again");
-    assert!(!snapshot.record_probe_report(&first, report(1, backends(&[0]))), "an old report");
-    let stranger = InstanceId::new("stranger");
-    assert!(!snapshot.record_probe_report(&stranger, report(1, backends(&[0]))), "not listed");
+    assert_eq!(open_servers(&snapshot), 4, "it answers the first watcher again");
+    assert!(!snapshot.record_probe_report(&first, report(1, backends(&[0]))), "an outdated report");
+    let unlisted = InstanceId::new("unlisted");
+    assert!(!snapshot.record_probe_report(&unlisted, report(1, backends(&[0]))), "not listed");
 }
 
 #[test]
 fn leaving_applies_to_one_start_of_a_listed_server() {
     let mut snapshot = snapshot(3);
     let first = server(0, 1).id;
-    assert!(!snapshot.mark_leaving(&BackendId::new("stranger"), StartNumber(1)));
+    assert!(!snapshot.mark_leaving(&BackendId::new("unlisted"), StartNumber(1)));
     assert!(!snapshot.mark_leaving(&first, StartNumber(0)), "a start before the listed one");
     assert!(snapshot.mark_leaving(&first, StartNumber(1)));
-    assert!(!snapshot.mark_leaving(&first, StartNumber(1)), "no news");
+    assert!(!snapshot.mark_leaving(&first, StartNumber(1)), "already recorded");
     assert_eq!(open_servers(&snapshot), 2);
     let backends = vec![server(0, 2), server(1, 1), server(2, 1)];
     snapshot.set_list(InstanceList { instances: instances(5), backends });
-    assert_eq!((open_servers(&snapshot), snapshot.leaving.len()), (3, 0), "it was started again");
+    assert_eq!((open_servers(&snapshot), snapshot.leaving.len()), (3, 0), "it was restarted");
 }
 
 #[test]
@@ -347,7 +345,7 @@
     assert_eq!((open_servers(&snapshot), snapshot.instances.len()), (3, 5));
 }
 
-// The peers' word is joined with the list, and callers always get somebody.
+// Unavailable instances are merged into the list, and callers always get some instance.
 #[test]
 fn unavailable_instances_count_as_leaving() {
     let mut snapshot = snapshot(1);
