--- a/crates/azuregate-core/src/topology.rs
+++ b/crates/azuregate-core/src/topology.rs
@@ -1,21 +1,21 @@
-//! Regions, availability zones and the links between them.
+//! Regions, availability zones and the distances between them.
 
 use serde::{Deserialize, Serialize};
 
 use crate::names::{RegionName, ZoneName};
 
-/// The regions of a deployment and what it costs to go between them.
+/// The regions of a deployment and the delays between them.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Topology {
-    /// The regions, each with its availability zones.
+    /// The regions.
     pub regions: Vec<Region>,
     /// One-way delay between availability zones of one region, in milliseconds.
     pub zone_delay_ms: u64,
     /// One-way delay between regions, in milliseconds.
     pub region_delay_ms: u64,
-    /// What a link between two regions carries each way, in megabits a second,
-    /// shared by all traffic.
+    /// Capacity of a link between two regions in each direction, in megabits per
+    /// second, shared by all traffic.
     pub link_mbit_per_s: u64,
 }
 
@@ -29,30 +29,30 @@
     pub zones: Vec<ZoneName>,
 }
 
-/// How far two availability zones are from each other, nearest first.
+/// The distance between two availability zones, nearest first.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub enum Distance {
     /// The same availability zone.
     SameZone,
-    /// Another availability zone of the same region.
+    /// Different availability zones of the same region.
     SameRegion,
-    /// Another region, or a zone that the topology does not know.
+    /// Different regions, or a zone that is not part of the topology.
     OtherRegion,
 }
 
 impl Topology {
-    /// The region that `zone` belongs to.
+    /// Returns the region of `zone`, or `None` if the zone is unknown.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         let region = self.regions.iter().find(|region| region.zones.contains(zone))?;
         Some(&region.name)
     }
 
-    /// All availability zones, in the order of the settings.
+    /// Returns all availability zones, in the order of the settings.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.regions.iter().flat_map(|region| &region.zones)
     }
 
-    /// The distance between two availability zones.
+    /// Returns the distance between two availability zones.
     pub fn distance(&self, from: &ZoneName, to: &ZoneName) -> Distance {
         if from == to {
             return Distance::SameZone;
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The one-way delay that goes with a distance, in milliseconds.
+    /// Returns the one-way delay for a distance, in milliseconds.
     pub fn delay_ms(&self, distance: Distance) -> u64 {
         match distance {
             Distance::SameZone => 0,
