--- a/crates/azuregate-core/src/names.rs
+++ b/crates/azuregate-core/src/names.rs
@@ -1,4 +1,4 @@
-//! Names of the things that azuregate steers between.
+//! Identifiers of instances, backend servers, services, tenants, regions and zones.
 
 use std::{fmt, sync::Arc};
 
@@ -12,12 +12,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes the name from its text.
+            /// Creates the name from its text.
             pub fn new(text: &str) -> $name {
                 $name(Arc::from(text))
             }
 
-            /// The text of the name.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -38,32 +38,32 @@
 }
 
 name! {
-    /// An entry instance, as the platform's list and the settings name it.
+    /// The name of an entry instance, as in the platform's list and the settings.
     InstanceId
 }
 name! {
-    /// A backend server, as the platform's list names it.
+    /// The name of a backend server, as in the platform's list.
     BackendId
 }
 name! {
-    /// A service that callers ask for by the Host header.
+    /// The name of a service, which callers send in the Host header.
     ServiceName
 }
 name! {
-    /// A tenant on whose behalf callers send requests.
+    /// The name of a tenant on whose behalf callers send requests.
     TenantName
 }
 name! {
-    /// A region.
+    /// The name of a region.
     RegionName
 }
 name! {
-    /// An availability zone; unique among all regions.
+    /// The name of an availability zone, unique among all regions.
     ZoneName
 }
 
-/// Tells one start of a process from the next, in milliseconds since the Unix
-/// epoch at the start.
+/// Identifies one start of a process: the time of the start, in milliseconds since the
+/// Unix epoch. A later start has a higher number.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
