--- a/crates/azuregate-core/src/time.rs
+++ b/crates/azuregate-core/src/time.rs
@@ -1,13 +1,13 @@
-//! Points in time as plain values, so that decisions never read a clock.
+//! Points in time as plain values, so that the callers supply the clock.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time or a span, in milliseconds.
+/// A point in time or a duration, in milliseconds.
 ///
-/// Which clock it belongs to is said where it is used: monotonic time inside a
-/// process, time since the Unix epoch in rows kept by the platform.
+/// Points in time inside a process are monotonic; those in rows of the platform count
+/// from the Unix epoch.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
@@ -15,10 +15,9 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The span from `earlier` to `self`, or zero when `earlier` is later.
+    /// Returns the duration from `earlier` to `self`, or zero if `earlier` is later.
     ///
-    /// Clocks jump backwards; a span that saturates keeps a jump from turning
-    /// into an age of half a million years.
+    /// Saturates, so that a clock that jumps backwards does not yield a huge age.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
