--- a/crates/azuregate-core/src/retry.rs
+++ b/crates/azuregate-core/src/retry.rs
@@ -1,4 +1,4 @@
-//! How many retries a service may make.
+//! A budget that bounds the retries of a service.
 //!
 //! ```
 //! use azuregate_core::retry::RetryBudget;
@@ -12,42 +12,41 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What one retry costs, in thousandths of a retry.
+/// Cost of one retry, in thousandths of a retry.
 const RETRY_COST_MILLI: u64 = 1_000;
-/// What each new request adds, in thousandths of a retry: one in ten.
+/// Deposit for each new request, in thousandths of a retry.
 const DEPOSIT_MILLI: u64 = 100;
-/// What is kept at the most, in thousandths of a retry.
-///
-/// It also bounds how far back "recent" goes: only the last 200 requests count.
+/// Upper limit of the balance, in thousandths of a retry. It bounds a burst of retries,
+/// and only the last 200 requests count as recent.
 const MAX_BALANCE_MILLI: u64 = 20_000;
 
-/// Lets retries be a share of recent requests.
+/// Limits retries to a share of recent requests.
 ///
-/// Without it, each failure under load makes up to two more requests, the load
-/// that made the first fail. A share of recent requests bounds that to a tenth
-/// more, however many fail, and retries die out.
+/// Without it, each request that fails under load would be sent several times and keep
+/// the overload alive. With it, retries add at most a tenth to the load, however many
+/// requests fail.
 ///
-/// It is shared between requests without a lock.
+/// The budget is lock-free and can be shared between threads.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance_milli: AtomicU64,
 }
 
 impl Default for RetryBudget {
-    /// A full budget: the first requests of a process may be retried too.
+    /// Returns a full budget, so that the first requests of a process can be retried.
     fn default() -> RetryBudget {
         RetryBudget { balance_milli: AtomicU64::new(MAX_BALANCE_MILLI) }
     }
 }
 
 impl RetryBudget {
-    /// Counts a new request; a retry is no new request.
+    /// Adds the share of one new request. Retries do not count as new requests.
     pub fn deposit(&self) {
         let add = |milli: u64| Some((milli + DEPOSIT_MILLI).min(MAX_BALANCE_MILLI));
         let _ = self.balance_milli.fetch_update(Ordering::Relaxed, Ordering::Relaxed, add);
     }
 
-    /// Takes one retry, or says that there is none.
+    /// Withdraws one retry; returns whether the balance allowed it.
     pub fn try_withdraw(&self) -> bool {
         let withdraw = |milli: u64| milli.checked_sub(RETRY_COST_MILLI);
         self.balance_milli.fetch_update(Ordering::Relaxed, Ordering::Relaxed, withdraw).is_ok()
