--- a/crates/azuregate-core/src/latency.rs
+++ b/crates/azuregate-core/src/latency.rs
@@ -1,10 +1,9 @@
-//! When an answer is late.
+//! Estimates when an answer is late.
 
-/// The time within which the first byte of an answer usually comes.
+/// Estimates the usual time to the first byte of an answer.
 ///
-/// Smoothed mean and deviation as in RFC 6298, which needs two numbers and no
-/// window of samples. Its four deviations are too few here: service times vary far
-/// more than round trips, and one exponential time in thirty is beyond them.
+/// Keeps a smoothed mean and deviation as in RFC 6298. The threshold uses more than the
+/// four deviations of the RFC, since service times vary far more than round-trip times.
 #[derive(Clone, Debug, Default)]
 pub struct LatencyEstimator {
     mean_us: u64,
@@ -12,13 +11,13 @@
 }
 
 impl LatencyEstimator {
-    /// Below this, what looks late is noise of the scheduler.
+    /// Lower limit of the threshold; shorter delays are scheduling noise.
     const MIN_THRESHOLD_MS: u64 = 50;
 
-    /// How many deviations past the mean an answer is late.
+    /// Number of deviations above the mean from which an answer is late.
     const THRESHOLD_DEVIATIONS: u64 = 10;
 
-    /// Takes in the time that one answer took, in milliseconds.
+    /// Records the time that one answer took, in milliseconds.
     pub fn record(&mut self, taken_ms: u64) {
         let taken_us = taken_ms.saturating_mul(1_000);
         if self.mean_us == 0 {
@@ -31,8 +30,8 @@
         self.mean_us = (7 * self.mean_us + taken_us) / 8;
     }
 
-    /// After how many milliseconds an answer is late; `None` before the first
-    /// answer, since nothing is usual yet.
+    /// Returns the time from which an answer is late, in milliseconds, or `None` before
+    /// the first answer.
     pub fn late_threshold_ms(&self) -> Option<u64> {
         if self.mean_us == 0 {
             return None;
--- a/crates/azuregate-core/tests/latency.rs
+++ b/crates/azuregate-core/tests/latency.rs
@@ -1,16 +1,16 @@
-//! When an answer is late.
+//! The threshold from which an answer counts as late.
 
 use azuregate_core::latency::LatencyEstimator;
 
 #[test]
 fn late_threshold_by_recorded_times() {
     let cases: &[(&[u64], Option<u64>)] = &[
-        // Nothing is usual before the first answer.
+        // No estimate before the first answer.
         (&[], None),
-        // Below the floor, scheduling is all that differs.
+        // The lower limit of the threshold applies.
         (&[1, 1, 1], Some(50)),
         (&[100], Some(600)),
-        // Steady answers narrow it down.
+        // Steady times narrow the deviation.
         (&[100; 50], Some(100)),
     ];
     for (taken_ms, late_threshold_ms) in cases {
@@ -22,9 +22,8 @@
     }
 }
 
-// Service times vary: a read that only takes longer than most is broken off and
-// run again, which costs a slot twice and helps nobody. Of exponential times one
-// in two hundred may be taken for late at the most.
+// Guards against aborting and repeating reads that are merely slow: with exponential
+// service times, at most 1 in 200 may count as late.
 #[test]
 fn slow_answers_are_rarely_late() {
     let mut rng = fastrand::Rng::with_seed(1);
