--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -1,12 +1,12 @@
 /*!
-Which instances keep links to each other.
+The links between instances.
 
-A small deployment is a full mesh. A large one is a random graph of bounded
-degree that every instance works out from the names alone: each picks a few
-instances of its own zone and one in each of some other zones by rendezvous
-hashing, and a link exists where either side picked the other. Such a graph
-stays connected when many instances die at once, and a change crosses 680
-instances in a few hops (see `examples/spread.rs`).
+A small deployment is a full mesh. A large one is a random graph of bounded degree that
+every instance computes from the instance names alone: each instance picks a few
+instances of its own zone and one in each of several other zones by rendezvous hashing,
+and a link exists where either side picked the other. Such a graph stays connected when
+many instances fail at once, and a change reaches 680 instances in a few hops (see
+`examples/spread.rs`).
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,22 +17,22 @@
     snapshot::Instance,
 };
 
-/// Up to this many instances, all keep links to all.
+/// Largest number of instances that form a full mesh.
 pub const MAX_FULL_MESH: usize = 24;
-/// How many instances of its own zone each picks.
+/// Number of instances that each instance picks in its own zone.
 const SAME_ZONE_LINKS: usize = 2;
-/// In how many other zones each picks one instance.
+/// Number of other zones in which each instance picks one instance.
 const OTHER_ZONE_LINKS: usize = 6;
 
-/// The links of a whole deployment: the neighbours of each instance.
+/// The neighbours of each instance of a deployment.
 pub type LinkGraph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
 
-/// The neighbours of `me` among `instances`.
+/// Returns the neighbours of `me` among `instances`.
 pub fn neighbours(me: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
     link_graph(instances).remove(me).unwrap_or_default()
 }
 
-/// All links among `instances`; each stands at both of its ends.
+/// Returns all links among `instances`; each link is listed at both of its ends.
 pub fn link_graph(instances: &[Instance]) -> LinkGraph {
     let zones = by_zone(instances);
     let mut graph: LinkGraph =
@@ -85,8 +85,8 @@
     picked
 }
 
-/// The instances that watch something named `name`: the first `count` in the
-/// order of rendezvous hashing.
+/// Returns the instances that watch the item `name`: the first `count` in the order of
+/// rendezvous hashing.
 pub fn watchers<'a>(
     name: &str,
     instances: impl Iterator<Item = &'a InstanceId>,
