--- a/crates/azuregate-core/src/snapshot/listing.rs
+++ b/crates/azuregate-core/src/snapshot/listing.rs
@@ -1,4 +1,4 @@
-//! What the platform lists.
+//! The platform's list of instances and backend servers.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -6,18 +6,18 @@
 
 use crate::names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName};
 
-/// Whether an instance or backend server takes new work.
+/// Whether an instance or a backend server takes new work.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Liveness {
     /// It takes new work.
     #[default]
     Live,
-    /// It finishes what it has.
+    /// It finishes the requests that it has and takes no new work.
     Leaving,
 }
 
-/// An entry instance, as the platform lists it.
+/// An entry instance in the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
@@ -25,11 +25,11 @@
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its IP number.
+    /// Its IP address.
     pub ip: IpAddr,
-    /// Where callers reach it.
+    /// The port for requests of callers.
     pub traffic_port: u16,
-    /// Where the other instances reach it.
+    /// The port for links of other instances.
     pub peer_port: u16,
     /// Whether it takes new work.
     #[serde(default)]
@@ -37,40 +37,40 @@
 }
 
 impl Instance {
-    /// The address for callers.
+    /// Returns the address for requests of callers.
     pub fn traffic_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.traffic_port)
     }
 
-    /// The address for other instances.
+    /// Returns the address for links of other instances.
     pub fn peer_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_port)
     }
 }
 
-/// A backend server, as the platform lists it.
+/// A backend server in the platform's list.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServer {
     /// Its name.
     pub id: BackendId,
-    /// The service that it serves.
+    /// The service that it belongs to.
     pub service: ServiceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where it takes requests.
+    /// The address for requests.
     pub addr: SocketAddr,
-    /// Tells this start of the server from the next one.
+    /// Identifies this start of the server.
     #[serde(default)]
     pub start: StartNumber,
-    /// How many requests it takes at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
     /// Whether it takes new work.
     #[serde(default)]
     pub liveness: Liveness,
 }
 
-/// The platform's list: it lags behind what is true.
+/// The platform's list, which can be out of date.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceList {
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -20,46 +20,45 @@
 pub use listing::{BackendServer, Instance, InstanceList, Liveness};
 pub use readiness::Readiness;
 
-/// Heartbeats and polls take their time: a shorter limit would send healthy
-/// instances away.
+/// Lower limit of the confirmation timeout; below it, the delay of heartbeats and polls
+/// would make healthy instances unavailable.
 const MIN_CONFIRMATION_TIMEOUT_MS: u64 = 3_000;
 
-/// Everything the request path reads; immutable, and replaced as a whole.
+/// Everything that the request path reads; immutable, and replaced as a whole.
 #[derive(Clone, Debug)]
 pub struct Snapshot {
     /// Regions and availability zones, from the settings.
     pub topology: Arc<Topology>,
     /// The policy in force for each service.
     pub policies: BTreeMap<ServiceName, Arc<Policy>>,
-    /// The entry instances, ordered by name. One that is away counts as leaving,
-    /// whatever the platform lists.
+    /// The entry instances, ordered by name. Unavailable instances are marked as
+    /// leaving, whatever the platform lists.
     pub instances: Arc<[Instance]>,
     /// The entry instances as the platform lists them, ordered by name.
     pub listed: Arc<[Instance]>,
-    /// Instances that get no new work by any sign but the list.
+    /// Instances that get no new work for a reason other than the list.
     pub unavailable: BTreeSet<InstanceId>,
-    /// The latest start of each entry instance that a neighbour told of.
+    /// The latest known start of each entry instance.
     pub starts: BTreeMap<InstanceId, StartNumber>,
-    /// Instances that told of their planned stop, with their start numbers.
+    /// Instances that announced a planned stop, with their start numbers.
     pub stopping: BTreeSet<(InstanceId, StartNumber)>,
     /// The backend servers of each service, ordered by name.
     pub backends: BTreeMap<ServiceName, Arc<[BackendServer]>>,
-    /// Backend servers that are leaving by any sign but the list. Sticky: the
-    /// same start of a server never takes new work again.
+    /// Backend servers that are leaving for a reason other than the list. The same
+    /// start of a server never takes new work again.
     pub leaving: BTreeSet<(BackendId, StartNumber)>,
-    /// What the watchers of backend servers say.
+    /// The latest probe report of each watcher.
     pub probes: BTreeMap<InstanceId, ProbeReport>,
-    /// Backend servers that do not answer probes; they get work again when they
-    /// answer.
+    /// Backend servers that do not answer probes; they get work again once they answer.
     pub unreachable: BTreeSet<BackendId>,
     /// Whether the policies were confirmed by the platform or by peers.
     pub ready: bool,
-    /// Why it is ready, or why not.
+    /// The reason for `ready`.
     pub readiness: Readiness,
 }
 
 impl Snapshot {
-    /// The snapshot of a process that knows nothing but its settings.
+    /// Returns the snapshot of a process that has only its settings.
     pub fn empty(topology: Arc<Topology>) -> Snapshot {
         Snapshot {
             topology,
@@ -78,8 +77,8 @@
         }
     }
 
-    /// Whether both have the same lists of instances and backend servers, by
-    /// identity: what was worked out from the one holds for the other.
+    /// Returns whether both snapshots share their lists of instances and backend
+    /// servers by identity, so that results computed from one are valid for the other.
     pub fn shares_lists_with(&self, other: &Snapshot) -> bool {
         let same = |(a, b): (&Arc<[BackendServer]>, &Arc<[BackendServer]>)| Arc::ptr_eq(a, b);
         Arc::ptr_eq(&self.instances, &other.instances)
@@ -87,10 +86,11 @@
             && self.backends.values().zip(other.backends.values()).all(same)
     }
 
-    /// Replaces the lists of instances and backend servers.
+    /// Replaces the lists of instances and backend servers; returns whether anything
+    /// changed.
     ///
-    /// Returns whether anything changed. An empty list is ignored: a platform
-    /// that lost its rows would otherwise take every server out of service.
+    /// An empty list is ignored: a platform that lost its rows must not take every
+    /// server out of service.
     pub fn set_list(&mut self, mut list: InstanceList) -> bool {
         let lost = (list.instances.is_empty() && !self.listed.is_empty())
             || (list.backends.is_empty() && !self.backends.is_empty());
@@ -117,8 +117,7 @@
         true
     }
 
-    /// Replaces the set of instances that get no new work; returns whether
-    /// anything changed.
+    /// Replaces the set of unavailable instances; returns whether anything changed.
     pub fn set_unavailable(&mut self, unavailable: BTreeSet<InstanceId>) -> bool {
         if self.unavailable == unavailable {
             return false;
@@ -128,14 +127,14 @@
         true
     }
 
-    /// Sets why it is ready, or why not; returns whether anything changed.
+    /// Sets the readiness and its reason; returns whether anything changed.
     pub fn set_readiness(&mut self, readiness: Readiness) -> bool {
         self.ready = readiness.is_ready();
         std::mem::replace(&mut self.readiness, readiness) != readiness
     }
 
-    /// A hash of the versions in force, the same on every instance that has the
-    /// same versions.
+    /// Returns a hash of the versions in force, which is equal on all instances with
+    /// the same versions.
     pub fn digest(&self) -> u64 {
         let versions = self
             .policies
@@ -146,12 +145,13 @@
         hash::score(&parts)
     }
 
-    /// The server with this name, as the platform lists it.
+    /// Returns the server with this name, as the platform lists it.
     pub fn backend(&self, id: &BackendId) -> Option<&BackendServer> {
         self.backends.values().flat_map(|servers| servers.iter()).find(|server| server.id == *id)
     }
 
-    /// Notes a start of an entry instance; returns whether it is news.
+    /// Records a start of an entry instance; returns whether it is newer than the known
+    /// one.
     pub fn record_start(&mut self, id: &InstanceId, start: StartNumber) -> bool {
         let is_newer = self.starts.get(id).is_none_or(|known| *known < start);
         if is_newer {
@@ -160,16 +160,17 @@
         is_newer
     }
 
-    /// Notes a sign that a server is leaving; returns whether it is news.
+    /// Marks a start of a server as leaving; returns whether it was not marked before.
     ///
-    /// Servers that are not listed, and starts before the listed one, are
-    /// ignored: the set would grow without bound.
+    /// Servers that are not listed, and starts before the listed one, are ignored, so
+    /// that the set stays bounded.
     pub fn mark_leaving(&mut self, id: &BackendId, start: StartNumber) -> bool {
         let known = self.backend(id).is_some_and(|server| server.start <= start);
         known && self.leaving.insert((id.clone(), start))
     }
 
-    /// Notes what a watcher says; returns whether it is news.
+    /// Records the report of a watcher; returns whether it is newer than the known one.
+    /// Reports of instances that are not listed are ignored.
     pub fn record_probe_report(&mut self, watcher: &InstanceId, report: ProbeReport) -> bool {
         let listed = self.listed.iter().any(|instance| instance.id == *watcher);
         let is_newer = self.probes.get(watcher).is_none_or(|known| report.is_newer(known));
@@ -181,11 +182,11 @@
         true
     }
 
-    /// How long an instance may go without confirmation and still be named to
-    /// callers, in milliseconds.
+    /// Returns how long an instance without confirmation is still named to callers, in
+    /// milliseconds.
     ///
-    /// A shift may start so long after its commit that callers have forgotten
-    /// an instance that missed it.
+    /// It is shorter than the delay of a shift, so that callers have stopped using an
+    /// instance that missed the shift before the shift starts.
     pub fn confirmation_timeout_ms(&self) -> u64 {
         let delays = self.policies.values().map(|policy| policy.shift_delay_ms);
         let shortest = delays.min().unwrap_or(DEFAULT_SHIFT_DELAY_MS);
@@ -212,13 +213,12 @@
             }
         }
         let any_live = instances.iter().any(|instance| instance.liveness == Liveness::Live);
-        // Callers are better off with an instance that may be gone than with
-        // none.
+        // An instance that may be down is better for callers than none.
         self.instances = if any_live { Arc::from(instances) } else { Arc::clone(&self.listed) };
         self.unreachable = probe::unreachable_servers(self);
     }
 
-    /// The backend servers of a service, each with whether it may get new work.
+    /// Returns the backend servers of a service, each with whether it may get new work.
     pub fn route_servers(&self, service: &ServiceName) -> Vec<RouteServer> {
         let drains = self.policies.get(service).map(|policy| &policy.drains);
         let servers = self.backends.get(service).map_or(&[][..], |servers| servers);
@@ -234,10 +234,11 @@
             .collect()
     }
 
-    /// Applies a policy if its version is higher than the one in force.
+    /// Applies a policy if its version is higher than the one in force; returns whether
+    /// it was applied.
     ///
-    /// Returns whether it was applied. A delayed message or a lagging read can
-    /// carry an older version; taking it would revert an accepted change.
+    /// A delayed message or a stale read can carry an older version, which must not
+    /// revert an accepted change.
     pub fn apply_policy(&mut self, policy: Policy) -> bool {
         let in_force = self.policies.get(&policy.service).map_or(0, |p| p.version);
         if policy.version <= in_force {
--- a/crates/azuregate-core/src/snapshot/readiness.rs
+++ b/crates/azuregate-core/src/snapshot/readiness.rs
@@ -1,27 +1,27 @@
-//! Why an instance serves or does not.
+//! Whether an instance may serve requests, and why.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Why an instance serves or does not.
+/// Whether an instance may serve requests, and why.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Readiness {
-    /// It has started and knows of no configuration.
+    /// It has started and has no configuration yet.
     #[default]
     Starting,
     /// It was paused and may have missed changes.
     #[serde(rename = "woken")]
     Resumed,
-    /// It has what the platform holds.
+    /// Its configuration was confirmed by the platform.
     Platform,
-    /// The platform is down; it has the highest versions of so many peers.
+    /// The platform is down; its configuration matches that of this many peers.
     Peers(usize),
 }
 
 impl Readiness {
-    /// Whether an instance may serve.
+    /// Returns whether the instance may serve requests.
     pub fn is_ready(self) -> bool {
         matches!(self, Readiness::Platform | Readiness::Peers(_))
     }
