--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -1,9 +1,9 @@
-//! Idempotency keys that belong to one start of one instance.
+//! Idempotency keys that are held in memory by one start of one instance.
 //!
-//! The caller names the home of a key in `Azuregate-Home`, as `/v1/entries` gave
-//! it, and names the same one again in each repeat. Only that start may run the
-//! request, from memory, with no write to the platform. When it is gone, nobody
-//! may.
+//! The caller names the home of a key in `Azuregate-Home`, as returned by
+//! `/v1/entries`, and names the same home in each repeat. Only that start of the
+//! instance may run the request, and it needs no write to the platform. Once it is
+//! gone, the request is never run again.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -18,14 +18,14 @@
     time::Millis,
 };
 
-/// The home of an idempotency key, as `entry-1.1733184000123.1733184060000`.
+/// The home of an idempotency key, written as `entry-1.1733184000123.1733184060000`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HomeToken {
     /// The instance.
     pub instance: InstanceId,
     /// Its start number.
     pub start: StartNumber,
-    /// When the token was given out, in milliseconds since the Unix epoch.
+    /// When the token was issued, in milliseconds since the Unix epoch.
     pub issued_at_ms: Millis,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A text that names no home.
+/// The text is not a home token.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseHomeTokenError;
 
@@ -43,7 +43,7 @@
     type Err = ParseHomeTokenError;
 
     fn from_str(text: &str) -> Result<HomeToken, ParseHomeTokenError> {
-        // From the right, since the name of an instance may hold dots.
+        // Splits from the right, since the name of an instance may contain dots.
         let (rest, issued) = text.rsplit_once('.').ok_or(ParseHomeTokenError)?;
         let (instance, start) = rest.rsplit_once('.').ok_or(ParseHomeTokenError)?;
         if instance.is_empty() {
@@ -57,25 +57,25 @@
     }
 }
 
-/// How much a home remembers.
+/// The limits of a home table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Config {
-    /// How long a token may be used after it was given out.
+    /// How long a token is valid after it was issued.
     pub validity_ms: u64,
-    /// How far the clock of the instance that gave it out may be ahead.
+    /// How far the clock of the issuing instance may be ahead.
     pub skew_ms: u64,
-    /// How many keys are remembered at the most.
+    /// Maximum number of keys.
     pub max_keys: usize,
-    /// How much all kept answers may take together, in bytes.
+    /// Maximum size of all stored answers together, in bytes.
     pub max_answer_bytes: usize,
 }
 
 impl Config {
-    /// How long a key is remembered.
+    /// Returns how long a key is kept.
     ///
-    /// A key is first seen no earlier than its token was given out, less the
-    /// skew. So a key that is forgotten after validity and twice the skew can
-    /// only come back with a token that has expired, and is refused.
+    /// A key is first used no earlier than its token was issued, less the skew. After
+    /// the validity and twice the skew, its token has expired and is rejected, so the
+    /// key can be evicted without the risk that its request runs again.
     fn retention_ms(&self) -> u64 {
         self.validity_ms + 2 * self.skew_ms
     }
@@ -92,14 +92,14 @@
     }
 }
 
-/// The keys that one start of an instance is the home of.
+/// The idempotency keys that are held by one start of an instance.
 #[derive(Debug)]
 pub struct HomeTable {
     config: Config,
     keys: HashMap<String, Entry>,
-    /// Keys in the order in which they were first seen.
+    /// Keys in the order of their first use.
     expiry_queue: VecDeque<(Millis, String, u64)>,
-    /// Keys in the order in which their answers came.
+    /// Keys in the order in which their answers were stored.
     answer_queue: VecDeque<(String, u64)>,
     answer_bytes: usize,
     next_sequence: u64,
@@ -113,7 +113,7 @@
 }
 
 impl HomeTable {
-    /// A home that has seen no key.
+    /// Creates an empty table.
     pub fn new(config: Config) -> HomeTable {
         HomeTable {
             config,
@@ -125,10 +125,10 @@
         }
     }
 
-    /// Decides for a request; with [`Decision::Run`] comes the number that names
-    /// this claim.
+    /// Decides about a request. The number identifies the claim if the decision is
+    /// [`Decision::Run`].
     ///
-    /// `now_ms` never goes back, and agrees with the Unix epoch but for the skew.
+    /// `now_ms` must not go back, and must agree with the Unix epoch within the skew.
     pub fn claim(
         &mut self,
         key: &str,
@@ -143,8 +143,8 @@
             let decision = claim::decide_settled(same, settled, ErrorKind::ClaimInProgress);
             return (decision, entry.sequence);
         }
-        // The failure: a key that was forgotten comes back, and runs again. A
-        // token too old, or from a clock too far ahead, could be of such a key.
+        // An evicted key must not run again. A token that has expired, or was issued by
+        // a clock too far ahead, could belong to such a key.
         let ahead = issued_at_ms > now_ms + Millis(self.config.skew_ms);
         if ahead || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
             return (Decision::Reject(ErrorKind::HomeExpired), 0);
@@ -160,7 +160,7 @@
         (Decision::Run, sequence)
     }
 
-    /// Keeps how the request of a claim ended.
+    /// Records how the request of a claim ended.
     pub fn settle(&mut self, key: &str, sequence: u64, settled: Settled) {
         let Some(entry) = self.keys.get_mut(key).filter(|entry| entry.sequence == sequence) else {
             return;
@@ -173,15 +173,15 @@
         self.evict_answers();
     }
 
-    /// Gives up a claim whose request certainly did not run.
+    /// Releases a claim whose request certainly did not run.
     pub fn release(&mut self, key: &str, sequence: u64) {
         if self.keys.get(key).is_some_and(|entry| entry.sequence == sequence) {
             self.keys.remove(key);
         }
     }
 
-    /// When the oldest key will be forgotten, in milliseconds from `now_ms`: when a
-    /// full home has room again.
+    /// Returns the time until the oldest key expires, in milliseconds from `now_ms`:
+    /// when a full table has room again.
     pub fn next_expiry_in_ms(&self, now_ms: Millis) -> u64 {
         let oldest = self.expiry_queue.front();
         oldest.map_or(0, |(seen_ms, ..)| {
@@ -189,17 +189,17 @@
         })
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether the table holds no key.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// What the kept answers take, in bytes.
+    /// Returns the size of all stored answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Drops the oldest answers while they take too much; their keys stay.
+    /// Evicts the oldest answers while they exceed the limit; their keys are kept.
     fn evict_answers(&mut self) {
         while self.answer_bytes > self.config.max_answer_bytes {
             let Some((key, sequence)) = self.answer_queue.pop_front() else { return };
--- a/crates/azuregate-core/tests/home.rs
+++ b/crates/azuregate-core/tests/home.rs
@@ -1,4 +1,4 @@
-//! Keys that belong to one start of an instance, against a model.
+//! The home table, checked against a model.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -20,15 +20,15 @@
     Settled::Answer(StoredResponse { status: 200, headers: Vec::new(), body })
 }
 
-/// One step of a caller, or of time.
+/// One step of the callers or of the clock.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    /// A new key, with a token of a clock that is off by so much.
+    /// A new key, with a token whose clock is off by this much.
     New {
         off_ms: i64,
     },
-    /// An earlier key again, with its token.
+    /// A repeat of an earlier key, with its token.
     Repeat(usize),
     Settle(usize, usize),
     Release(usize),
@@ -45,9 +45,9 @@
 }
 
 proptest! {
-    // Callers repeat keys for as long as they like, with clocks that are off,
-    // while keys and answers are forgotten for want of room. A key runs again
-    // only after it was given up.
+    // Guards against a key that runs twice although callers repeat keys at any time,
+    // clocks are off, and keys and answers are evicted. A key may run again only after
+    // its claim was released.
     #[test]
     fn no_key_runs_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut table = HomeTable::new(SMALL);
