--- a/crates/azuregate-core/src/entries.rs
+++ b/crates/azuregate-core/src/entries.rs
@@ -1,4 +1,4 @@
-//! Which entry instances a caller should use.
+//! Selects the entry instances that a caller should use.
 
 use std::net::SocketAddr;
 
@@ -13,24 +13,24 @@
     snapshot::{Instance, Liveness, Snapshot},
 };
 
-/// How long callers may keep an answer, in seconds.
+/// How long callers may cache an answer, in seconds.
 pub const MAX_AGE_S: u64 = 5;
 
-/// How many entry instances an answer names at the most.
+/// Maximum number of entry instances in an answer.
 pub const MAX_ENTRIES: usize = 8;
 
-/// How many orders of the entry instances there are.
+/// Number of rankings of the entry instances.
 ///
-/// Answers are made once for each order and kept, so there are few; with 16 the
-/// callers of one zone spread over its instances to within a sixteenth.
+/// Answers are computed and cached per ranking. 16 rankings spread the callers of one
+/// zone over its instances to within a sixteenth.
 pub const RANKING_VARIANTS: u8 = 16;
 
 /// The answer to `GET /v1/entries`.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Entries {
-    /// The service that was asked for.
+    /// The requested service.
     pub service: ServiceName,
-    /// Entry instances, the one to prefer first.
+    /// The entry instances, in order of preference.
     pub entries: Vec<Entry>,
 }
 
@@ -39,21 +39,21 @@
 pub struct Entry {
     /// The instance.
     pub id: InstanceId,
-    /// Where it takes requests.
+    /// The address for requests.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// What to send as `Azuregate-Home` with an idempotency key, in the first
-    /// request and in each repeat; absent while its start is not known here.
+    /// The value to send as `Azuregate-Home` with an idempotency key, in the first
+    /// request and in each repeat; absent while the start of the instance is unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub home: Option<String>,
 }
 
-/// The entry instances that take new work, the one to prefer first.
+/// Returns the entry instances that take new work, in order of preference.
 ///
-/// At most [`MAX_ENTRIES`] are named: an answer that named all would grow with
-/// the deployment, in bytes and in time. Callers at `salt` (their address, say)
-/// get the instances in the order of [`rank`].
+/// The answer holds at most [`MAX_ENTRIES`] instances, so that its size does not grow
+/// with the deployment. `salt`, such as the caller's address, selects the variant of
+/// the ranking (see [`rank`]).
 pub fn entries(snapshot: &Snapshot, service: &ServiceName, zone: &ZoneName, salt: &str) -> Entries {
     let ranked = rank(snapshot, service, zone, ranking_variant(salt));
     let entry = |instance: &Instance| Entry {
@@ -65,16 +65,16 @@
     Entries { service: service.clone(), entries: ranked.into_iter().map(entry).collect() }
 }
 
-/// Which of the [`RANKING_VARIANTS`] orders callers at `salt` get.
+/// Returns which of the [`RANKING_VARIANTS`] rankings the callers with `salt` get.
 pub fn ranking_variant(salt: &str) -> u8 {
     (hash::score(&[salt]) % u64::from(RANKING_VARIANTS)) as u8
 }
 
-/// The first [`MAX_ENTRIES`] entry instances for callers near `zone`.
+/// Returns the first [`MAX_ENTRIES`] entry instances for callers near `zone`.
 ///
-/// A dispatcher of the zone's own backend servers comes first, since requests
-/// that reach it need no hand-over. The others follow nearest first; among those
-/// that are equally far the variant decides, so that callers spread over them.
+/// A dispatcher of the zone's own backend servers ranks first, since requests that
+/// reach it need no hand-over. The others follow by distance; among instances at equal
+/// distance the variant decides, so that callers spread over them.
 pub fn rank<'a>(
     snapshot: &'a Snapshot,
     service: &ServiceName,
@@ -94,8 +94,8 @@
     live
 }
 
-/// The dispatcher of one of the groups in `zone`, if the service has servers
-/// there; callers of different variants are spread over the groups.
+/// Returns the dispatcher of one of the groups in `zone`, or `None` if the service has
+/// no servers there. The variants spread over the groups.
 fn dispatcher(
     snapshot: &Snapshot,
     service: &ServiceName,
--- a/crates/azuregate-core/tests/entries.rs
+++ b/crates/azuregate-core/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Which entry instances callers are told to use.
+//! Selection of the entry instances for a caller.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -26,8 +26,8 @@
     ServiceName::new(SERVICE)
 }
 
-/// `instances` entry instances over `zones` availability zones, two of these to
-/// a region, with two backend servers in each zone.
+/// A snapshot of `instances` entry instances over `zones` availability zones, with two
+/// zones per region and two backend servers per zone.
 fn snapshot(instances: usize, zones: usize, liveness: impl Fn(usize) -> Liveness) -> Snapshot {
     let region = |index| Region {
         name: RegionName::new(&format!("region-{index}")),
@@ -78,8 +78,8 @@
     }
 }
 
-// With the dispatcher further down, each request of a caller that follows the
-// answer would be handed over once.
+// Guards against needless hand-overs: with the dispatcher further down, each request of
+// a caller that follows the ranking would be handed over once.
 #[test]
 fn dispatcher_of_callers_zone_ranks_first() {
     let snapshot = snapshot(85, 19, live);
@@ -116,8 +116,8 @@
     );
 }
 
-// All callers of a zone fail over when its dispatcher dies. If all had the same
-// second choice, that one would get all of their load at once.
+// Guards against a failover of all callers of a zone to the same instance when their
+// dispatcher fails.
 #[test]
 fn second_choices_spread_over_the_zone() {
     let snapshot = snapshot(680, 19, live);
