--- a/crates/azuregate-core/src/probe.rs
+++ b/crates/azuregate-core/src/probe.rs
@@ -1,8 +1,8 @@
 /*!
-Which backend servers do not answer, from the probes of a few watchers.
+Detects backend servers that do not answer, from the probes of a few watchers.
 
-A server that does not answer is not leaving: it gets work again as soon as it
-answers, with the same start number.
+An unreachable server is not leaving: it gets work again as soon as it answers, with the
+same start number.
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,40 +15,41 @@
     snapshot::{BackendServer, Liveness, Snapshot},
 };
 
-/// How many instances watch each backend server.
+/// Number of instances that watch each backend server.
 pub const WATCHERS_PER_SERVER: usize = 2;
-/// How many probes in a row must fail: one lost packet is no failure.
+/// Number of consecutive failed probes after which a server counts as failed, so that a
+/// single lost packet has no effect.
 const FAILURE_THRESHOLD: u32 = 2;
-/// With fewer watched servers than this, a watcher cannot tell its own cut from
-/// theirs.
+/// With fewer servers, a watcher cannot distinguish its own partition from failures of
+/// the servers.
 const MIN_SERVERS_FOR_ISOLATION_CHECK: usize = 3;
 
-/// What one watcher says, as a whole; a newer one replaces it.
+/// All failed servers of one watcher; a newer report replaces it.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ProbeReport {
     /// The watcher's start number.
     pub start: StartNumber,
-    /// Counts the reports of this start.
+    /// Sequence number of the report within that start.
     pub sequence: u64,
-    /// Servers that did not answer.
+    /// The servers that did not answer.
     pub failed: BTreeSet<BackendId>,
 }
 
 impl ProbeReport {
-    /// Whether `self` was made after `other`.
+    /// Returns whether `self` was made after `other`.
     pub fn is_newer(&self, other: &ProbeReport) -> bool {
         (self.start, self.sequence) > (other.start, other.sequence)
     }
 }
 
-/// The probes of one watcher.
+/// Counts the consecutive failed probes of the servers of one watcher.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeTracker {
     failures: BTreeMap<BackendId, u32>,
 }
 
 impl ProbeTracker {
-    /// Sets the servers that are watched; counts of those that stay are kept.
+    /// Sets the watched servers; the counts of those that remain are kept.
     pub fn set_servers(&mut self, servers: &BTreeSet<BackendId>) {
         self.failures.retain(|id, _| servers.contains(id));
         for id in servers {
@@ -56,17 +57,17 @@
         }
     }
 
-    /// Counts a probe.
+    /// Records the result of a probe.
     pub fn record_probe(&mut self, id: &BackendId, answered: bool) {
         if let Some(failures) = self.failures.get_mut(id) {
             *failures = if answered { 0 } else { *failures + 1 };
         }
     }
 
-    /// The servers that failed several probes in a row.
+    /// Returns the servers that failed several consecutive probes.
     ///
-    /// A watcher that reaches hardly any server is cut off itself, and says
-    /// nothing.
+    /// Returns none if the watcher reaches hardly any server, since it is then
+    /// partitioned itself.
     pub fn failed_servers(&self) -> BTreeSet<BackendId> {
         let failed = self.failures.iter().filter(|(_, failures)| **failures >= FAILURE_THRESHOLD);
         let failed: BTreeSet<_> = failed.map(|(id, _)| id.clone()).collect();
@@ -78,13 +79,13 @@
     }
 }
 
-/// The servers that `self_id` watches.
+/// Returns the servers that `self_id` watches.
 pub fn watched_servers(self_id: &InstanceId, snapshot: &Snapshot) -> Vec<BackendServer> {
     let servers = snapshot.backends.values().flat_map(|servers| servers.iter());
     servers.filter(|server| watchers(snapshot, &server.id).contains(&self_id)).cloned().collect()
 }
 
-/// The servers that every one of their watchers found not to answer.
+/// Returns the servers that all of their watchers report as failed.
 pub fn unreachable_servers(snapshot: &Snapshot) -> BTreeSet<BackendId> {
     let suspects: BTreeSet<_> =
         snapshot.probes.values().flat_map(|report| &report.failed).collect();
