--- a/crates/azuregate-core/src/error.rs
+++ b/crates/azuregate-core/src/error.rs
@@ -1,11 +1,11 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The error kinds and the response to each.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// What the caller may conclude about its request from an answer that azuregate
-/// made itself.
+/// What the caller may conclude about its request from an answer that azuregate itself
+/// generated.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
@@ -16,7 +16,7 @@
 }
 
 impl Outcome {
-    /// The value of the `Azuregate-Outcome` header.
+    /// Returns the value of the `Azuregate-Outcome` header.
     pub fn as_str(self) -> &'static str {
         match self {
             Outcome::NotRun => "not-run",
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Reads the value of an `Azuregate-Outcome` header.
+    /// Parses the value of an `Azuregate-Outcome` header.
     pub fn parse(text: &str) -> Option<Outcome> {
         match text {
             "not-run" => Some(Outcome::NotRun),
@@ -34,36 +34,34 @@
     }
 }
 
-/// Whether azuregate itself may try a failed request again elsewhere.
+/// Whether azuregate itself may retry a failed request.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Retry {
-    /// Any request may be tried again, since nothing ran.
+    /// Any request may be retried, since nothing ran.
     Always,
-    /// Only a request that is idempotent by its method.
+    /// Only requests with an idempotent method may be retried.
     IfIdempotent,
-    /// The answer is final.
+    /// No request may be retried.
     Never,
 }
 
-/// How azuregate answers an error kind.
+/// The response to an error kind.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ErrorResponse {
     /// HTTP status.
     pub status: u16,
     /// What the caller may conclude.
     pub outcome: Outcome,
-    /// When the caller may come back, in seconds, unless the place of the error
-    /// knows better. Absent where coming back does not help.
+    /// When the caller may retry, in seconds, unless the error sets a time itself.
+    /// `None` if a retry does not help.
     pub retry_after_s: Option<u32>,
-    /// Whether azuregate may try again.
+    /// Whether azuregate may retry.
     pub retry: Retry,
 }
 
 macro_rules! kinds {
     ($( $(#[$doc:meta])* $kind:ident => $status:literal, $outcome:ident, $after:expr, $retry:ident, $code:literal; )*) => {
-        /// Everything that can go wrong with a request.
-        ///
-        /// The list is closed: each kind has its row in the table of answers.
+        /// The reasons for which a request can fail.
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
         pub enum ErrorKind { $( $(#[$doc])* $kind, )* }
 
@@ -71,7 +69,7 @@
             /// All kinds, in the order of the table.
             pub const ALL: &'static [ErrorKind] = &[$( ErrorKind::$kind, )*];
 
-            /// The kind's row in the table of answers.
+            /// Returns the response to this kind.
             pub fn response(self) -> ErrorResponse {
                 match self {
                     $( ErrorKind::$kind => ErrorResponse {
@@ -83,7 +81,7 @@
                 }
             }
 
-            /// The kind's name in answers, logs and metrics.
+            /// Returns the kind's name in answers, logs and metrics.
             pub fn code(self) -> &'static str {
                 match self { $( ErrorKind::$kind => $code, )* }
             }
@@ -92,9 +90,9 @@
 }
 
 kinds! {
-    /// The request itself is malformed, such as a timeout that is no number.
+    /// The request itself is malformed, such as a timeout that is not a number.
     BadRequest => 400, NotRun, None, Never, "bad-request";
-    /// No policy names the service.
+    /// There is no policy for the service.
     UnknownService => 404, NotRun, None, Never, "unknown-service";
     /// The instance has no configuration in force yet.
     NotReady => 503, NotRun, Some(1), Always, "not-ready";
@@ -102,54 +100,53 @@
     Stopping => 503, NotRun, Some(1), Always, "stopping";
     /// No backend server may take the request.
     NoBackend => 503, NotRun, Some(1), Always, "no-backend";
-    /// The queue holds as much as it may.
+    /// The queue is full.
     QueueFull => 503, NotRun, Some(1), Always, "queue-full";
-    /// The expected wait is longer than the deadline allows.
+    /// The expected wait exceeds the deadline.
     TooLate => 503, NotRun, Some(1), Always, "too-late";
-    /// The cap of a shift leaves no room for this request.
+    /// The cap of a shift leaves no room for the request.
     CapReached => 503, NotRun, Some(1), Always, "cap-reached";
     /// No connection to a backend server could be opened.
     ConnectFailed => 503, NotRun, Some(1), Always, "connect-failed";
-    /// The backend server refused, and said that it did not run the request.
+    /// The backend server rejected the request and reported that it did not run it.
     BackendRefused => 503, NotRun, Some(1), Always, "backend-refused";
-    /// The deadline passed before any byte left for a backend server.
+    /// The deadline passed before any byte was sent to a backend server.
     DeadlineBeforeSend => 504, NotRun, Some(1), Never, "deadline-before-send";
-    /// The deadline passed after bytes had left for a backend server.
+    /// The deadline passed after bytes were sent to a backend server.
     DeadlineAfterSend => 504, Unknown, None, Never, "deadline-after-send";
-    /// The connection broke after bytes had left, before an answer.
+    /// The connection broke after bytes were sent, before an answer.
     BackendLost => 502, Unknown, None, IfIdempotent, "backend-lost";
-    /// The backend server answered with something that is not HTTP.
+    /// The answer of the backend server is not valid HTTP.
     BackendInvalid => 502, Unknown, None, IfIdempotent, "backend-invalid";
-    /// The answer broke off or stalled. Where its head is with the caller
-    /// already, the caller sees its connection cut instead.
+    /// The answer was cut off or stalled. If its head was already sent, the caller's
+    /// connection is closed instead.
     AnswerCut => 502, Unknown, None, Never, "answer-cut";
-    /// The caller's body ended early or stalled before any byte left for a
-    /// backend server.
+    /// The caller's body ended early or stalled before any byte was sent to a backend
+    /// server.
     BodyIncomplete => 400, NotRun, None, Never, "body-incomplete";
-    /// The caller's body ended early after bytes had left for a backend server.
+    /// The caller's body ended early after bytes were sent to a backend server.
     CallerLost => 400, Unknown, None, Never, "caller-lost";
     /// The claim could not be made, and was certainly not made.
     ClaimNotMade => 503, NotRun, Some(1), Never, "claim-not-made";
-    /// It is not known whether the claim was made; nothing was sent.
+    /// It is unknown whether the claim was made; nothing was sent.
     ClaimUnknown => 503, NotRun, Some(1), Never, "claim-unknown";
-    /// No room for another claim until older ones pass their retention.
+    /// There is no room for another claim until older ones expire.
     ClaimsFull => 503, NotRun, Some(1), Never, "claims-full";
     /// The claim belongs to a request that is in progress.
     ClaimInProgress => 409, Unknown, Some(1), Never, "claim-in-progress";
-    /// The claim's owner is gone or never learnt what became of the request.
+    /// The owner of the claim is gone or does not know the outcome of the request.
     ClaimOrphaned => 409, Unknown, None, Never, "claim-orphaned";
-    /// The request ran, but its answer was too large to keep or is kept no
-    /// longer.
+    /// The request ran, but its answer was too large to store or has been evicted.
     AnswerNotKept => 409, Unknown, None, Never, "answer-not-kept";
     /// The key was used before for a different request.
     ClaimMismatch => 422, NotRun, None, Never, "claim-mismatch";
-    /// The home of the key is gone, and with it what it knew of the key.
+    /// The home of the key is gone, and with it its record of the key.
     HomeGone => 409, Unknown, None, Never, "home-gone";
     /// The home of the key cannot be reached, or did not answer.
     HomeUnreachable => 503, Unknown, Some(1), Never, "home-unreachable";
-    /// The home was named too long ago for the key to be known still.
+    /// The home token has expired, so the key may have been evicted.
     HomeExpired => 409, Unknown, None, Never, "home-expired";
-    /// A defect in azuregate.
+    /// An internal error of azuregate.
     Internal => 500, Unknown, None, Never, "internal";
 }
 
@@ -169,7 +166,7 @@
 }
 
 impl Error {
-    /// Makes an error; `detail` says what happened and where.
+    /// Creates an error; `detail` says what happened and where.
     pub fn new(kind: ErrorKind, detail: impl Into<String>) -> Error {
         Error {
             kind,
@@ -179,25 +176,24 @@
         }
     }
 
-    /// Sets a better time to come back than the table's, in milliseconds.
+    /// Overrides the retry time of the table, in milliseconds.
     pub fn with_retry_after_ms(mut self, retry_after_ms: u64) -> Error {
         self.retry_after_ms = Some(retry_after_ms);
         self
     }
 
-    /// Marks the error of a request whose idempotency key may have been used
-    /// before, which nobody could look up.
+    /// Marks a request whose idempotency key may have been used by an earlier attempt
+    /// that could not be looked up; its outcome is then [`Outcome::Unknown`].
     ///
-    /// The failure: a caller lost the answer to an order that ran, sends it
-    /// again, and is refused before its claim was read. `not-run` would be true
-    /// of the second sending alone; the caller would order anew under another
-    /// key. Hence such a refusal says `unknown`, and the same key stays safe.
+    /// Without it, a repeat of a request that ran, rejected before its claim was read,
+    /// would get `not-run`, and the caller would send the request again under another
+    /// key.
     pub fn with_unknown_earlier_attempt(mut self) -> Error {
         self.has_unknown_earlier_attempt = true;
         self
     }
 
-    /// What the caller may conclude.
+    /// Returns what the caller may conclude.
     pub fn outcome(&self) -> Outcome {
         if self.has_unknown_earlier_attempt {
             Outcome::Unknown
@@ -206,17 +202,17 @@
         }
     }
 
-    /// The row of the table that applies.
+    /// Returns the kind of the error.
     pub fn kind(&self) -> ErrorKind {
         self.kind
     }
 
-    /// What happened and where.
+    /// Returns what happened and where.
     pub fn detail(&self) -> &str {
         &self.detail
     }
 
-    /// When the caller may come back, in whole seconds, rounded up.
+    /// Returns when the caller may retry, in whole seconds, rounded up.
     pub fn retry_after_s(&self) -> Option<u32> {
         let from_table = self.kind.response().retry_after_s?;
         let Some(ms) = self.retry_after_ms else {
