--- a/crates/azuregate-core/src/claim.rs
+++ b/crates/azuregate-core/src/claim.rs
@@ -1,9 +1,8 @@
-//! Whether a request with an idempotency key may run.
+//! Decides whether a request with an idempotency key may run.
 //!
-//! A claim is one row in the platform's `claim` table. It is inserted before
-//! anything is sent to a backend server, and it is never given to a second
-//! owner: a claim that lapses could lapse while its owner is paused, and the
-//! request would run twice.
+//! A claim is a row in the platform's `claim` table. It is inserted before anything
+//! is sent to a backend server, and its owner never changes: a claim that could
+//! lapse might do so while its owner is paused, and the request would run twice.
 
 use std::fmt;
 
@@ -18,16 +17,16 @@
     time::Millis,
 };
 
-/// One attempt at running a request: tells who owns a claim when the answer to
-/// its insert was lost.
+/// Identifies one attempt at running a request, so that an insert whose answer was lost
+/// can be recognized.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct AttemptId {
     /// The instance that makes the attempt.
     pub instance: InstanceId,
-    /// Its start number: a restarted instance is another owner.
+    /// Its start number; a restarted instance is a different owner.
     pub start: StartNumber,
-    /// Counts the attempts of that start.
+    /// Sequence number of the attempt within that start.
     pub sequence: u64,
 }
 
@@ -37,19 +36,20 @@
     }
 }
 
-/// A claim row.
+/// A row of the `claim` table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
     /// The owner.
     pub attempt: AttemptId,
-    /// Hash of the request: one key names one request.
+    /// Hash of the request, so that a key cannot be reused for a different request.
     pub fingerprint: u64,
-    /// When it was made, in milliseconds since the Unix epoch; for clean-up only.
+    /// When the claim was made, in milliseconds since the Unix epoch; used for cleanup
+    /// only.
     pub made_at_ms: Millis,
-    /// When its owner has certainly stopped, in milliseconds since the Unix
-    /// epoch. It only chooses between two refusals, and never lets anyone run the
-    /// request, so a clock that jumps does no harm.
+    /// When the owner has certainly stopped, in milliseconds since the Unix epoch. It
+    /// only selects the error of a rejected request, so a clock that jumps cannot make
+    /// a request run twice.
     pub until_ms: Millis,
     /// How the request ended, once that is known.
     #[serde(default)]
@@ -58,53 +58,54 @@
 
 /// How long a claim is kept, in milliseconds.
 ///
-/// Callers are told that a key is good for half of it. The other half is for
-/// clocks: a row deleted too early would let its request run again.
+/// Callers may rely on a key for half of this time. The other half allows for clock
+/// errors: a row that is deleted too early would let its request run again.
 pub const RETENTION_MS: u64 = 24 * 3_600_000;
 
-/// How long one instance does the cleaning before it is another's turn.
+/// How long one instance is responsible for the cleanup, in milliseconds.
 const CLEANUP_TURN_MS: u64 = 60_000;
 
 impl Claim {
-    /// Whether it is past its retention.
+    /// Returns whether the claim has exceeded its retention.
     pub fn is_expired(&self, now_ms: Millis) -> bool {
         now_ms.since(self.made_at_ms).0 > RETENTION_MS
     }
 }
 
-/// Whose turn it is to delete old claims: one live instance at a time.
+/// Returns the live instance that is responsible for deleting expired claims at
+/// `now_ms`.
 pub fn cleanup_instance(instances: &[Instance], now_ms: Millis) -> Option<&InstanceId> {
     let turn = (now_ms.0 / CLEANUP_TURN_MS).to_string();
     let live = instances.iter().filter(|instance| instance.liveness == Liveness::Live);
     live.map(|instance| &instance.id).max_by_key(|id| hash::score(&[id.as_str(), &turn]))
 }
 
-/// How a claimed request ended.
+/// How the request of a claim ended.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Settled {
-    /// It ran, and this is its answer.
+    /// It ran, and this is its response.
     Answer(StoredResponse),
-    /// It ran, and its answer is not kept.
+    /// It ran, and its response is not stored.
     NotKept,
     /// It may have run.
     Unknown,
 }
 
-/// An answer kept so that a repeated request gets the same one.
+/// A response that is stored to be replayed to repeats of the request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
-    /// Header names and values that the caller gets.
+    /// Header names and values that the caller receives.
     pub headers: Vec<(String, String)>,
-    /// The body: small ones here, larger ones in the object store.
+    /// The body.
     pub body: StoredBody,
 }
 
 impl StoredResponse {
-    /// What it takes in memory, in bytes.
+    /// Returns its size in memory, in bytes.
     pub fn size_bytes(&self) -> usize {
         let headers: usize =
             self.headers.iter().map(|(name, value)| name.len() + value.len()).sum();
@@ -116,38 +117,38 @@
     }
 }
 
-/// Where the body of a kept answer is.
+/// The body of a stored response.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum StoredBody {
-    /// Here, as bytes.
+    /// Stored with the response.
     Inline(Vec<u8>),
-    /// In the object store, under this name.
+    /// Stored in the object store, under this name.
     Object(String),
 }
 
-/// What a request with a key may do.
+/// Whether a request with an idempotency key may run.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// It owns the claim: run it.
+    /// It owns the claim and may run.
     Run,
-    /// It ran before: give the kept answer.
+    /// It ran before: replay the stored response.
     Replay(StoredResponse),
-    /// It may not run, and there is no answer to give.
+    /// It may not run, and there is no response to replay.
     Reject(ErrorKind),
 }
 
-/// What is known of the body of a request when it is claimed.
+/// What is known of the body of a request when the request is claimed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum BodyDigest<'a> {
-    /// All of it.
+    /// The whole body.
     Full(&'a [u8]),
-    /// Its length in bytes, if that: it streams, and is gone by the time its hash
-    /// is known.
+    /// The length in bytes, if it is known: the body is streamed and cannot be hashed
+    /// in advance.
     Length(Option<u64>),
 }
 
-/// Goes on from a hash of a request's head to one of the whole request.
+/// Extends the hash of a request's head to one of the whole request.
 pub fn fingerprint(head: u64, body: BodyDigest<'_>) -> u64 {
     let mut hasher = Xxh3::with_seed(head);
     match body {
@@ -160,9 +161,9 @@
     hasher.digest()
 }
 
-/// Decides from the row that the platform holds for the key.
+/// Decides about a request from the row that the platform holds for its key.
 ///
-/// `owner_live` says whether the owner may still be running the request.
+/// `owner_live` says whether the owner of the row may still be running the request.
 pub fn decide(row: &Claim, mine: &AttemptId, fingerprint: u64, owner_live: bool) -> Decision {
     if row.attempt == *mine {
         return Decision::Run;
@@ -172,7 +173,7 @@
     decide_settled(row.fingerprint == fingerprint, row.settled.as_ref(), in_progress)
 }
 
-/// Decides from how the request of a key that was used before ended.
+/// Decides about a repeat from how the first request with its key ended.
 pub(crate) fn decide_settled(
     same_request: bool,
     settled: Option<&Settled>,
