--- a/crates/azuregate-core/src/policy/change.rs
+++ b/crates/azuregate-core/src/policy/change.rs
@@ -1,8 +1,8 @@
-//! The changes that operators may make to a policy.
+//! Changes that operators may make to a policy.
 //!
-//! Each gives the next version of the row and leaves the old one alone. Two
-//! operators who start from the same version are told apart by the platform's
-//! compare-and-set: one wins, the other gets a conflict.
+//! Each change returns the next version of the row and leaves the current one
+//! unchanged. The platform's compare-and-set orders concurrent changes: one
+//! operator succeeds, the other gets a conflict.
 
 use std::fmt;
 
@@ -12,30 +12,30 @@
     time::Millis,
 };
 
-/// Why a change is not allowed.
+/// The reasons for which a change is rejected.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ChangeErrorKind {
     /// A share is more than the whole, or the shares do not add up to it.
     InvalidShares,
-    /// The cap is zero, more than the whole, or has no window.
+    /// The share of the cap is zero or more than the whole, or its window is zero.
     InvalidCap,
     /// A timeout is zero.
     InvalidTimeout,
-    /// The shares are the ones in force.
+    /// The shares are those in force.
     SharesUnchanged,
-    /// Shares change by a shift only, or they would jump.
+    /// Shares may change by a shift only, since they would jump otherwise.
     SharesChangedWithoutShift,
-    /// A shift is in progress; it has to be stopped or to end first.
+    /// A shift is in progress; it must end or be stopped first.
     ShiftInProgress,
     /// No shift is in progress.
     NoShiftInProgress,
-    /// The backend server is drained already.
+    /// The backend server is already drained.
     AlreadyDrained,
     /// The backend server is not drained.
     NotDrained,
 }
 
-/// A change that is not allowed.
+/// A rejected change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChangeError {
     kind: ChangeErrorKind,
@@ -47,7 +47,7 @@
         ChangeError { kind, detail: detail.into() }
     }
 
-    /// Why the change is not allowed.
+    /// Returns why the change is rejected.
     pub fn kind(&self) -> ChangeErrorKind {
         self.kind
     }
@@ -62,13 +62,14 @@
 impl std::error::Error for ChangeError {}
 
 impl Policy {
-    /// Starts a shift to `to_share_ppm`, at `now_ms` since the Unix epoch plus
-    /// the policy's delay. Without `cap` the policy's own cap bounds it.
+    /// Starts a shift to `to_share_ppm` once the policy's delay has passed since
+    /// `now_ms`, which counts from the Unix epoch. `cap` overrides the policy's own
+    /// cap.
     ///
     /// # Errors
     ///
-    /// When the shares or the cap are out of bounds, the shares are the ones in
-    /// force, or a shift is in progress.
+    /// When the shares or the cap are invalid, the shares are those in force, or a
+    /// shift is in progress.
     pub fn start_shift(
         &self,
         to_share_ppm: &Shares,
@@ -96,12 +97,11 @@
         Ok(next)
     }
 
-    /// Stops the shift in progress where it stands at `now_ms` since the Unix
-    /// epoch.
+    /// Stops the shift in progress at its position at `now_ms`, which counts from the
+    /// Unix epoch.
     ///
-    /// A shift from or to nearness goes back to where it started, since what it
-    /// has reached differs from instance to instance; the cap bounds the way
-    /// back as well.
+    /// A shift from or to distance-based routing returns to its start, since its position
+    /// differs between instances. The cap limits the way back as well.
     ///
     /// # Errors
     ///
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// When it is drained already.
+    /// When it is already drained.
     pub fn drain(&self, backend: &BackendId) -> Result<Policy, ChangeError> {
         let mut next = self.clone().next_version();
         if !next.drains.insert(backend.clone()) {
@@ -132,7 +132,7 @@
         Ok(next)
     }
 
-    /// Takes a backend server back into service.
+    /// Puts a backend server back into service.
     ///
     /// # Errors
     ///
@@ -146,11 +146,11 @@
         Ok(next)
     }
 
-    /// Checks whether operators may replace this policy by `wanted` as a whole.
+    /// Checks whether operators may replace this policy as a whole by `wanted`.
     ///
     /// # Errors
     ///
-    /// When `wanted` is out of bounds, or shares or the shift would change.
+    /// When `wanted` is invalid, or would change the shares or the shift.
     pub fn check_replace(&self, wanted: &Policy, now_ms: Millis) -> Result<(), ChangeError> {
         wanted.check()?;
         let now = self.with_ended_shift_applied(now_ms);
@@ -184,7 +184,8 @@
         check_cap("shift.cap", shift.cap)
     }
 
-    /// The same policy with a shift that has ended turned into plain shares.
+    /// Returns the policy in which a shift that has ended is replaced by its final
+    /// shares.
     pub fn with_ended_shift_applied(&self, now_ms: Millis) -> Policy {
         let mut policy = self.clone();
         if let Some(shift) = policy.shift.take_if(|shift| shift.end_at_ms() <= now_ms) {
--- a/crates/azuregate-core/src/policy/mod.rs
+++ b/crates/azuregate-core/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! What operators decide for a service, and the changes they may make to it.
+//! Policies that operators set for services, and the changes that they may make.
 
 mod change;
 
@@ -13,49 +13,49 @@
 
 pub use change::{ChangeError, ChangeErrorKind};
 
-/// One whole, in parts per million; shares of traffic are given in these.
+/// One whole in parts per million, the unit of traffic shares.
 pub const WHOLE_PPM: u32 = 1_000_000;
 
-/// The time in which a change is in force on every instance, in milliseconds,
-/// unless the policy says otherwise.
+/// Default of [`Policy::shift_delay_ms`], in milliseconds.
 pub const DEFAULT_SHIFT_DELAY_MS: u64 = 13_000;
 
-/// Share of traffic for each availability zone, in parts per million. An empty
-/// table leaves the choice to nearness.
+/// Share of traffic for each availability zone, in parts per million. If empty, zones
+/// are chosen by distance.
 pub type Shares = BTreeMap<ZoneName, u32>;
 
-/// A steering policy: one row of the platform's `policy` table.
+/// The steering policy of a service: one row of the platform's `policy` table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Policy {
-    /// The service that it steers.
+    /// The service.
     pub service: ServiceName,
-    /// Counts the accepted changes; an instance only ever applies a higher one.
+    /// Number of accepted changes; an instance only applies a policy with a higher
+    /// version.
     pub version: u64,
-    /// Names the change that led to this version, so that a change whose answer
-    /// was lost can be asked after and is never applied twice.
+    /// Identifies the change that led to this version, so that a change whose answer
+    /// was lost can be looked up and is never applied twice.
     pub operation_id: String,
-    /// Share of traffic for each availability zone that may serve, in parts per
-    /// million. Zones that are left out serve nothing.
+    /// Share of traffic for each availability zone, in parts per million. Zones without
+    /// a share get no traffic.
     ///
-    /// An empty table leaves the choice to nearness.
+    /// If empty, zones are chosen by distance.
     pub zone_share_ppm: Shares,
-    /// What bounds any movement of traffic, failing over included.
+    /// Limit on any movement of traffic, including failover.
     pub cap: Cap,
-    /// The movement in progress, if any.
+    /// The shift in progress, if any.
     #[serde(default)]
     pub shift: Option<Shift>,
-    /// How long after its commit a shift starts to move, in milliseconds.
+    /// Delay between the commit of a shift and its start, in milliseconds.
     ///
-    /// Until then the change must be in force everywhere: while some instances
-    /// move and others have not heard, callers that change from one to the other
-    /// move the whole at once.
+    /// The change must be in force on every instance before the shift starts; otherwise
+    /// callers that switch between an instance that has it and one that has not would
+    /// move their whole traffic at once.
     #[serde(default = "default_shift_delay_ms")]
     pub shift_delay_ms: u64,
-    /// Backend servers that operators take out of service.
+    /// Backend servers that operators have taken out of service.
     #[serde(default)]
     pub drains: BTreeSet<BackendId>,
-    /// How long a request may take when the caller sets no limit.
+    /// Timeout of a request for which the caller sets none.
     pub timeout_ms: u64,
     /// How long a request may wait for a slot.
     pub queue_ms: u64,
@@ -65,7 +65,7 @@
     DEFAULT_SHIFT_DELAY_MS
 }
 
-/// The largest share of traffic that may move in any window of time.
+/// Limit on the share of traffic that may move within a time window.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cap {
@@ -75,10 +75,10 @@
     pub window_ms: u64,
 }
 
-/// A movement of traffic between availability zones.
+/// A gradual movement of traffic between availability zones.
 ///
-/// Its position is worked out from this row and the time, so that an instance
-/// that starts in the middle starts at the row's position.
+/// Its progress depends only on this row and the time, so that an instance that starts
+/// during the shift continues at the same position.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Shift {
@@ -86,8 +86,8 @@
     pub from_share_ppm: Shares,
     /// Shares at the end, in parts per million.
     pub to_share_ppm: Shares,
-    /// When it starts to move, in milliseconds since the Unix epoch.
+    /// When the shift starts, in milliseconds since the Unix epoch.
     pub start_at_ms: Millis,
-    /// What bounds it.
+    /// Limit on the movement.
     pub cap: Cap,
 }
