--- a/crates/azuregate-core/src/blocks/chunk.rs
+++ b/crates/azuregate-core/src/blocks/chunk.rs
@@ -13,32 +13,32 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Entry {
     pub(crate) start: u64,
-    pub(crate) len: u8,
+    pub(crate) prefix_len: u8,
     pub(crate) site: SiteId,
 }
 
 impl Entry {
     /// The order of blocks: enclosing ones before those that they enclose.
     pub(crate) fn key(&self) -> (u64, u8) {
-        (self.start, self.len)
+        (self.start, self.prefix_len)
     }
 
     pub(crate) fn contains(&self, addr: u64) -> bool {
-        self.start <= addr && addr <= last_addr(self.start, self.len)
+        self.start <= addr && addr <= last_addr(self.start, self.prefix_len)
     }
 }
 
 /// The last address of a block.
-pub(crate) fn last_addr(start: u64, len: u8) -> u64 {
+pub(crate) fn last_addr(start: u64, prefix_len: u8) -> u64 {
     // A shift by all 64 bits is undefined; a block that long is one address.
-    start | u64::MAX.checked_shr(u32::from(len)).unwrap_or(0)
+    start | u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0)
 }
 
 /// Blocks in order. Columns rather than rows: a search reads only the starts.
 #[derive(Debug)]
 pub(crate) struct Chunk {
     starts: Box<[u64]>,
-    lens: Box<[u8]>,
+    prefix_lens: Box<[u8]>,
     sites: Box<[SiteId]>,
     parents: Box<[u16]>,
 }
@@ -49,7 +49,7 @@
         debug_assert!(!entries.is_empty() && entries.len() <= MAX_ENTRIES);
         Chunk {
             starts: entries.iter().map(|entry| entry.start).collect(),
-            lens: entries.iter().map(|entry| entry.len).collect(),
+            prefix_lens: entries.iter().map(|entry| entry.prefix_len).collect(),
             sites: entries.iter().map(|entry| entry.site).collect(),
             parents: parents(entries),
         }
@@ -64,7 +64,11 @@
     }
 
     pub(crate) fn entry(&self, index: usize) -> Entry {
-        Entry { start: self.starts[index], len: self.lens[index], site: self.sites[index] }
+        Entry {
+            start: self.starts[index],
+            prefix_len: self.prefix_lens[index],
+            site: self.sites[index],
+        }
     }
 
     pub(crate) fn entries(&self) -> impl Iterator<Item = Entry> + '_ {
@@ -78,7 +82,7 @@
         let after = self.starts.partition_point(|&start| start <= addr);
         let mut index = after.checked_sub(1)?;
         loop {
-            if addr <= last_addr(self.starts[index], self.lens[index]) {
+            if addr <= last_addr(self.starts[index], self.prefix_lens[index]) {
                 return Some(self.sites[index]);
             }
             index = self.parent(index)?;
--- a/crates/azuregate-core/src/blocks/codec.rs
+++ b/crates/azuregate-core/src/blocks/codec.rs
@@ -32,14 +32,14 @@
     if xxh3_64(body).to_le_bytes() != *checksum {
         return Err(BlocksError::malformed(body_bytes, "the checksum does not match"));
     }
-    let mut reader = Reader { bytes: body, at: 0 };
+    let mut reader = Reader { bytes: body, position: 0 };
     if reader.take(MAGIC.len())? != MAGIC {
         return Err(BlocksError::malformed(0, "it does not start as a block snapshot"));
     }
     let v4 = reader.family(V4_SHIFT)?;
     let v6 = reader.family(V6_SHIFT)?;
-    if reader.at != body.len() {
-        return Err(BlocksError::malformed(reader.at, "bytes follow the last block"));
+    if reader.position != body.len() {
+        return Err(BlocksError::malformed(reader.position, "bytes follow the last block"));
     }
     Ok(BlockMap { v4, v6 })
 }
@@ -47,9 +47,9 @@
 fn put_family(bytes: &mut Vec<u8>, family: &FamilyMap, shift: u32) {
     put_varint(bytes, family.len() as u64);
     let mut before = 0;
-    for Entry { start, len, site } in family.entries() {
+    for Entry { start, prefix_len, site } in family.entries() {
         put_varint(bytes, (start - before) >> shift);
-        bytes.push(len);
+        bytes.push(prefix_len);
         put_varint(bytes, u64::from(site.0));
         before = start;
     }
@@ -66,15 +66,15 @@
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], BlocksError> {
-        let Some(taken) = self.bytes.get(self.at..self.at + count) else {
-            return Err(BlocksError::malformed(self.at, "it ends early"));
+        let Some(taken) = self.bytes.get(self.position..self.position + count) else {
+            return Err(BlocksError::malformed(self.position, "it ends early"));
         };
-        self.at += count;
+        self.position += count;
         Ok(taken)
     }
 
@@ -91,7 +91,7 @@
                 return Ok(number);
             }
         }
-        Err(BlocksError::malformed(self.at, "a number has too many bytes"))
+        Err(BlocksError::malformed(self.position, "a number has too many bytes"))
     }
 
     fn family(&mut self, shift: u32) -> Result<FamilyMap, BlocksError> {
@@ -100,7 +100,7 @@
         let mut entries = Vec::with_capacity((count as usize).min(self.bytes.len()));
         let mut start = 0_u64;
         for _ in 0..count {
-            let at = self.at;
+            let at = self.position;
             let gap = self.varint()?;
             let shifted = gap.checked_mul(1 << shift);
             let next = shifted.and_then(|gap| start.checked_add(gap));
@@ -114,17 +114,17 @@
     }
 
     fn entry(&mut self, start: u64, shift: u32) -> Result<Entry, BlocksError> {
-        let at = self.at;
-        let len = self.byte()?;
-        if u32::from(len) > u64::BITS - shift {
+        let at = self.position;
+        let prefix_len = self.byte()?;
+        if u32::from(prefix_len) > u64::BITS - shift {
             return Err(BlocksError::malformed(at, "a block is too long"));
         }
-        let host_bits = u64::MAX.checked_shr(u32::from(len)).unwrap_or(0);
+        let host_bits = u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0);
         if start & host_bits != 0 {
             return Err(BlocksError::malformed(at, "a block does not start on its boundary"));
         }
         let site = u16::try_from(self.varint()?);
         let site = site.map_err(|_| BlocksError::malformed(at, "a site is out of range"))?;
-        Ok(Entry { start, len, site: SiteId(site) })
+        Ok(Entry { start, prefix_len, site: SiteId(site) })
     }
 }
--- a/crates/azuregate-core/src/blocks/family.rs
+++ b/crates/azuregate-core/src/blocks/family.rs
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FamilyChange {
     pub(crate) start: u64,
-    pub(crate) len: u8,
+    pub(crate) prefix_len: u8,
     pub(crate) site: Option<SiteId>,
 }
 
@@ -94,8 +94,8 @@
 
     /// The segment that a block belongs in; blocks of one start may be spread over
     /// two segments, so that the start alone does not tell.
-    fn segment_for(&self, order: (u64, u8)) -> usize {
-        let after = self.segments.partition_point(|segment| segment.chunk.entry(0).key() <= order);
+    fn segment_for(&self, key: (u64, u8)) -> usize {
+        let after = self.segments.partition_point(|segment| segment.chunk.entry(0).key() <= key);
         after.saturating_sub(1)
     }
 
@@ -111,7 +111,7 @@
         let Some(from) = deltas.iter().map(|delta| delta.start).min() else {
             return self.clone();
         };
-        let to = deltas.iter().map(|delta| chunk::last_addr(delta.start, delta.len)).max();
+        let to = deltas.iter().map(|delta| chunk::last_addr(delta.start, delta.prefix_len)).max();
         if self.segments.is_empty() {
             return FamilyMap::from_chunks(merge_chunks(
                 &[],
@@ -120,8 +120,8 @@
         }
         let mut by_segment: BTreeMap<usize, ChunkDeltas> = BTreeMap::new();
         for delta in deltas {
-            let (order, site) = key_and_site(&delta);
-            by_segment.entry(self.segment_for(order)).or_default().insert(order, site);
+            let (key, site) = key_and_site(&delta);
+            by_segment.entry(self.segment_for(key)).or_default().insert(key, site);
         }
         let (mut next, rebuilt) = self.with_rebuilt_chunks(&by_segment);
         next.update_enclosing(rebuilt, from, to.unwrap_or(u64::MAX));
@@ -190,7 +190,7 @@
 }
 
 fn key_and_site(delta: &FamilyChange) -> ((u64, u8), Option<SiteId>) {
-    ((delta.start, delta.len), delta.site)
+    ((delta.start, delta.prefix_len), delta.site)
 }
 
 /// The chunks that hold `entries` after `deltas`; none if no block is left.
@@ -205,7 +205,7 @@
     }
     let added = deltas
         .into_iter()
-        .filter_map(|((start, len), site)| Some(Entry { start, len, site: site? }));
+        .filter_map(|((start, prefix_len), site)| Some(Entry { start, prefix_len, site: site? }));
     merged.extend(added);
     merged.sort_by_key(Entry::key);
     let size = if merged.len() > MAX_ENTRIES { INITIAL_CHUNK_ENTRIES } else { MAX_ENTRIES };
--- a/crates/azuregate-core/src/blocks/mod.rs
+++ b/crates/azuregate-core/src/blocks/mod.rs
@@ -44,7 +44,7 @@
 };
 
 /// The longest IPv6 block that is kept; clients within a /64 share a link.
-pub const MAX_IPV6_LEN: u8 = 64;
+pub const MAX_IPV6_PREFIX_LEN: u8 = 64;
 
 /// A site: a place that clients are steered to.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum BlocksErrorKind {
-    TooLong(IpNet),
+    PrefixTooLong(IpNet),
     Malformed { at_bytes: usize, what: &'static str },
 }
 
@@ -90,8 +90,8 @@
 impl fmt::Display for BlocksError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.kind {
-            BlocksErrorKind::TooLong(block) => {
-                write!(f, "block {block} is longer than /{MAX_IPV6_LEN}")
+            BlocksErrorKind::PrefixTooLong(block) => {
+                write!(f, "block {block} is longer than /{MAX_IPV6_PREFIX_LEN}")
             }
             BlocksErrorKind::Malformed { at_bytes, what } => {
                 write!(f, "block snapshot is not understood at byte {at_bytes}: {what}")
@@ -114,7 +114,7 @@
     ///
     /// # Errors
     ///
-    /// When an IPv6 block is longer than [`MAX_IPV6_LEN`].
+    /// When an IPv6 block is longer than [`MAX_IPV6_PREFIX_LEN`].
     pub fn from_blocks(blocks: Vec<(IpNet, SiteId)>) -> Result<BlockMap, BlocksError> {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -137,7 +137,7 @@
     ///
     /// # Errors
     ///
-    /// When an IPv6 block is longer than [`MAX_IPV6_LEN`].
+    /// When an IPv6 block is longer than [`MAX_IPV6_PREFIX_LEN`].
     pub fn apply(&self, deltas: &[Delta]) -> Result<BlockMap, BlocksError> {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -146,8 +146,8 @@
                 Delta::Set { block, site } => (block, Some(site)),
                 Delta::Remove { block } => (block, None),
             };
-            let Entry { start, len, .. } = entry(block, SiteId(0))?;
-            let delta = FamilyChange { start, len, site };
+            let Entry { start, prefix_len, .. } = entry(block, SiteId(0))?;
+            let delta = FamilyChange { start, prefix_len, site };
             if block.addr().is_ipv4() { v4.push(delta) } else { v6.push(delta) }
         }
         Ok(BlockMap { v4: self.v4.apply(v4), v6: self.v6.apply(v6) })
@@ -187,13 +187,13 @@
 /// A block with its address left-aligned in 64 bits, so that both families are
 /// searched alike.
 fn entry(block: IpNet, site: SiteId) -> Result<Entry, BlocksError> {
-    let len = block.prefix_len();
+    let prefix_len = block.prefix_len();
     let start = match block {
         IpNet::V4(block) => u64::from(block.network().to_bits()) << 32,
         IpNet::V6(block) => (block.network().to_bits() >> 64) as u64,
     };
-    if len > MAX_IPV6_LEN {
-        return Err(BlocksError { kind: BlocksErrorKind::TooLong(block) });
+    if prefix_len > MAX_IPV6_PREFIX_LEN {
+        return Err(BlocksError { kind: BlocksErrorKind::PrefixTooLong(block) });
     }
-    Ok(Entry { start, len, site })
+    Ok(Entry { start, prefix_len, site })
 }
