--- a/crates/azuregate-core/src/claim.rs
+++ b/crates/azuregate-core/src/claim.rs
@@ -163,23 +163,28 @@
 
 /// Decides about a request from the row that the platform holds for its key.
 ///
-/// `owner_live` says whether the owner of the row may still be running the request.
-pub fn decide(row: &Claim, mine: &AttemptId, fingerprint: u64, owner_live: bool) -> Decision {
-    if row.attempt == *mine {
+/// `is_owner_live` says whether the owner of the row may still be running the request.
+pub fn decide(
+    row: &Claim,
+    own_attempt: &AttemptId,
+    fingerprint: u64,
+    is_owner_live: bool,
+) -> Decision {
+    if row.attempt == *own_attempt {
         return Decision::Run;
     }
     let in_progress =
-        if owner_live { ErrorKind::ClaimInProgress } else { ErrorKind::ClaimOrphaned };
+        if is_owner_live { ErrorKind::ClaimInProgress } else { ErrorKind::ClaimOrphaned };
     decide_settled(row.fingerprint == fingerprint, row.settled.as_ref(), in_progress)
 }
 
 /// Decides about a repeat from how the first request with its key ended.
 pub(crate) fn decide_settled(
-    same_request: bool,
+    is_same_request: bool,
     settled: Option<&Settled>,
     in_progress: ErrorKind,
 ) -> Decision {
-    if !same_request {
+    if !is_same_request {
         return Decision::Reject(ErrorKind::ClaimMismatch);
     }
     match settled {
--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -138,15 +138,16 @@
     ) -> (Decision, u64) {
         self.evict_expired(now_ms);
         if let Some(entry) = self.keys.get(key) {
-            let same = entry.fingerprint == fingerprint;
+            let is_same_request = entry.fingerprint == fingerprint;
             let settled = entry.settled.as_ref();
-            let decision = claim::decide_settled(same, settled, ErrorKind::ClaimInProgress);
+            let decision =
+                claim::decide_settled(is_same_request, settled, ErrorKind::ClaimInProgress);
             return (decision, entry.sequence);
         }
         // An evicted key must not run again. A token that has expired, or was issued by
         // a clock too far ahead, could belong to such a key.
-        let ahead = issued_at_ms > now_ms + Millis(self.config.skew_ms);
-        if ahead || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
+        let is_from_future = issued_at_ms > now_ms + Millis(self.config.skew_ms);
+        if is_from_future || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
             return (Decision::Reject(ErrorKind::HomeExpired), 0);
         }
         if self.keys.len() >= self.config.max_keys {
@@ -184,8 +185,8 @@
     /// when a full table has room again.
     pub fn next_expiry_in_ms(&self, now_ms: Millis) -> u64 {
         let oldest = self.expiry_queue.front();
-        oldest.map_or(0, |(seen_ms, ..)| {
-            (*seen_ms + Millis(self.config.retention_ms())).since(now_ms).0
+        oldest.map_or(0, |(first_used_at_ms, ..)| {
+            (*first_used_at_ms + Millis(self.config.retention_ms())).since(now_ms).0
         })
     }
 
@@ -206,8 +207,8 @@
 
     fn evict_expired(&mut self, now_ms: Millis) {
         let retention_ms = self.config.retention_ms();
-        while let Some((seen_ms, _, _)) = self.expiry_queue.front()
-            && now_ms.since(*seen_ms).0 > retention_ms
+        while let Some((first_used_at_ms, _, _)) = self.expiry_queue.front()
+            && now_ms.since(*first_used_at_ms).0 > retention_ms
         {
             let Some((_, key, sequence)) = self.expiry_queue.pop_front() else { return };
             if self.keys.get(&key).is_none_or(|entry| entry.sequence != sequence) {
--- a/crates/azuregate-core/src/membership.rs
+++ b/crates/azuregate-core/src/membership.rs
@@ -127,7 +127,7 @@
         if start < peer.start {
             return;
         }
-        let same = heartbeat.digest == digest;
+        let has_same_versions = heartbeat.digest == digest;
         peer.start = start;
         peer.last_heartbeat_at_ms = now_ms;
         // A time before the start of this process counts as unconfirmed: monotonic time
@@ -135,8 +135,8 @@
         let at_ms = heartbeat.confirmed_age_ms.and_then(|age_ms| now_ms.0.checked_sub(age_ms));
         peer.confirmed_at_ms = at_ms.map(Millis);
         peer.ready = heartbeat.ready;
-        peer.agrees = heartbeat.ready && same;
-        if same {
+        peer.agrees = heartbeat.ready && has_same_versions;
+        if has_same_versions {
             self.confirmed_at_ms = self.confirmed_at_ms.max(peer.confirmed_at_ms);
         }
     }
@@ -180,8 +180,8 @@
         let not_ready = self.peers.iter().filter(|(_, peer)| !peer.ready);
         unavailable.extend(not_ready.map(|(id, _)| id.clone()));
         for (id, start) in &self.stopping {
-            let heard = self.peers.get(id).map(|peer| peer.start);
-            if heard.is_none_or(|heard| heard <= *start) {
+            let latest = self.peers.get(id).map(|peer| peer.start);
+            if latest.is_none_or(|latest| latest <= *start) {
                 unavailable.insert(id.clone());
             }
         }
@@ -203,8 +203,8 @@
         };
         // Instances that have timed out are handled separately; what they have
         // confirmed is unknown.
-        let heard = self.peers.iter().filter(|(_, peer)| !self.is_timed_out(peer, now_ms));
-        let peers = heard.map(|(id, peer)| (id, peer.confirmed_at_ms));
+        let responsive = self.peers.iter().filter(|(_, peer)| !self.is_timed_out(peer, now_ms));
+        let peers = responsive.map(|(id, peer)| (id, peer.confirmed_at_ms));
         let all = peers.chain([(&self.self_id, self.confirmed_at_ms)]);
         let (old, fresh): (Vec<_>, Vec<_>) = all.partition(|(_, at_ms)| is_old(*at_ms));
         // While the platform is down nobody can confirm, and no change can be made.
--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -27,9 +27,9 @@
 /// The neighbours of each instance of a deployment.
 pub type LinkGraph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
 
-/// Returns the neighbours of `me` among `instances`.
-pub fn neighbours(me: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
-    link_graph(instances).remove(me).unwrap_or_default()
+/// Returns the neighbours of `self_id` among `instances`.
+pub fn neighbours(self_id: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
+    link_graph(instances).remove(self_id).unwrap_or_default()
 }
 
 /// Returns all links among `instances`; each link is listed at both of its ends.
@@ -61,16 +61,16 @@
 }
 
 fn picked_links<'a>(
-    this: &Instance,
+    instance: &Instance,
     instances: &'a [Instance],
     zones: &Zones<'a>,
 ) -> Vec<&'a InstanceId> {
     if instances.len() <= MAX_FULL_MESH {
-        let others = instances.iter().filter(|other| other.id != this.id);
+        let others = instances.iter().filter(|other| other.id != instance.id);
         return others.map(|other| &other.id).collect();
     }
-    let score = |name: &str| hash::score(&[this.id.as_str(), name]);
-    let mut other_zones: Vec<_> = zones.keys().filter(|zone| ***zone != this.zone).collect();
+    let score = |name: &str| hash::score(&[instance.id.as_str(), name]);
+    let mut other_zones: Vec<_> = zones.keys().filter(|zone| ***zone != instance.zone).collect();
     other_zones.sort_by_cached_key(|zone| score(zone.as_str()));
     other_zones.truncate(OTHER_ZONE_LINKS);
     let first = |zone: &&&ZoneName| {
@@ -78,8 +78,8 @@
         members.min_by_key(|id| score(id.as_str()))
     };
     let mut picked: Vec<_> = other_zones.iter().filter_map(first).collect();
-    let mut same_zone = zones[&this.zone].clone();
-    same_zone.retain(|id| **id != this.id);
+    let mut same_zone = zones[&instance.zone].clone();
+    same_zone.retain(|id| **id != instance.id);
     same_zone.sort_by_cached_key(|id| score(id.as_str()));
     picked.extend(same_zone.into_iter().take(SAME_ZONE_LINKS));
     picked
--- a/crates/azuregate-core/src/policy/change.rs
+++ b/crates/azuregate-core/src/policy/change.rs
@@ -154,10 +154,10 @@
     pub fn check_replace(&self, wanted: &Policy, now_ms: Millis) -> Result<(), ChangeError> {
         wanted.check()?;
         let now = self.with_ended_shift_applied(now_ms);
-        let same_shares = [&self.zone_share_ppm, &now.zone_share_ppm]
+        let keeps_shares = [&self.zone_share_ppm, &now.zone_share_ppm]
             .contains(&&wanted.zone_share_ppm)
             && [&self.shift, &now.shift].contains(&&wanted.shift);
-        if same_shares {
+        if keeps_shares {
             return Ok(());
         }
         let detail = "shares move by a shift only: start or stop one instead";
--- a/crates/azuregate-core/src/probe.rs
+++ b/crates/azuregate-core/src/probe.rs
@@ -89,14 +89,14 @@
 pub fn unreachable_servers(snapshot: &Snapshot) -> BTreeSet<BackendId> {
     let suspects: BTreeSet<_> =
         snapshot.probes.values().flat_map(|report| &report.failed).collect();
-    let agreed = |id: &&BackendId| {
-        let says = |watcher: &InstanceId| {
+    let is_unreachable = |id: &&BackendId| {
+        let reports_failure = |watcher: &InstanceId| {
             snapshot.probes.get(watcher).is_some_and(|report| report.failed.contains(*id))
         };
         let watchers = watchers(snapshot, id);
-        !watchers.is_empty() && watchers.into_iter().all(says)
+        !watchers.is_empty() && watchers.into_iter().all(reports_failure)
     };
-    suspects.into_iter().filter(agreed).cloned().collect()
+    suspects.into_iter().filter(is_unreachable).cloned().collect()
 }
 
 fn watchers<'a>(snapshot: &'a Snapshot, id: &BackendId) -> Vec<&'a InstanceId> {
--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -80,10 +80,10 @@
     /// Returns whether both snapshots share their lists of instances and backend
     /// servers by identity, so that results computed from one are valid for the other.
     pub fn shares_lists_with(&self, other: &Snapshot) -> bool {
-        let same = |(a, b): (&Arc<[BackendServer]>, &Arc<[BackendServer]>)| Arc::ptr_eq(a, b);
+        let is_same = |(a, b): (&Arc<[BackendServer]>, &Arc<[BackendServer]>)| Arc::ptr_eq(a, b);
         Arc::ptr_eq(&self.instances, &other.instances)
             && self.backends.len() == other.backends.len()
-            && self.backends.values().zip(other.backends.values()).all(same)
+            && self.backends.values().zip(other.backends.values()).all(is_same)
     }
 
     /// Replaces the lists of instances and backend servers; returns whether anything
@@ -92,9 +92,9 @@
     /// An empty list is ignored: a platform that lost its rows must not take every
     /// server out of service.
     pub fn set_list(&mut self, mut list: InstanceList) -> bool {
-        let lost = (list.instances.is_empty() && !self.listed.is_empty())
+        let has_lost_rows = (list.instances.is_empty() && !self.listed.is_empty())
             || (list.backends.is_empty() && !self.backends.is_empty());
-        if lost {
+        if has_lost_rows {
             return false;
         }
         list.instances.sort_by(|a, b| a.id.cmp(&b.id));
--- a/crates/azuregate-core/tests/blocks.rs
+++ b/crates/azuregate-core/tests/blocks.rs
@@ -66,10 +66,10 @@
             map = map.apply(deltas).unwrap();
         }
         prop_assert_eq!(map.len(), linear.0.len());
-        let gone = rounds.iter().flatten().map(|delta| match *delta {
+        let changed = rounds.iter().flatten().map(|delta| match *delta {
             Delta::Set { block, .. } | Delta::Remove { block } => block,
         });
-        for addr in addresses(linear.0.keys().copied().chain(gone)) {
+        for addr in addresses(linear.0.keys().copied().chain(changed)) {
             prop_assert_eq!(map.lookup(addr), linear.lookup(addr), "at {}", addr);
         }
     }
