--- a/crates/azuregate-core/src/blocks/chunk.rs
+++ b/crates/azuregate-core/src/blocks/chunk.rs
@@ -1,15 +1,14 @@
-//! A few hundred blocks in order, with the way up from each to the enclosing
-//! one.
+//! A chunk: up to a few hundred blocks in order, with the parent of each.
 
 use crate::blocks::SiteId;
 
-/// A chunk is split when it grows beyond this many.
+/// Maximum number of blocks in a chunk; a larger chunk is split.
 pub(crate) const MAX_ENTRIES: usize = 512;
 
-/// Marks a block that no other block of its chunk encloses.
+/// Parent of a block that no other block of its chunk encloses.
 const NO_PARENT: u16 = u16::MAX;
 
-/// A block: its first address and its length in bits, left-aligned.
+/// A block: its first address, left-aligned in 64 bits, and its prefix length.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) struct Entry {
     pub(crate) start: u64,
@@ -18,7 +17,8 @@
 }
 
 impl Entry {
-    /// The order of blocks: enclosing ones before those that they enclose.
+    /// Returns the sort key, which orders enclosing blocks before those that they
+    /// enclose.
     pub(crate) fn key(&self) -> (u64, u8) {
         (self.start, self.prefix_len)
     }
@@ -28,13 +28,14 @@
     }
 }
 
-/// The last address of a block.
+/// Returns the last address of a block.
 pub(crate) fn last_addr(start: u64, prefix_len: u8) -> u64 {
-    // A shift by all 64 bits is undefined; a block that long is one address.
+    // A shift by all 64 bits overflows; a block with that prefix length is one address.
     start | u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0)
 }
 
-/// Blocks in order. Columns rather than rows: a search reads only the starts.
+/// A sorted list of blocks, in columns, so that a search only reads the start
+/// addresses.
 #[derive(Debug)]
 pub(crate) struct Chunk {
     starts: Box<[u64]>,
@@ -44,7 +45,7 @@
 }
 
 impl Chunk {
-    /// Makes a chunk of at least one block; `entries` are in order.
+    /// Creates a chunk of at least one block; `entries` must be sorted.
     pub(crate) fn new(entries: &[Entry]) -> Chunk {
         debug_assert!(!entries.is_empty() && entries.len() <= MAX_ENTRIES);
         Chunk {
@@ -75,10 +76,11 @@
         (0..self.len()).map(|index| self.entry(index))
     }
 
-    /// The longest block of this chunk that holds `addr`.
+    /// Returns the site of the longest matching block of this chunk.
     pub(crate) fn lookup(&self, addr: u64) -> Option<SiteId> {
-        // Every block that holds `addr` also holds the last one that starts at
-        // or before it, so it is that one or one that encloses it.
+        // Every block that contains `addr` also contains the start of the last block
+        // that starts at or before `addr`, so the match is that block or one of its
+        // ancestors.
         let after = self.starts.partition_point(|&start| start <= addr);
         let mut index = after.checked_sub(1)?;
         loop {
@@ -89,8 +91,8 @@
         }
     }
 
-    /// The blocks of this chunk that hold `addr`, which comes after all of its
-    /// starts; the longest first.
+    /// Returns the blocks of this chunk that contain `addr`, longest prefix first.
+    /// `addr` must come after all starts of the chunk.
     pub(crate) fn enclosing(&self, addr: u64) -> impl Iterator<Item = Entry> + '_ {
         let mut next = Some(self.len() - 1);
         let ancestors = std::iter::from_fn(move || {
--- a/crates/azuregate-core/src/blocks/codec.rs
+++ b/crates/azuregate-core/src/blocks/codec.rs
@@ -1,9 +1,11 @@
-//! Snapshots of a block map: the form kept as one object of the platform.
+//! Encoding of a block map as one object of the platform.
 //!
-//! A magic number, then for each family the count of blocks and the blocks in
-//! order, then a checksum of all before it. Of each block: the gap to the start
-//! of the one before in units of the family's smallest block, the length, the
-//! site. Gaps are small, so that most blocks take four or five bytes.
+//! A snapshot consists of a magic number, the blocks of each family, and a checksum
+//! of everything before it. Each family is the number of its blocks followed by the
+//! blocks in order. Each block is the difference of its start to that of the
+//! previous block, in units of the family's smallest block, then the prefix length
+//! and the site. Numbers are encoded as LEB128, so most blocks take four or five
+//! bytes.
 
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -11,7 +13,7 @@
 
 const MAGIC: &[u8; 8] = b"azgblk01";
 const CHECKSUM_BYTES: usize = size_of::<u64>();
-/// The number of low bits that no start of an IPv4 block uses.
+/// Number of low bits that are zero in each start of an IPv4 block.
 const V4_SHIFT: u32 = 32;
 const V6_SHIFT: u32 = 0;
 
@@ -26,20 +28,20 @@
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<BlockMap, BlocksError> {
     let Some(body_bytes) = bytes.len().checked_sub(CHECKSUM_BYTES) else {
-        return Err(BlocksError::malformed(0, "it is too short"));
+        return Err(BlocksError::malformed(0, "too short"));
     };
     let (body, checksum) = bytes.split_at(body_bytes);
     if xxh3_64(body).to_le_bytes() != *checksum {
-        return Err(BlocksError::malformed(body_bytes, "the checksum does not match"));
+        return Err(BlocksError::malformed(body_bytes, "checksum mismatch"));
     }
     let mut reader = Reader { bytes: body, position: 0 };
     if reader.take(MAGIC.len())? != MAGIC {
-        return Err(BlocksError::malformed(0, "it does not start as a block snapshot"));
+        return Err(BlocksError::malformed(0, "wrong magic number"));
     }
     let v4 = reader.family(V4_SHIFT)?;
     let v6 = reader.family(V6_SHIFT)?;
     if reader.position != body.len() {
-        return Err(BlocksError::malformed(reader.position, "bytes follow the last block"));
+        return Err(BlocksError::malformed(reader.position, "trailing bytes after the last block"));
     }
     Ok(BlockMap { v4, v6 })
 }
@@ -55,7 +57,7 @@
     }
 }
 
-/// Writes a number in groups of seven bits, the lowest first (LEB128).
+/// Appends a number in LEB128 encoding.
 fn put_varint(bytes: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         bytes.push(number as u8 | 0x80);
@@ -72,7 +74,7 @@
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], BlocksError> {
         let Some(taken) = self.bytes.get(self.position..self.position + count) else {
-            return Err(BlocksError::malformed(self.position, "it ends early"));
+            return Err(BlocksError::malformed(self.position, "unexpected end of input"));
         };
         self.position += count;
         Ok(taken)
@@ -91,12 +93,12 @@
                 return Ok(number);
             }
         }
-        Err(BlocksError::malformed(self.position, "a number has too many bytes"))
+        Err(BlocksError::malformed(self.position, "varint too long"))
     }
 
     fn family(&mut self, shift: u32) -> Result<FamilyMap, BlocksError> {
         let count = self.varint()?;
-        // A count that lies must not make room for more than the bytes hold.
+        // A corrupt count must not allocate more than the input can fill.
         let mut entries = Vec::with_capacity((count as usize).min(self.bytes.len()));
         let mut start = 0_u64;
         for _ in 0..count {
@@ -105,7 +107,7 @@
             let shifted = gap.checked_mul(1 << shift);
             let next = shifted.and_then(|gap| start.checked_add(gap));
             let Some(next) = next else {
-                return Err(BlocksError::malformed(at, "a block starts beyond all addresses"));
+                return Err(BlocksError::malformed(at, "block starts beyond the address space"));
             };
             start = next;
             entries.push(self.entry(start, shift)?);
@@ -117,14 +119,14 @@
         let at = self.position;
         let prefix_len = self.byte()?;
         if u32::from(prefix_len) > u64::BITS - shift {
-            return Err(BlocksError::malformed(at, "a block is too long"));
+            return Err(BlocksError::malformed(at, "prefix length out of range"));
         }
         let host_bits = u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0);
         if start & host_bits != 0 {
-            return Err(BlocksError::malformed(at, "a block does not start on its boundary"));
+            return Err(BlocksError::malformed(at, "host bits of a block are not zero"));
         }
         let site = u16::try_from(self.varint()?);
-        let site = site.map_err(|_| BlocksError::malformed(at, "a site is out of range"))?;
+        let site = site.map_err(|_| BlocksError::malformed(at, "site out of range"))?;
         Ok(Entry { start, prefix_len, site: SiteId(site) })
     }
 }
--- a/crates/azuregate-core/src/blocks/family.rs
+++ b/crates/azuregate-core/src/blocks/family.rs
@@ -10,22 +10,21 @@
     chunk::{self, Chunk, Entry, MAX_ENTRIES},
 };
 
-/// How full chunks are made at first: some room keeps early deltas from
-/// splitting every chunk that they touch.
+/// Number of blocks in a new chunk; the spare room avoids splits by the first deltas.
 const INITIAL_CHUNK_ENTRIES: usize = MAX_ENTRIES * 3 / 4;
 
-/// Blocks in order, cut into chunks.
+/// A sorted list of blocks, divided into chunks.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FamilyMap {
-    /// The first address of each segment, apart from the segments so that a search
-    /// reads one short array.
+    /// The first address of each segment, in an array of its own for a cache-friendly
+    /// search.
     first_addrs: Vec<u64>,
     segments: Vec<Segment>,
     len: usize,
 }
 
-/// A chunk, and the blocks of earlier chunks that hold its first address,
-/// shortest first.
+/// A chunk, and the blocks of earlier chunks that contain its first address, shortest
+/// prefix first.
 #[derive(Clone, Debug)]
 struct Segment {
     chunk: Arc<Chunk>,
@@ -38,7 +37,7 @@
     }
 }
 
-/// A change to one block; no site forgets it.
+/// A change to one block; without a site, the block is removed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FamilyChange {
     pub(crate) start: u64,
@@ -46,14 +45,14 @@
     pub(crate) site: Option<SiteId>,
 }
 
-/// The changes that fall on one chunk, by the order of blocks.
+/// The changes to one chunk, by block key.
 type ChunkDeltas = BTreeMap<(u64, u8), Option<SiteId>>;
 
 impl FamilyMap {
-    /// Makes a family; of blocks given twice the last one counts.
+    /// Creates a map; of duplicate blocks the last one counts.
     pub(crate) fn from_entries(mut entries: Vec<Entry>) -> FamilyMap {
         entries.sort_by_key(Entry::key);
-        // The sort is stable, so of equal blocks the last given comes last.
+        // The sort is stable, so the last of several duplicates comes last.
         entries.reverse();
         entries.dedup_by_key(|entry| entry.key());
         entries.reverse();
@@ -87,13 +86,13 @@
         segment.enclosing().iter().rev().find(|entry| entry.contains(addr)).map(|entry| entry.site)
     }
 
-    /// The segment that an address is looked up in.
+    /// Returns the index of the segment in which an address is looked up.
     fn segment_containing(&self, addr: u64) -> Option<usize> {
         self.first_addrs.partition_point(|&first| first <= addr).checked_sub(1)
     }
 
-    /// The segment that a block belongs in; blocks of one start may be spread over
-    /// two segments, so that the start alone does not tell.
+    /// Returns the index of the segment that a block belongs to. Blocks with the same
+    /// start can span two segments, so the start alone does not determine it.
     fn segment_for(&self, key: (u64, u8)) -> usize {
         let after = self.segments.partition_point(|segment| segment.chunk.entry(0).key() <= key);
         after.saturating_sub(1)
@@ -106,7 +105,7 @@
         self.first_addrs.len() * size_of::<u64>() + segments.sum::<usize>()
     }
 
-    /// The family after `deltas`. Chunks that none falls on are shared.
+    /// Returns the map after `deltas`; unchanged chunks are shared.
     pub(crate) fn apply(&self, deltas: Vec<FamilyChange>) -> FamilyMap {
         let Some(from) = deltas.iter().map(|delta| delta.start).min() else {
             return self.clone();
@@ -128,7 +127,8 @@
         next
     }
 
-    /// The family with the changed chunks rebuilt, and the indexes of these.
+    /// Returns the map with the changed chunks rebuilt, and the indexes of the rebuilt
+    /// segments.
     fn with_rebuilt_chunks(
         &self,
         by_segment: &BTreeMap<usize, ChunkDeltas>,
@@ -158,15 +158,15 @@
         self.segments.push(segment);
     }
 
-    /// Finds the enclosing blocks anew of the segments that were rebuilt and of those
-    /// whose first address lies within the changed blocks. The enclosing blocks of
-    /// all others are as they were.
+    /// Recomputes the enclosing blocks of the rebuilt segments and of those whose first
+    /// address lies between `from` and `to`. Those of all other segments cannot have
+    /// changed.
     fn update_enclosing(&mut self, rebuilt: Vec<usize>, from: u64, to: u64) {
         let begin = self.first_addrs.partition_point(|&first| first < from);
         let end = self.first_addrs.partition_point(|&first| first <= to);
         let mut stale = BTreeSet::from_iter(rebuilt);
         stale.extend(begin..end);
-        // Upwards, since each is worked out from the one before.
+        // In ascending order, since each segment is computed from the previous one.
         for index in stale {
             let enclosing = self.enclosing_of(index);
             if *enclosing != *self.segments[index].enclosing() {
@@ -193,7 +193,7 @@
     ((delta.start, delta.prefix_len), delta.site)
 }
 
-/// The chunks that hold `entries` after `deltas`; none if no block is left.
+/// Returns the chunks that hold `entries` after `deltas`; none if no block is left.
 fn merge_chunks(entries: &[Entry], mut deltas: ChunkDeltas) -> Vec<Arc<Chunk>> {
     let mut merged: Vec<Entry> = Vec::with_capacity(entries.len() + deltas.len());
     for &entry in entries {
--- a/crates/azuregate-core/src/blocks/mod.rs
+++ b/crates/azuregate-core/src/blocks/mod.rs
@@ -1,5 +1,5 @@
 /*!
-Client blocks: which site the clients of an address block are steered to.
+Client address blocks, and the site to which the clients of each block are directed.
 
 ```
 use azuregate_core::blocks::{BlockMap, Delta, SiteId};
@@ -18,15 +18,15 @@
 
 # Design
 
-A map is immutable. [`BlockMap::apply`] makes the next one, which shares all
-chunks that the deltas leave alone, so that a swap needs no second copy of the
-whole. Each address family is a sorted list of blocks, cut into chunks of a few
-hundred, with an index of the first block of each chunk. A look-up searches the
-index, then one chunk, then climbs from the block found to the first enclosing
-one that holds the address. Enclosing blocks of earlier chunks are kept beside
-each chunk, so that the climb never leaves it.
+A map is immutable. [`BlockMap::apply`] returns a new map that shares all unchanged
+chunks, so that an update does not copy the whole map. Each address family is a sorted
+list of blocks, divided into chunks of a few hundred, with an index of the first address
+of each chunk. A lookup is a longest-prefix match: it searches the index, then one
+chunk, then follows the parents of the block found to the first one that contains the
+address. The enclosing blocks from earlier chunks are stored with each chunk, so that a
+lookup reads one chunk only.
 
-docs/design/client-blocks.md has the other ways that were weighed.
+docs/design/client-blocks.md describes the alternatives.
 */
 
 mod chunk;
@@ -43,10 +43,10 @@
     family::{FamilyChange, FamilyMap},
 };
 
-/// The longest IPv6 block that is kept; clients within a /64 share a link.
+/// Longest supported prefix of an IPv6 block; the clients within a /64 share a link.
 pub const MAX_IPV6_PREFIX_LEN: u8 = 64;
 
-/// A site: a place that clients are steered to.
+/// Identifies a site to which clients are directed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct SiteId(pub u16);
@@ -55,21 +55,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Delta {
-    /// Steers a block to a site, whether or not it was known.
+    /// Assigns a block to a site; adds the block if it is not in the map.
     Set {
         /// The block.
         block: IpNet,
         /// Its site.
         site: SiteId,
     },
-    /// Forgets a block; its clients go where the enclosing block says.
+    /// Removes a block; its clients get the site of the enclosing block.
     Remove {
         /// The block.
         block: IpNet,
     },
 }
 
-/// A block map that cannot be made.
+/// An invalid block or block snapshot.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct BlocksError {
     kind: BlocksErrorKind,
@@ -94,7 +94,7 @@
                 write!(f, "block {block} is longer than /{MAX_IPV6_PREFIX_LEN}")
             }
             BlocksErrorKind::Malformed { at_bytes, what } => {
-                write!(f, "block snapshot is not understood at byte {at_bytes}: {what}")
+                write!(f, "malformed block snapshot at byte {at_bytes}: {what}")
             }
         }
     }
@@ -102,7 +102,7 @@
 
 impl std::error::Error for BlocksError {}
 
-/// Blocks of clients and the site of each; cheap to clone.
+/// A map from client address blocks to sites; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub struct BlockMap {
     v4: FamilyMap,
@@ -110,11 +110,11 @@
 }
 
 impl BlockMap {
-    /// Makes a map; of blocks given twice the last one counts.
+    /// Creates a map; of duplicate blocks the last one counts.
     ///
     /// # Errors
     ///
-    /// When an IPv6 block is longer than [`MAX_IPV6_PREFIX_LEN`].
+    /// When an IPv6 block has a prefix longer than [`MAX_IPV6_PREFIX_LEN`].
     pub fn from_blocks(blocks: Vec<(IpNet, SiteId)>) -> Result<BlockMap, BlocksError> {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -125,7 +125,7 @@
         Ok(BlockMap { v4: FamilyMap::from_entries(v4), v6: FamilyMap::from_entries(v6) })
     }
 
-    /// The site of the longest block that holds `addr`.
+    /// Returns the site of the longest block that contains `addr`.
     pub fn lookup(&self, addr: IpAddr) -> Option<SiteId> {
         match addr {
             IpAddr::V4(addr) => self.v4.lookup(u64::from(addr.to_bits()) << 32),
@@ -133,11 +133,11 @@
         }
     }
 
-    /// The map after `deltas`, applied in order.
+    /// Returns the map after `deltas`, applied in order.
     ///
     /// # Errors
     ///
-    /// When an IPv6 block is longer than [`MAX_IPV6_PREFIX_LEN`].
+    /// When an IPv6 block has a prefix longer than [`MAX_IPV6_PREFIX_LEN`].
     pub fn apply(&self, deltas: &[Delta]) -> Result<BlockMap, BlocksError> {
         let mut v4 = Vec::new();
         let mut v6 = Vec::new();
@@ -153,39 +153,39 @@
         Ok(BlockMap { v4: self.v4.apply(v4), v6: self.v6.apply(v6) })
     }
 
-    /// How many blocks there are.
+    /// Returns the number of blocks.
     pub fn len(&self) -> usize {
         self.v4.len() + self.v6.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether the map has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// What the map takes in memory, in bytes, chunks shared with others
-    /// included; without the allocator's own overhead.
+    /// Returns the memory use of the map in bytes, including chunks shared with other
+    /// maps and excluding allocator overhead.
     pub fn memory_bytes(&self) -> usize {
         self.v4.memory_bytes() + self.v6.memory_bytes()
     }
 
-    /// The map as a snapshot, to be kept as one object of the platform.
+    /// Encodes the map as a snapshot that can be stored as one object of the platform.
     pub fn encode(&self) -> Vec<u8> {
         codec::encode(self)
     }
 
-    /// Reads a snapshot.
+    /// Decodes a snapshot.
     ///
     /// # Errors
     ///
-    /// When the bytes were cut short, changed, or are no snapshot.
+    /// When the bytes are truncated, corrupt, or not a snapshot.
     pub fn decode(bytes: &[u8]) -> Result<BlockMap, BlocksError> {
         codec::decode(bytes)
     }
 }
 
-/// A block with its address left-aligned in 64 bits, so that both families are
-/// searched alike.
+/// Converts a block to an entry, with the address left-aligned in 64 bits, so that both
+/// families are searched in the same way.
 fn entry(block: IpNet, site: SiteId) -> Result<Entry, BlocksError> {
     let prefix_len = block.prefix_len();
     let start = match block {
--- a/crates/azuregate-core/tests/blocks.rs
+++ b/crates/azuregate-core/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! The block map against a list that is searched from end to end.
+//! The block map, compared with a linear scan.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -8,7 +8,7 @@
 use ipnet::IpNet;
 use proptest::prelude::*;
 
-/// The linear answer: the longest block that holds the address.
+/// A reference implementation that finds the longest match by a linear scan.
 #[derive(Clone, Debug, Default)]
 struct LinearMap(BTreeMap<IpNet, SiteId>);
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Blocks crowded into few addresses, so that they nest and meet.
+/// Blocks within a small address range, so that they nest and adjoin.
 fn block() -> impl Strategy<Value = IpNet> {
     let v4 = (0_u32..1 << 14, 8_u8..=32)
         .prop_map(|(low, len)| IpNet::new(IpAddr::V4((0x0a00_0000 + low * 64).into()), len));
@@ -87,8 +87,8 @@
         }
     }
 
-    // The platform hands back an object that was cut short or changed. It is
-    // refused, so that no client is steered by half a map.
+    // Guards against directing clients by a snapshot that was truncated or corrupted in
+    // storage.
     #[test]
     fn damaged_snapshot_is_rejected(
         blocks in prop::collection::vec((block(), 0_u16..140), 1..50),
