--- a/crates/azuregate-core/benches/capacity_blocks.rs
+++ b/crates/azuregate-core/benches/capacity_blocks.rs
@@ -1,8 +1,9 @@
-//! What client blocks cost at several sizes: memory, loading, look-ups, deltas.
+//! Measures client address blocks at several sizes: memory, decoding, lookups and
+//! deltas.
 //!
 //! `cargo bench -p azuregate-core --bench capacity_blocks` prints a table for
-//! docs/CAPACITY.md. Five runs of each figure, the median is printed with the
-//! smallest and largest.
+//! docs/CAPACITY.md. Each figure is the median of five runs, with the smallest and
+//! largest.
 
 use std::{
     collections::HashSet,
@@ -24,7 +25,7 @@
 const SITES: u16 = 140;
 const RUNS: usize = 5;
 const LOOKUPS: usize = 2_000_000;
-/// How long look-ups go on beside deltas.
+/// How long lookups run concurrently with updates.
 const CONCURRENT_DURATION: Duration = Duration::from_secs(2);
 
 fn main() {
@@ -41,7 +42,7 @@
 
 type Dataset = fn(&mut Rng, usize) -> Vec<(IpNet, SiteId)>;
 
-/// Blocks of any place and length from /16 to /28.
+/// Blocks at random addresses, with prefix lengths from /16 to /28.
 fn random_blocks(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
     let mut set = DistinctBlocks::default();
     while set.blocks.len() < size {
@@ -50,8 +51,8 @@
     set.blocks
 }
 
-/// Blocks as registries give them out: regions of /8 to /12 hold networks of
-/// /14 to /20, which hold customers of /22 to /29, many with their neighbours.
+/// Nested blocks as registries allocate them: regions of /8 to /12 contain networks of
+/// /14 to /20, which contain runs of adjacent customer blocks of /22 to /29.
 fn nested_blocks(rng: &mut Rng, size: usize) -> Vec<(IpNet, SiteId)> {
     let mut set = DistinctBlocks::default();
     while set.blocks.len() < size {
@@ -73,7 +74,7 @@
     set.blocks
 }
 
-/// Blocks of which each is given once, so that a world has the size asked for.
+/// Blocks without duplicates, so that a data set has the requested size.
 #[derive(Default)]
 struct DistinctBlocks {
     seen: HashSet<IpNet>,
@@ -120,7 +121,7 @@
     );
 }
 
-/// Runs a measurement several times: its median, smallest and largest.
+/// Runs a measurement several times and formats its median, minimum and maximum.
 fn summarize_runs(mut measure: impl FnMut() -> f64) -> String {
     let mut taken: Vec<f64> = (0..RUNS).map(|_| measure()).collect();
     taken.sort_by(f64::total_cmp);
@@ -154,8 +155,8 @@
     taken.as_nanos() as f64 / 1_000.0
 }
 
-/// One thread looks up as fast as it can while another swaps in a delta of a
-/// hundred blocks ten times a second.
+/// Measures lookups on one thread while another applies a delta of 100 blocks ten times
+/// per second.
 fn bench_concurrent_updates() {
     let mut rng = Rng::with_seed(1);
     let blocks = nested_blocks(&mut rng, 3_600_000);
