--- a/crates/azuregate-core/benches/capacity_blocks.rs
+++ b/crates/azuregate-core/benches/capacity_blocks.rs
@@ -60,13 +60,13 @@
         set.add(block(region, rng.u8(8..=12), rng));
         for _ in 0..64 {
             let network = (region & 0xfff0_0000) | rng.u32(..1 << 20);
-            let len = rng.u8(14..=20);
-            set.add(block(network, len, rng));
-            let customer = rng.u8(22..=29);
-            let mut at = network & (u32::MAX << (32 - len));
+            let network_len = rng.u8(14..=20);
+            set.add(block(network, network_len, rng));
+            let customer_len = rng.u8(22..=29);
+            let mut addr = network & (u32::MAX << (32 - network_len));
             for _ in 0..rng.usize(1..64) {
-                set.add(block(at, customer, rng));
-                at = at.wrapping_add(1 << (32 - customer));
+                set.add(block(addr, customer_len, rng));
+                addr = addr.wrapping_add(1 << (32 - customer_len));
             }
         }
     }
--- a/crates/azuregate-core/src/blocks/chunk.rs
+++ b/crates/azuregate-core/src/blocks/chunk.rs
@@ -115,14 +115,17 @@
 }
 
 fn parents(entries: &[Entry]) -> Box<[u16]> {
-    let mut open: Vec<u16> = Vec::new();
+    let mut ancestors: Vec<u16> = Vec::new();
     let mut parents = Vec::with_capacity(entries.len());
     for (index, entry) in (0_u16..).zip(entries) {
-        while open.last().is_some_and(|&top| !entries[usize::from(top)].contains(entry.start)) {
-            open.pop();
+        while ancestors
+            .last()
+            .is_some_and(|&last| !entries[usize::from(last)].contains(entry.start))
+        {
+            ancestors.pop();
         }
-        parents.push(open.last().copied().unwrap_or(NO_PARENT));
-        open.push(index);
+        parents.push(ancestors.last().copied().unwrap_or(NO_PARENT));
+        ancestors.push(index);
     }
     parents.into()
 }
--- a/crates/azuregate-core/src/blocks/codec.rs
+++ b/crates/azuregate-core/src/blocks/codec.rs
@@ -48,12 +48,12 @@
 
 fn put_family(bytes: &mut Vec<u8>, family: &FamilyMap, shift: u32) {
     put_varint(bytes, family.len() as u64);
-    let mut before = 0;
+    let mut previous = 0;
     for Entry { start, prefix_len, site } in family.entries() {
-        put_varint(bytes, (start - before) >> shift);
+        put_varint(bytes, (start - previous) >> shift);
         bytes.push(prefix_len);
         put_varint(bytes, u64::from(site.0));
-        before = start;
+        previous = start;
     }
 }
 
@@ -102,31 +102,34 @@
         let mut entries = Vec::with_capacity((count as usize).min(self.bytes.len()));
         let mut start = 0_u64;
         for _ in 0..count {
-            let at = self.position;
-            let gap = self.varint()?;
-            let shifted = gap.checked_mul(1 << shift);
-            let next = shifted.and_then(|gap| start.checked_add(gap));
-            let Some(next) = next else {
-                return Err(BlocksError::malformed(at, "block starts beyond the address space"));
+            let offset = self.position;
+            let difference = self.varint()?;
+            let shifted = difference.checked_mul(1 << shift);
+            let next_start = shifted.and_then(|difference| start.checked_add(difference));
+            let Some(next_start) = next_start else {
+                return Err(BlocksError::malformed(
+                    offset,
+                    "block starts beyond the address space",
+                ));
             };
-            start = next;
+            start = next_start;
             entries.push(self.entry(start, shift)?);
         }
         Ok(FamilyMap::from_entries(entries))
     }
 
     fn entry(&mut self, start: u64, shift: u32) -> Result<Entry, BlocksError> {
-        let at = self.position;
+        let offset = self.position;
         let prefix_len = self.byte()?;
         if u32::from(prefix_len) > u64::BITS - shift {
-            return Err(BlocksError::malformed(at, "prefix length out of range"));
+            return Err(BlocksError::malformed(offset, "prefix length out of range"));
         }
         let host_bits = u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0);
         if start & host_bits != 0 {
-            return Err(BlocksError::malformed(at, "host bits of a block are not zero"));
+            return Err(BlocksError::malformed(offset, "host bits of a block are not zero"));
         }
         let site = u16::try_from(self.varint()?);
-        let site = site.map_err(|_| BlocksError::malformed(at, "site out of range"))?;
+        let site = site.map_err(|_| BlocksError::malformed(offset, "site out of range"))?;
         Ok(Entry { start, prefix_len, site: SiteId(site) })
     }
 }
--- a/crates/azuregate-core/src/blocks/mod.rs
+++ b/crates/azuregate-core/src/blocks/mod.rs
@@ -78,12 +78,12 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum BlocksErrorKind {
     PrefixTooLong(IpNet),
-    Malformed { at_bytes: usize, what: &'static str },
+    Malformed { offset_bytes: usize, reason: &'static str },
 }
 
 impl BlocksError {
-    fn malformed(at_bytes: usize, what: &'static str) -> BlocksError {
-        BlocksError { kind: BlocksErrorKind::Malformed { at_bytes, what } }
+    fn malformed(offset_bytes: usize, reason: &'static str) -> BlocksError {
+        BlocksError { kind: BlocksErrorKind::Malformed { offset_bytes, reason } }
     }
 }
 
@@ -93,8 +93,8 @@
             BlocksErrorKind::PrefixTooLong(block) => {
                 write!(f, "block {block} is longer than /{MAX_IPV6_PREFIX_LEN}")
             }
-            BlocksErrorKind::Malformed { at_bytes, what } => {
-                write!(f, "malformed block snapshot at byte {at_bytes}: {what}")
+            BlocksErrorKind::Malformed { offset_bytes, reason } => {
+                write!(f, "malformed block snapshot at byte {offset_bytes}: {reason}")
             }
         }
     }
--- a/crates/azuregate-core/src/entries.rs
+++ b/crates/azuregate-core/src/entries.rs
@@ -87,8 +87,8 @@
     let salt = variant.to_string();
     live.sort_by_cached_key(|instance| {
         let distance = snapshot.topology.distance(zone, &instance.zone);
-        let dispatches = dispatcher.as_ref() == Some(&instance.id);
-        (!dispatches, distance, hash::score(&[instance.id.as_str(), &salt]))
+        let is_dispatcher = dispatcher.as_ref() == Some(&instance.id);
+        (!is_dispatcher, distance, hash::score(&[instance.id.as_str(), &salt]))
     });
     live.truncate(MAX_ENTRIES);
     live
--- a/crates/azuregate-core/src/replica/table.rs
+++ b/crates/azuregate-core/src/replica/table.rs
@@ -113,8 +113,8 @@
     pub fn changes_since(&self, version: u64) -> Changes {
         let is_whole = version < self.compacted_version || version == 0;
         let after = if is_whole { 0 } else { version };
-        let lacks = |row: &&Row| row.version > after && !(is_whole && row.is_removed);
-        let mut rows: Vec<Row> = self.rows.values().filter(lacks).cloned().collect();
+        let is_missing = |row: &&Row| row.version > after && !(is_whole && row.is_removed);
+        let mut rows: Vec<Row> = self.rows.values().filter(is_missing).cloned().collect();
         rows.sort_by_key(|row| row.version);
         Changes { is_whole, rows, version: self.version }
     }
@@ -147,8 +147,8 @@
             return Err(StaleRead { version, known_version: self.version });
         }
         let mut changed = self.removals_for_missing(&rows, version);
-        let known = &self.rows;
-        changed.extend(rows.into_iter().filter(|row| known.get(&row.key) != Some(row)));
+        let current = &self.rows;
+        changed.extend(rows.into_iter().filter(|row| current.get(&row.key) != Some(row)));
         self.insert(&changed);
         self.version = version;
         self.is_loaded = true;
@@ -157,11 +157,11 @@
 
     fn removals_for_missing(&self, rows: &[Row], version: u64) -> Vec<Row> {
         let keys: BTreeSet<&str> = rows.iter().map(|row| row.key.as_str()).collect();
-        let known = self.rows.values().filter(|row| !row.is_removed);
-        let missing = known.filter(|row| !keys.contains(row.key.as_str()));
-        let removed =
+        let live = self.rows.values().filter(|row| !row.is_removed);
+        let missing = live.filter(|row| !keys.contains(row.key.as_str()));
+        let removal =
             |row: &Row| Row { key: row.key.clone(), value: None, is_removed: true, version };
-        missing.map(removed).collect()
+        missing.map(removal).collect()
     }
 
     fn insert(&mut self, rows: &[Row]) {
--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -52,9 +52,9 @@
         let timing = HeartbeatTiming::for_deployment(listed);
         let mut membership = five_instances();
         membership.set_heartbeat_timing(timing);
-        let mut record = |heard: &[usize], at_ms| {
+        let mut record = |heartbeats: &[usize], at_ms| {
             membership.record_confirmation(at_ms);
-            for &index in heard {
+            for &index in heartbeats {
                 membership.record_heartbeat(
                     &id(index),
                     StartNumber(1),
@@ -81,25 +81,29 @@
     struct Case {
         case: &'static str,
         /// The instances with a heartbeat, and the age of their confirmation.
-        heard: &'static [(usize, u64)],
-        away: &'static [usize],
+        heartbeats: &'static [(usize, u64)],
+        unavailable: &'static [usize],
     }
     let later_ms = Millis(100_000);
     let cases = [
-        Case { case: "all send heartbeats", heard: &[(1, 0), (2, 0), (3, 0), (4, 0)], away: &[] },
-        Case { case: "one timed out", heard: &[(1, 0), (2, 0), (3, 0)], away: &[4] },
-        Case { case: "two timed out", heard: &[(1, 0), (2, 0)], away: &[3, 4] },
-        Case { case: "the observer is partitioned", heard: &[(1, 0)], away: &[] },
+        Case {
+            case: "all send heartbeats",
+            heartbeats: &[(1, 0), (2, 0), (3, 0), (4, 0)],
+            unavailable: &[],
+        },
+        Case { case: "one timed out", heartbeats: &[(1, 0), (2, 0), (3, 0)], unavailable: &[4] },
+        Case { case: "two timed out", heartbeats: &[(1, 0), (2, 0)], unavailable: &[3, 4] },
+        Case { case: "the observer is partitioned", heartbeats: &[(1, 0)], unavailable: &[] },
         Case {
             case: "one is unconfirmed",
-            heard: &[(1, 0), (2, 0), (3, CONFIRMATION_TIMEOUT_MS + 1), (4, 0)],
-            away: &[3],
+            heartbeats: &[(1, 0), (2, 0), (3, CONFIRMATION_TIMEOUT_MS + 1), (4, 0)],
+            unavailable: &[3],
         },
     ];
-    for Case { case, heard, away } in cases {
+    for Case { case, heartbeats, unavailable } in cases {
         let mut membership = five_instances();
         membership.record_confirmation(later_ms);
-        for &(index, age_ms) in heard {
+        for &(index, age_ms) in heartbeats {
             membership.record_heartbeat(
                 &id(index),
                 StartNumber(1),
@@ -108,7 +112,7 @@
                 later_ms,
             );
         }
-        assert_eq!(membership.unavailable(later_ms), ids(away), "{case}");
+        assert_eq!(membership.unavailable(later_ms), ids(unavailable), "{case}");
     }
 }
 
