--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// The text is not a home token.
+/// The error of parsing a text that is not a home token.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ParseHomeTokenError;
 
