--- a/crates/azuregate-core/src/policy/change.rs
+++ b/crates/azuregate-core/src/policy/change.rs
@@ -100,8 +100,8 @@
     /// Stops the shift in progress at its position at `now_ms`, which counts from the
     /// Unix epoch.
     ///
-    /// A shift from or to distance-based routing returns to its start, since its position
-    /// differs between instances. The cap limits the way back as well.
+    /// A shift from or to distance-based routing returns to its start, since its
+    /// position differs between instances. The cap limits the way back as well.
     ///
     /// # Errors
     ///
