--- a/crates/azuregate-core/tests/membership.rs
+++ b/crates/azuregate-core/tests/membership.rs
@@ -68,7 +68,7 @@
         let at = |beats| Millis(beats * timing.heartbeat_ms);
         assert_eq!(record(&[1, 2, 3], at(1)), ids(&[]), "of {listed}");
         assert_eq!(record(&[1, 2, 3], at(2)), ids(&[]), "of {listed}, one lost");
-        assert_eq!(record(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, heard again");
+        assert_eq!(record(&[1, 2, 3, 4], at(2)), ids(&[]), "of {listed}, received again");
         let timed_out_at_ms = at(2) + Millis(timing.failure_timeout_ms + 1);
         assert_eq!(record(&[1, 2, 3], timed_out_at_ms), ids(&[4]), "of {listed}, timed out");
     }
