--- a/crates/azuregate-core/src/snapshot/mod.rs
+++ b/crates/azuregate-core/src/snapshot/mod.rs
@@ -185,8 +185,9 @@
     /// Returns how long an instance without confirmation is still named to callers, in
     /// milliseconds.
     ///
-    /// It is shorter than the delay of a shift, so that callers have stopped using an
-    /// instance that missed the shift before the shift starts.
+    /// It leaves callers enough of the shift delay to stop using an instance that
+    /// missed a shift before the shift starts, unless the delay is so short that the
+    /// lower limit applies.
     pub fn confirmation_timeout_ms(&self) -> u64 {
         let delays = self.policies.values().map(|policy| policy.shift_delay_ms);
         let shortest = delays.min().unwrap_or(DEFAULT_SHIFT_DELAY_MS);
