--- a/crates/azuregate/src/logs/lines.rs
+++ b/crates/azuregate/src/logs/lines.rs
@@ -1,4 +1,4 @@
-//! Writes events as lines.
+//! Appender that writes each event as one line.
 
 use std::{
     fmt,
@@ -14,18 +14,17 @@
     record::{Level, Record},
 };
 
-use super::limiter::{Kind, Limiter, Suppressed};
+use super::rate_limiter::{EventKind, RateLimiter, Suppressed};
 
-/// How many lines of one kind are written in a window.
+/// Lines of one kind that are written per window.
 const LINES_PER_WINDOW: u64 = 50;
-/// Length of the window.
 const WINDOW_MS: u64 = 1_000;
-/// The longest line, in bytes; callers choose some of the values.
-const LINE_LIMIT_BYTES: usize = 8_192;
-/// Ends a line that was too long.
+/// Maximum length of a line, since callers choose some of the values.
+const MAX_LINE_BYTES: usize = 8_192;
+/// Suffix of a truncated line.
 const TRUNCATED: &str = " truncated=true";
 
-/// Writes each event as one line, and bounds the lines of each kind.
+/// Appender that writes each event as one line and limits the rate of each kind.
 pub struct Lines<W> {
     layout: LogfmtLayout,
     origin: Instant,
@@ -34,7 +33,7 @@
 
 struct State<W> {
     out: W,
-    limiter: Limiter,
+    limiter: RateLimiter,
 }
 
 impl<W> fmt::Debug for Lines<W> {
@@ -44,9 +43,9 @@
 }
 
 impl<W: Write> Lines<W> {
-    /// Writes to `out`.
+    /// Creates an appender that writes to `out`.
     pub fn new(out: W) -> Lines<W> {
-        let limiter = Limiter::new(LINES_PER_WINDOW, WINDOW_MS);
+        let limiter = RateLimiter::new(LINES_PER_WINDOW, WINDOW_MS);
         let state = Mutex::new(State { out, limiter });
         Lines { layout: LogfmtLayout::default(), origin: Instant::now(), state }
     }
@@ -57,7 +56,7 @@
 
     fn line(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<String, Error> {
         let bytes = self.layout.format(record, diags)?;
-        Ok(one_line(&String::from_utf8_lossy(&bytes)))
+        Ok(escape_line(&String::from_utf8_lossy(&bytes)))
     }
 
     fn suppressed_line(&self, suppressed: &Suppressed) -> Result<String, Error> {
@@ -80,7 +79,7 @@
 impl<W: Send + Write + 'static> Append for Lines<W> {
     fn append(&self, record: &Record, diags: &[Box<dyn Diagnostic>]) -> Result<(), Error> {
         let now_ms = self.now_ms();
-        // A thread that panicked while it wrote has left nothing half done here.
+        // The state is consistent even if a thread panicked while it held the lock.
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let mut text = String::new();
         for suppressed in state.limiter.take_suppressed(now_ms) {
@@ -100,21 +99,21 @@
     }
 }
 
-fn kind(record: &Record) -> Kind {
+fn kind(record: &Record) -> EventKind {
     let code = record.key_values().get("code");
-    Kind {
+    EventKind {
         message: record.payload().to_string(),
         code: code.map_or_else(String::new, |code| code.to_string()),
     }
 }
 
-/// Makes one line of what was formatted.
+/// Escapes control characters and line separators in a formatted event, and truncates
+/// it to the maximum length of a line.
 ///
-/// logfmt quotes a value only if it holds a blank, an equals sign or a quote. A
-/// value that holds nothing but a line break among letters would end the line,
-/// and what follows would read as an event of its own; control characters would
-/// reach the terminal of whoever reads the log.
-pub fn one_line(text: &str) -> String {
+/// logforth quotes a value only if it contains a space, an equals sign or a quote.
+/// Without escaping, a line break in a value chosen by a caller could forge an event,
+/// and control characters would reach the terminal of the reader.
+pub fn escape_line(text: &str) -> String {
     let mut line = String::with_capacity(text.len());
     for c in text.chars() {
         if c.is_control() || matches!(c, '\u{2028}' | '\u{2029}') {
@@ -122,7 +121,7 @@
         } else {
             line.push(c);
         }
-        if line.len() > LINE_LIMIT_BYTES {
+        if line.len() > MAX_LINE_BYTES {
             line.push_str(TRUNCATED);
             break;
         }
--- a/crates/azuregate/tests/metrics.rs
+++ b/crates/azuregate/tests/metrics.rs
@@ -1,14 +1,14 @@
-//! Metrics as they go over the network.
+//! Metrics sent over UDP.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 use std::{net::UdpSocket, sync::Arc, time::Duration};
 
-use azuregate::metrics::{ANSWERED, Class, MetricSink, Recorder, Sample, StatsdSink};
+use azuregate::metrics::{ANSWERED, MetricSink, Recorder, RequestClass, Sample, StatsdSink};
 use azuregate_core::names::{ServiceName, TenantName};
 
 #[tokio::test]
-async fn names_and_tags() {
+async fn metrics_have_names_and_tags() {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     let sink: Arc<dyn MetricSink> =
@@ -17,9 +17,9 @@
     recorder.record(Sample {
         service: ServiceName::new("starter-desk"),
         tenant: Some(TenantName::new("bakers")),
-        class: Class::Keyed,
+        class: RequestClass::Keyed,
         code: ANSWERED,
-        taken_ms: 7,
+        latency_ms: 7,
     });
     assert_eq!(recorder.histograms().await.histograms.len(), 1);
     sink.dropped(3);
@@ -39,18 +39,18 @@
     );
 }
 
-// Nobody listens: metrics are lost, and requests go on.
+// Guards against errors or lost samples if no receiver listens.
 #[tokio::test]
-async fn a_receiver_that_is_gone_costs_nothing() {
+async fn missing_receiver_is_ignored() {
     let addr = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let recorder = Recorder::start(Arc::new(StatsdSink::new(addr).unwrap()));
-    for taken_ms in 0..1_000 {
+    for latency_ms in 0..1_000 {
         recorder.record(Sample {
             service: ServiceName::new("starter-desk"),
             tenant: None,
-            class: Class::Read,
+            class: RequestClass::Read,
             code: ANSWERED,
-            taken_ms,
+            latency_ms,
         });
     }
     let histograms = recorder.histograms().await;
--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -1,6 +1,6 @@
 //! What must not run twice does not, and "not run" is true.
 
-use azuregate_platform::stand_in::Behaviour;
+use azuregate_platform::fakes::Behaviour;
 
 use crate::world::{World, read_request, write_request};
 
@@ -9,11 +9,11 @@
 #[tokio::test]
 async fn a_write_that_may_have_run_is_not_sent_again() {
     for behaviour in [
-        Behaviour::LoseAnswer,
-        Behaviour::CutShort,
+        Behaviour::DropResponse,
+        Behaviour::Truncate,
         Behaviour::Unsigned,
-        Behaviour::AnswerToAnother,
-        Behaviour::Fail,
+        Behaviour::StaleResponse,
+        Behaviour::ServerError,
     ] {
         let world = World::start(3).await;
         let entry = world.instance(1).await;
@@ -29,16 +29,16 @@
 /// the write with its whole body.
 #[tokio::test]
 async fn a_write_that_was_rejected_runs_elsewhere() {
-    for behaviour in [Behaviour::Reject, Behaviour::AnotherServer] {
+    for behaviour in [Behaviour::Reject, Behaviour::Misdirect] {
         let world = World::start(2).await;
         let entry = world.instance(1).await;
         entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.seen().is_empty()).unwrap();
+        let used = world.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
         let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
         assert_eq!(answer.status, 200, "{behaviour:?}");
         let other = world.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
-        assert_eq!(other.seen()[0].body, b"body");
+        assert_eq!(other.received()[0].body, b"body");
     }
 }
 
@@ -65,7 +65,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let row = azuregate_platform::stand_in::backend_row("shop", gone, "zone-a", "ready");
+    let row = azuregate_platform::fakes::backend_row("shop", gone, "zone-a", "ready");
     world.store.put("servers", "gone", row);
     let entry = world.instance(1).await;
     let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -13,8 +13,8 @@
     stop::{self, Stopper},
 };
 use azuregate_platform::{
+    fakes::{ConfigDocument, FakeBackend, FakeStore, backend_row, config_row, settings_text},
     settings::Settings,
-    stand_in::{BackendStandIn, ConfigText, StoreStandIn, backend_row, config_row, settings_text},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -36,9 +36,9 @@
 
 /// Everything outside the instances.
 pub(crate) struct World {
-    pub(crate) store: StoreStandIn,
-    pub(crate) backends: Vec<BackendStandIn>,
-    pub(crate) config: ConfigText,
+    pub(crate) store: FakeStore,
+    pub(crate) backends: Vec<FakeBackend>,
+    pub(crate) config: ConfigDocument,
     pub(crate) network: String,
 }
 
@@ -48,8 +48,8 @@
         // Other test processes run at the same time.
         let process = std::process::id() % 200 + 20;
         let network = format!("127.{process}.{}", NETWORKS.fetch_add(1, Ordering::Relaxed));
-        let store = StoreStandIn::start("127.0.0.1").await;
-        let config = ConfigText::new(SERVICE);
+        let store = FakeStore::start("127.0.0.1").await;
+        let config = ConfigDocument::new(SERVICE);
         store.put("op", "config", config_row(&config));
         let mut world = World { store, backends: Vec::new(), config, network };
         for _ in 0..count {
@@ -59,16 +59,16 @@
     }
 
     /// Starts one more backend server and registers it.
-    pub(crate) async fn add_backend(&mut self, zone: &str) -> BackendStandIn {
+    pub(crate) async fn add_backend(&mut self, zone: &str) -> FakeBackend {
         let id = format!("b{}", self.backends.len());
-        let backend = BackendStandIn::start(&id, "127.0.0.1").await;
+        let backend = FakeBackend::start(&id, "127.0.0.1").await;
         self.store.put("servers", &id, backend_row(SERVICE, backend.addr(), zone, "ready"));
         self.backends.push(backend.clone());
         backend
     }
 
     /// Changes the configuration.
-    pub(crate) fn configure(&mut self, change: impl FnOnce(&mut ConfigText)) {
+    pub(crate) fn configure(&mut self, change: impl FnOnce(&mut ConfigDocument)) {
         self.config.version += 1;
         change(&mut self.config);
         self.store.put("op", "config", config_row(&self.config));
@@ -102,7 +102,7 @@
         let settings = Settings::parse(&text).expect("the settings are complete");
         std::fs::write(self.settings_file(number), text).expect("the file can be written");
         let (traffic, ready, lookups) =
-            (settings.traffic_addr, settings.ready_addr, settings.lookup_addr);
+            (settings.traffic_addr, settings.readiness_addr, settings.lookup_addr);
         let file = self.settings_file(number);
         let (stopper, stop) = stop::channel();
         let thread = std::thread::spawn(move || {
@@ -128,7 +128,7 @@
 
     /// Requests of all backend servers with the id `id`.
     pub(crate) fn arrivals(&self, id: &str) -> usize {
-        let seen = self.backends.iter().flat_map(BackendStandIn::seen);
+        let seen = self.backends.iter().flat_map(FakeBackend::received);
         seen.filter(|seen| seen.id == id).count()
     }
 }
--- /dev/null
+++ b/crates/platform/src/fakes/mod.rs
@@ -0,0 +1,16 @@
+/*!
+Fakes of the platform's store and of backend servers, for tests.
+
+[`FakeStore`] keeps rows in memory and [`FakeBackend`] responds to requests. Tests
+inject the faults of the real systems into both. They listen on loopback addresses
+and are not compiled into the released binary.
+*/
+
+mod backend;
+mod fixtures;
+mod rows;
+mod store;
+
+pub use backend::{Behaviour, FakeBackend, ReceivedRequest};
+pub use fixtures::{ConfigDocument, backend_row, config_row, settings_text};
+pub use store::{FakeStore, StoreFault};
--- a/crates/platform/src/stand_in/store.rs
+++ b/crates/platform/src/fakes/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store.
+//! A fake of the platform's store.
 
 use std::{
     net::SocketAddr,
@@ -19,23 +19,23 @@
 
 use super::rows::Rows;
 
-/// How the stand-in fails.
+/// A fault that the fake injects into calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum StoreFault {
-    /// It does not.
+    /// No fault.
     #[default]
     None,
-    /// Every call gets this status and does nothing.
-    Refuse(u16),
-    /// Calls are never answered.
-    Silent,
-    /// Calls are done and the connection is closed without an answer.
-    AnswerLost,
+    /// Calls have no effect and get this status.
+    ErrorStatus(u16),
+    /// Calls have no effect and never get a response.
+    Hang,
+    /// Calls take effect and the connection is closed without a response.
+    DropResponse,
 }
 
-/// Keeps rows in memory and answers like the platform's store.
+/// A fake store that keeps rows in memory.
 #[derive(Clone)]
-pub struct StoreStandIn {
+pub struct FakeStore {
     addr: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -43,7 +43,7 @@
 struct Shared {
     rows: Mutex<Rows>,
     fault: Mutex<StoreFault>,
-    page_rows: Mutex<usize>,
+    page_size: Mutex<usize>,
     calls: Mutex<Vec<String>>,
     changed: watch::Sender<()>,
 }
@@ -52,71 +52,71 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl StoreStandIn {
-    /// Starts a store without rows on a loopback address of its own.
+impl FakeStore {
+    /// Starts an empty store at the loopback address `ip`.
     ///
     /// # Panics
     ///
-    /// When no port can be opened.
-    pub async fn start(ip: &str) -> StoreStandIn {
+    /// Panics if no port can be opened.
+    pub async fn start(ip: &str) -> FakeStore {
         let listener = TcpListener::bind((ip, 0)).await.expect("a loopback port is free");
         let addr = listener.local_addr().expect("the port is open");
         let shared = Arc::new(Shared {
             rows: Mutex::default(),
             fault: Mutex::default(),
-            page_rows: Mutex::new(500),
+            page_size: Mutex::new(500),
             calls: Mutex::default(),
             changed: watch::Sender::new(()),
         });
         tokio::spawn(accept(listener, Arc::clone(&shared)));
-        StoreStandIn { addr, shared }
+        FakeStore { addr, shared }
     }
 
-    /// Its address.
+    /// Returns the store's address.
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Writes a row as someone else would.
+    /// Writes a row.
     pub fn put(&self, table: &str, key: &str, value: impl Into<Vec<u8>>) {
         lock(&self.shared.rows).put(table, key, value.into());
         self.shared.changed.send_replace(());
     }
 
-    /// Removes a row as someone else would.
+    /// Removes a row.
     pub fn remove(&self, table: &str, key: &str) {
         lock(&self.shared.rows).remove(table, key);
         self.shared.changed.send_replace(());
     }
 
-    /// Drops the history, so that watches have to start anew.
-    pub fn forget_history(&self) {
-        lock(&self.shared.rows).forget_history();
+    /// Discards the history, so that clients must read their tables again.
+    pub fn discard_history(&self) {
+        lock(&self.shared.rows).discard_history();
         self.shared.changed.send_replace(());
     }
 
-    /// The keys of a table.
+    /// Returns the keys of a table.
     pub fn keys(&self, table: &str) -> Vec<String> {
         lock(&self.shared.rows).keys(table)
     }
 
-    /// The value of a row.
+    /// Returns the value of a row.
     pub fn value(&self, table: &str, key: &str) -> Option<Vec<u8>> {
         lock(&self.shared.rows).value(table, key)
     }
 
-    /// Fails from now on; calls that wait already fail in the same way.
+    /// Injects a fault into further calls and into those that are waiting.
     pub fn set_fault(&self, fault: StoreFault) {
         *lock(&self.shared.fault) = fault;
         self.shared.changed.send_replace(());
     }
 
-    /// Answers with at most so many rows at a time.
-    pub fn set_page_rows(&self, rows: usize) {
-        *lock(&self.shared.page_rows) = rows;
+    /// Sets the maximum number of rows per response.
+    pub fn set_page_size(&self, rows: usize) {
+        *lock(&self.shared.page_size) = rows;
     }
 
-    /// The paths and queries of all calls so far.
+    /// Returns the paths and queries of all calls so far.
     pub fn calls(&self) -> Vec<String> {
         lock(&self.shared.calls).clone()
     }
@@ -126,64 +126,64 @@
     while let Ok((stream, _)) = listener.accept().await {
         let shared = Arc::clone(&shared);
         tokio::spawn(async move {
-            let service = service_fn(move |request| answer(Arc::clone(&shared), request));
+            let service = service_fn(move |request| handle(Arc::clone(&shared), request));
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-/// An error closes the connection without an answer.
+/// Makes hyper close the connection without a response.
 #[derive(Debug)]
-struct Lost;
+struct ResponseDropped;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for ResponseDropped {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer is lost")
+        f.write_str("response dropped")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for ResponseDropped {}
 
-async fn answer(
+async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<Full<Bytes>>, Lost> {
+) -> Result<Response<Full<Bytes>>, ResponseDropped> {
     let path = request.uri().path().to_owned();
     let query = request.uri().query().unwrap_or_default().to_owned();
     lock(&shared.calls).push(format!("{path}?{query}"));
     let body = match request.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return Err(Lost),
+        Err(_) => return Err(ResponseDropped),
     };
     if path == "/-/rows-feed" && *lock(&shared.fault) == StoreFault::None {
         wait_for_change(&shared, &query).await;
     }
     let fault = *lock(&shared.fault);
     match fault {
-        StoreFault::None => Ok(done(&shared, &path, &query, &body)),
-        StoreFault::Refuse(status) => Ok(reply(status, Bytes::new())),
-        StoreFault::Silent => std::future::pending().await,
-        StoreFault::AnswerLost => {
-            done(&shared, &path, &query, &body);
-            Err(Lost)
+        StoreFault::None => Ok(execute(&shared, &path, &query, &body)),
+        StoreFault::ErrorStatus(status) => Ok(response(status, Bytes::new())),
+        StoreFault::Hang => std::future::pending().await,
+        StoreFault::DropResponse => {
+            execute(&shared, &path, &query, &body);
+            Err(ResponseDropped)
         }
     }
 }
 
-fn done(shared: &Shared, path: &str, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
+fn execute(shared: &Shared, path: &str, query: &str, body: &[u8]) -> Response<Full<Bytes>> {
     let table = field(query, "table");
     match path {
         "/-/rows-get" => {
-            let limit = *lock(&shared.page_rows);
+            let limit = *lock(&shared.page_size);
             let rows = lock(&shared.rows).read(&table, &field(query, "from"), limit);
-            reply(200, Bytes::from(rows.to_string()))
+            response(200, Bytes::from(rows.to_string()))
         }
         "/-/rows-feed" => match lock(&shared.rows).changes(&table, after(query)) {
-            Some(rows) => reply(200, Bytes::from(rows.to_string())),
-            None => reply(410, Bytes::new()),
+            Some(rows) => response(200, Bytes::from(rows.to_string())),
+            None => response(410, Bytes::new()),
         },
         "/-/rows-tx" => transact(shared, body),
-        _ => reply(404, Bytes::new()),
+        _ => response(404, Bytes::new()),
     }
 }
 
@@ -205,7 +205,7 @@
 
 fn transact(shared: &Shared, body: &[u8]) -> Response<Full<Bytes>> {
     let Ok(transaction) = serde_json::from_slice::<Value>(body) else {
-        return reply(400, Bytes::new());
+        return response(400, Bytes::new());
     };
     let mut rows = lock(&shared.rows);
     let entries = |name: &str| transaction[name].as_array().cloned().unwrap_or_default();
@@ -221,7 +221,7 @@
     let version = rows.version();
     drop(rows);
     shared.changed.send_replace(());
-    reply(200, Bytes::from(format!("{{\"ver\":{version},\"nowS\":1.0}}")))
+    response(200, Bytes::from(format!("{{\"ver\":{version},\"nowS\":1.0}}")))
 }
 
 fn after(query: &str) -> u64 {
@@ -234,7 +234,7 @@
     percent_decode_str(value.unwrap_or_default()).decode_utf8_lossy().into_owned()
 }
 
-fn reply(status: u16, body: Bytes) -> Response<Full<Bytes>> {
+fn response(status: u16, body: Bytes) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::IM_A_TEAPOT);
     response
--- a/crates/platform/tests/rows.rs
+++ b/crates/platform/tests/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the store: configurations, backend servers, instances.
+//! Decoding of the rows of the store, and of lookups and load reports.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -8,20 +8,20 @@
 };
 use azuregate_platform::{
     backend,
-    config::{self, OperatorRow},
+    config::{self, OperatorKey},
+    fakes::{ConfigDocument, backend_row, config_row},
     member,
-    request::{LoadReport, Lookup, lookup_answer},
-    stand_in::{ConfigText, backend_row, config_row},
+    request::{LoadReport, Lookup, encode_lookup_response},
 };
 use serde_json::{Value, json};
 
 fn configuration() -> Value {
-    ConfigText::new("shop").json()
+    ConfigDocument::new("shop").json()
 }
 
 #[test]
-fn a_configuration_is_read() {
-    let config = config::decode(&config_row(&ConfigText::new("shop"))).unwrap();
+fn configuration_is_decoded() {
+    let config = config::decode(&config_row(&ConfigDocument::new("shop"))).unwrap();
     assert_eq!(config.version(), 1);
     assert_eq!(config.limits().idle_timeout_ms, 15_000);
     let kind = |path| config.route("shop.example", path).map(|route| route.kind);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_split_is_read_with_its_weights() {
+fn traffic_split_is_decoded_with_weights() {
     let mut document = configuration();
     let more = json!({ "name": "new", "maxConns": 1 });
     document["clusters"].as_array_mut().unwrap().push(more);
@@ -47,18 +47,22 @@
 }
 
 #[test]
-fn configurations_that_do_not_hold_together_are_refused() {
+fn invalid_configurations_are_rejected() {
     type Change = fn(&mut Value);
     let cases: [(&str, Change); 9] = [
         ("no version", |d| d["configVersion"] = Value::Null),
         ("a version that is not hexadecimal", |d| d["configVersion"] = json!("new")),
         ("an unknown service", |d| d["clusters"] = json!([])),
-        ("a bare prefix", |d| d["listeners"][0]["rules"][0]["match"]["prefix"] = json!("/read")),
+        ("a prefix without a trailing slash", |d| {
+            d["listeners"][0]["rules"][0]["match"]["prefix"] = json!("/read")
+        }),
         ("no attempts", |d| d["listeners"][0]["rules"][0]["action"]["attempts"] = json!(0)),
         ("an unknown kind", |d| d["listeners"][0]["rules"][0]["type"] = json!("maybe")),
         ("no service", |d| d["listeners"][0]["rules"][0]["action"]["backend"] = Value::Null),
-        ("a negative time", |d| d["listeners"][0]["rules"][0]["action"]["timeoutS"] = json!(-1)),
-        ("a limit of another type", |d| d["limits"]["maxBodyBytes"] = json!("big")),
+        ("a negative duration", |d| {
+            d["listeners"][0]["rules"][0]["action"]["timeoutS"] = json!(-1)
+        }),
+        ("a limit of the wrong type", |d| d["limits"]["maxBodyBytes"] = json!("big")),
     ];
     for (name, change) in cases {
         let mut document = configuration();
@@ -68,21 +72,21 @@
     let mut document = configuration();
     let again = document["listeners"][0]["rules"][0].clone();
     document["listeners"][0]["rules"].as_array_mut().unwrap().push(again);
-    assert!(config::decode(document.to_string().as_bytes()).is_err(), "the same place twice");
+    assert!(config::decode(document.to_string().as_bytes()).is_err(), "two rules with one prefix");
     let text = configuration().to_string();
-    assert!(config::decode(&text.as_bytes()[..text.len() / 2]).is_err(), "cut short");
+    assert!(config::decode(&text.as_bytes()[..text.len() / 2]).is_err(), "truncated");
 }
 
 #[test]
-fn rows_of_the_operator_are_told_apart() {
-    assert_eq!(config::operator_row("config"), OperatorRow::Config);
+fn operator_keys_are_parsed() {
+    assert_eq!(config::parse_operator_key("config"), OperatorKey::Config);
     let zone = ZoneName::new("sofia-a");
-    assert_eq!(config::operator_row("evacuate/sofia-a"), OperatorRow::Evacuate(zone));
-    assert_eq!(config::operator_row("other"), OperatorRow::Other);
+    assert_eq!(config::parse_operator_key("evacuate/sofia-a"), OperatorKey::Evacuate(zone));
+    assert_eq!(config::parse_operator_key("other"), OperatorKey::Unknown);
 }
 
 #[test]
-fn a_backend_servers_row_is_read() {
+fn backend_row_is_decoded() {
     let addr = "10.0.0.1:80".parse().unwrap();
     let backend =
         backend::decode("i-1", &backend_row("shop", addr, "sofia-a", "draining")).unwrap();
@@ -91,9 +95,9 @@
 }
 
 #[test]
-fn rows_by_another_writer_name_no_server() {
+fn invalid_backend_rows_are_rejected() {
     let addr = "10.0.0.1:80".parse().unwrap();
-    let whole: Value = serde_json::from_slice(&backend_row("shop", addr, "a", "ready")).unwrap();
+    let valid: Value = serde_json::from_slice(&backend_row("shop", addr, "a", "ready")).unwrap();
     let changes = [
         ("state", json!("asleep")),
         ("state", Value::Null),
@@ -105,7 +109,7 @@
         ("warmupLeftS", json!("long")),
     ];
     for (field, value) in changes {
-        let mut row = whole.clone();
+        let mut row = valid.clone();
         row[field] = value;
         assert!(backend::decode("i-1", row.to_string().as_bytes()).is_err(), "{row}");
     }
@@ -114,7 +118,7 @@
 }
 
 #[test]
-fn a_member_is_read_as_it_was_written() {
+fn member_row_round_trips() {
     let member = Member {
         instance: InstanceId::new("entry-1"),
         start: StartNumber(7),
@@ -127,17 +131,17 @@
 }
 
 #[test]
-fn lookups_are_read_and_answered() {
+fn lookups_are_parsed_and_responses_encoded() {
     let lookup = Lookup::parse("name=shop.example&region=east%20mids&zone=em-1&more=1&odd");
     let expected = Lookup { region: "east mids".to_owned(), zone: "em-1".to_owned() };
     assert_eq!(lookup, expected);
     assert_eq!(Lookup::parse(""), Lookup::default());
-    let answer = lookup_answer(&["10.0.0.1:80".parse().unwrap()], 1_500);
-    assert_eq!(String::from_utf8(answer).unwrap(), r#"{"addresses":["10.0.0.1:80"],"ttlS":1.5}"#);
+    let response = encode_lookup_response(&["10.0.0.1:80".parse().unwrap()], 1_500);
+    assert_eq!(String::from_utf8(response).unwrap(), r#"{"addresses":["10.0.0.1:80"],"ttlS":1.5}"#);
 }
 
 #[test]
-fn load_reports_are_three_numbers() {
+fn load_reports_consist_of_three_numbers() {
     let expected = LoadReport { running: 3, waiting: 0, slots: 8 };
     assert_eq!(LoadReport::parse("3, 0,8"), Some(expected));
     for text in ["", "3", "3,0", "3,0,8,1", "3,-1,8", "a,b,c"] {
