--- a/crates/azuregate-core/benches/routing.rs
+++ b/crates/azuregate-core/benches/routing.rs
@@ -1,12 +1,12 @@
-//! What a routing choice costs, at today's size and at a thousand servers.
+//! Benchmarks of request placement with 24 and with 1,000 backend servers.
 
 use std::{hint::black_box, sync::Arc};
 
 use azuregate_core::{
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::{
-        Ending, SlotTable,
-        dispatch::{Ask, Config, Dispatch, Grouping, Step},
+        Completion, SlotTable,
+        dispatch::{Config, Decision, Dispatch, DispatchRequest, Grouping},
         group::GroupLoad,
     },
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -60,7 +60,7 @@
     }
 }
 
-/// Nine instances and as many servers as asked for, evenly over six zones.
+/// Returns nine instances and `servers` servers, evenly distributed over six zones.
 fn snapshot(servers: usize) -> Snapshot {
     let zones = zones();
     let mut snapshot = Snapshot::empty(Arc::new(topology()));
@@ -71,32 +71,39 @@
     snapshot
 }
 
-/// The dispatch of the only instance of `plovdiv-a`'s neighbour, `plovdiv-b`.
+/// Returns the dispatch of the instance in `plovdiv-b`.
 fn dispatch(snapshot: &Snapshot) -> Dispatch {
     let mut dispatch = Dispatch::new(Config {
         service: ServiceName::new(SERVICE),
-        me: InstanceId::new("entry-3"),
+        instance: InstanceId::new("entry-3"),
         zone: ZoneName::new("plovdiv-b"),
         start: StartNumber(1),
-        grouping: Grouping::Zones,
+        grouping: Grouping::PerZone,
         make_router: Box::new(|| Box::new(SlotTable::default())),
     });
     dispatch.set_snapshot(snapshot);
     dispatch
 }
 
-/// The plan of a request: the own zone first, then the others.
+/// Returns all zones, starting with that of the instance.
 fn plan() -> Vec<ZoneName> {
     let mut plan = zones();
     plan.rotate_left(3);
     plan
 }
 
-fn ask(plan: &[ZoneName]) -> Ask<'_> {
-    Ask { ticket: 1, plan, wait_ms: 200, left_ms: 10_000, up_bytes: 0, idempotent: true }
+fn request(plan: &[ZoneName]) -> DispatchRequest<'_> {
+    DispatchRequest {
+        ticket: 1,
+        zones: plan,
+        max_wait_ms: 200,
+        remaining_ms: 10_000,
+        body_bytes: 0,
+        idempotent: true,
+    }
 }
 
-/// A choice and its end, with a free slot in the own zone.
+/// Measures placement in a free slot of the local zone, and its release.
 fn serve_here(c: &mut Criterion) {
     let mut group = c.benchmark_group("route_serve_here");
     for servers in [24, 1_000] {
@@ -104,17 +111,19 @@
         let (plan, mut rng) = (plan(), fastrand::Rng::with_seed(1));
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
-                let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
-                let Step::Serve(slot) = step else { panic!("not served here: {step:?}") };
-                dispatch.finish(&slot, Ending::Answered { latency_ms: 20 }, NOW_MS);
+                let decision = dispatch.place(black_box(&request(&plan)), NOW_MS, &mut rng);
+                let Decision::Serve(slot) = decision else {
+                    panic!("not served here: {decision:?}")
+                };
+                dispatch.release(&slot, Completion::Responded { latency_ms: 20 }, NOW_MS);
             });
         });
     }
     group.finish();
 }
 
-/// A choice and its end, with the own zone full and the last one free: all
-/// groups are looked at.
+/// Measures a hand-over when only the last zone has free slots, so that all groups
+/// are considered.
 fn hand_over_last(c: &mut Criterion) {
     let mut group = c.benchmark_group("route_hand_over_last");
     for servers in [24, 1_000] {
@@ -124,33 +133,42 @@
         fill(&mut dispatch, &plan, &mut rng);
         group.bench_function(BenchmarkId::from_parameter(servers), |b| {
             b.iter(|| {
-                let step = dispatch.place(black_box(&ask(&plan)), NOW_MS, &mut rng);
-                let Step::HandOver(hand_over) = step else { panic!("not handed over: {step:?}") };
-                dispatch.finish_hand_over(&hand_over, Ending::Answered { latency_ms: 20 }, NOW_MS);
+                let decision = dispatch.place(black_box(&request(&plan)), NOW_MS, &mut rng);
+                let Decision::HandOver(hand_over) = decision else {
+                    panic!("not handed over: {decision:?}")
+                };
+                dispatch.finish_hand_over(
+                    &hand_over,
+                    Completion::Responded { latency_ms: 20 },
+                    NOW_MS,
+                );
             });
         });
     }
     group.finish();
 }
 
-/// Fills the slots and the queue of the own zone, and lets every dispatcher but
-/// the last of the plan say that its own are full.
+/// Fills the slots and the queue of the local zone, and lets every dispatcher but
+/// that of the last zone report a full group.
 fn fill(dispatch: &mut Dispatch, plan: &[ZoneName], rng: &mut fastrand::Rng) {
-    let own = [plan[0].clone()];
-    let patient = Ask { wait_ms: 60_000, left_ms: 60_000, ..ask(&own) };
-    while !matches!(dispatch.place(&patient, NOW_MS, rng), Step::Refuse(_)) {}
+    let local = [plan[0].clone()];
+    let queueable =
+        DispatchRequest { max_wait_ms: 60_000, remaining_ms: 60_000, ..request(&local) };
+    while !matches!(dispatch.place(&queueable, NOW_MS, rng), Decision::Refuse(_)) {}
     for zone in &plan[1..] {
         let one = [zone.clone()];
         let last = zone == &plan[plan.len() - 1];
         for _ in 0..64 {
-            let Step::HandOver(hand_over) = dispatch.place(&ask(&one), NOW_MS, rng) else { break };
+            let Decision::HandOver(hand_over) = dispatch.place(&request(&one), NOW_MS, rng) else {
+                break;
+            };
             let from = dispatch.dispatcher_id(&hand_over).clone();
             let group = dispatch.group_id(hand_over.group).clone();
             let (free, queued) = if last { (1_000, 0) } else { (0, 1_000) };
             let load =
                 GroupLoad { free, queued, slots: 12, service_ms: 20, ..GroupLoad::default() };
-            dispatch.hear(&from, &group, load, false, NOW_MS);
-            dispatch.finish_hand_over(&hand_over, Ending::Answered { latency_ms: 20 }, NOW_MS);
+            dispatch.receive_load(&from, &group, load, false, NOW_MS);
+            dispatch.finish_hand_over(&hand_over, Completion::Responded { latency_ms: 20 }, NOW_MS);
             if last {
                 break;
             }
--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -69,7 +69,7 @@
         let others = instances.iter().filter(|other| other.id != instance.id);
         return others.map(|other| &other.id).collect();
     }
-    let score = |name: &str| hash::score(&[instance.id.as_str(), name]);
+    let score = |name: &str| hash::stable_hash(&[instance.id.as_str(), name]);
     let mut other_zones: Vec<_> = zones.keys().filter(|zone| ***zone != instance.zone).collect();
     other_zones.sort_by_cached_key(|zone| score(zone.as_str()));
     other_zones.truncate(OTHER_ZONE_LINKS);
@@ -93,7 +93,7 @@
     count: usize,
 ) -> Vec<&'a InstanceId> {
     let mut scored: Vec<_> = instances.collect();
-    scored.sort_by_cached_key(|id| hash::score(&[name, id.as_str()]));
+    scored.sort_by_cached_key(|id| hash::stable_hash(&[name, id.as_str()]));
     scored.truncate(count);
     scored
 }
--- a/crates/azuregate-core/tests/routing/world.rs
+++ b/crates/azuregate-core/tests/routing/fixture.rs
@@ -1,4 +1,4 @@
-//! A small deployment as plain values.
+//! A small deployment for the routing tests.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::{
         SlotTable,
-        dispatch::{Ask, Config, Dispatch, Grouping, HandOver, Slot, Step},
+        dispatch::{Config, Decision, Dispatch, DispatchRequest, Grouping, HandOver, Slot},
         hash,
     },
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -16,16 +16,16 @@
 
 pub(crate) const SERVICE: &str = "starter-desk";
 
-/// A generator whose seed follows from the test's name.
+/// Returns a generator seeded with the name of the test.
 pub(crate) fn rng(test: &str) -> fastrand::Rng {
-    fastrand::Rng::with_seed(hash::score(&[test]))
+    fastrand::Rng::with_seed(hash::stable_hash(&[test]))
 }
 
 pub(crate) fn zone(name: &str) -> ZoneName {
     ZoneName::new(name)
 }
 
-/// Two regions with two availability zones each.
+/// Returns a topology of two regions with two availability zones each.
 pub(crate) fn topology(link_mbit_per_s: u64) -> Topology {
     let region = |name: &str| Region {
         name: RegionName::new(name),
@@ -69,7 +69,7 @@
     snapshot
 }
 
-/// The dispatch of one instance, its clock and its randomness.
+/// The dispatch of one instance, with its own clock and random generator.
 pub(crate) struct Node {
     pub(crate) dispatch: Dispatch,
     pub(crate) now_ms: Millis,
@@ -81,56 +81,56 @@
     pub(crate) fn new(test: &str, me: &str, zone_name: &str, snapshot: &Snapshot) -> Node {
         let mut dispatch = Dispatch::new(Config {
             service: ServiceName::new(SERVICE),
-            me: InstanceId::new(me),
+            instance: InstanceId::new(me),
             zone: zone(zone_name),
             start: StartNumber(1),
-            grouping: Grouping::Zones,
+            grouping: Grouping::PerZone,
             make_router: Box::new(|| Box::new(SlotTable::default())),
         });
         dispatch.set_snapshot(snapshot);
         Node { dispatch, now_ms: Millis(1_000), rng: rng(test), ticket: 0 }
     }
 
-    pub(crate) fn ask<'a>(&mut self, plan: &'a [ZoneName]) -> Ask<'a> {
+    pub(crate) fn request<'a>(&mut self, zones: &'a [ZoneName]) -> DispatchRequest<'a> {
         self.ticket += 1;
-        Ask {
+        DispatchRequest {
             ticket: self.ticket,
-            plan,
-            wait_ms: 200,
-            left_ms: 10_000,
-            up_bytes: 0,
+            zones,
+            max_wait_ms: 200,
+            remaining_ms: 10_000,
+            body_bytes: 0,
             idempotent: true,
         }
     }
 
-    pub(crate) fn place(&mut self, zones: &[&str]) -> Step {
+    pub(crate) fn place(&mut self, zones: &[&str]) -> Decision {
         let plan: Vec<_> = zones.iter().map(|name| zone(name)).collect();
-        let ask = self.ask(&plan);
-        self.dispatch.place(&ask, self.now_ms, &mut self.rng)
+        let request = self.request(&plan);
+        self.dispatch.place(&request, self.now_ms, &mut self.rng)
     }
 
     pub(crate) fn serve(&mut self, zones: &[&str]) -> Slot {
         match self.place(zones) {
-            Step::Serve(slot) => slot,
-            step => panic!("not served here: {step:?}"),
+            Decision::Serve(slot) => slot,
+            decision => panic!("not served here: {decision:?}"),
         }
     }
 
     pub(crate) fn hand_over(&mut self, zones: &[&str]) -> HandOver {
         match self.place(zones) {
-            Step::HandOver(hand_over) => hand_over,
-            step => panic!("not handed over: {step:?}"),
+            Decision::HandOver(hand_over) => hand_over,
+            decision => panic!("not handed over: {decision:?}"),
         }
     }
 
-    /// Takes slots until none is free.
+    /// Acquires slots until none is free.
     pub(crate) fn fill(&mut self, zones: &[&str]) -> Vec<Slot> {
         let mut slots = Vec::new();
-        while let Step::Serve(slot) = self.place(zones) {
+        while let Decision::Serve(slot) = self.place(zones) {
             slots.push(slot);
         }
-        // The last one found none; it does not wait.
-        self.dispatch.give_up(self.ticket);
+        // The last request was queued; remove it.
+        self.dispatch.cancel_waiting(self.ticket);
         slots
     }
 }
--- a/crates/azuregate-core/tests/routing/slots.rs
+++ b/crates/azuregate-core/tests/routing/slots.rs
@@ -1,52 +1,52 @@
-//! Slots are counted exactly, in whatever order things happen.
+//! A property test of slots and queue against a simple model.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use azuregate_core::{
     names::BackendId,
     route::{
-        Ending,
-        dispatch::{Slot, Step},
+        Completion,
+        dispatch::{Decision, Slot},
     },
     snapshot::{BackendServer, Liveness},
     time::Millis,
 };
 use proptest::prelude::*;
 
-use crate::world::{Node, instance, server, snapshot};
+use crate::fixture::{Node, instance, server, snapshot};
 
 const ZONE: &str = "sofia-a";
 
 #[derive(Clone, Debug)]
 enum Op {
     Acquire,
-    Finish(usize, Ending),
-    GiveUp(usize),
-    Pass(u64),
-    /// Which of the four servers are live, and which are listed at all.
+    Finish(usize, Completion),
+    Cancel(usize),
+    Advance(u64),
+    /// Which of the four servers are live, and which are listed.
     List([bool; 4], [bool; 4]),
-    /// A server starts again.
+    /// A server restarts.
     Restart(usize),
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let ending = prop_oneof![
-        4 => (1..60_u64).prop_map(|latency_ms| Ending::Answered { latency_ms }),
-        2 => Just(Ending::Refused),
-        1 => Just(Ending::Failed),
-        1 => Just(Ending::Abandoned),
+    let completion = prop_oneof![
+        4 => (1..60_u64).prop_map(|latency_ms| Completion::Responded { latency_ms }),
+        2 => Just(Completion::Refused),
+        1 => Just(Completion::Failed),
+        1 => Just(Completion::Cancelled),
     ];
     prop_oneof![
         6 => Just(Op::Acquire),
-        4 => (any::<usize>(), ending).prop_map(|(nth, ending)| Op::Finish(nth, ending)),
-        1 => any::<usize>().prop_map(Op::GiveUp),
-        2 => (0..300_u64).prop_map(Op::Pass),
+        4 => (any::<usize>(), completion).prop_map(|(nth, completion)| Op::Finish(nth, completion)),
+        1 => any::<usize>().prop_map(Op::Cancel),
+        2 => (0..300_u64).prop_map(Op::Advance),
         1 => (any::<[bool; 4]>(), any::<[bool; 4]>()).prop_map(|(live, listed)| Op::List(live, listed)),
         1 => (0..4_usize).prop_map(Op::Restart),
     ]
 }
 
-/// The instance under test and what a simple count says must hold of it.
+/// The instance under test and the expected state.
 struct Model {
     node: Node,
     starts: [u64; 4],
@@ -77,11 +77,11 @@
     fn apply(&mut self, op: Op) {
         match op {
             Op::Acquire => self.acquire(),
-            Op::Finish(nth, ending) => self.finish(nth, ending),
-            Op::GiveUp(nth) => self.give_up(nth),
-            Op::Pass(ms) => {
-                // A server may be rested now; whoever asks next must not overtake
-                // those that wait for it.
+            Op::Finish(nth, completion) => self.finish(nth, completion),
+            Op::Cancel(nth) => self.cancel(nth),
+            Op::Advance(ms) => {
+                // A closed server may be due to reopen. Queued requests are not
+                // served here, to check that a new one does not overtake them.
                 self.node.now_ms = self.node.now_ms + Millis(ms);
                 return;
             }
@@ -100,43 +100,43 @@
     fn acquire(&mut self) {
         self.tickets += 1;
         match self.node.place(&[ZONE]) {
-            Step::Serve(slot) => {
-                assert!(self.waiting.is_empty(), "nobody overtakes the queue");
+            Decision::Serve(slot) => {
+                assert!(self.waiting.is_empty(), "a request overtook the queue");
                 self.take(slot);
             }
-            Step::Wait { .. } => self.waiting.push_back(self.tickets),
-            Step::Refuse(_) => {}
-            Step::HandOver(_) => panic!("there is nobody to hand over to"),
+            Decision::Wait { .. } => self.waiting.push_back(self.tickets),
+            Decision::Refuse(_) => {}
+            Decision::HandOver(_) => panic!("handed over without a peer"),
         }
     }
 
     fn take(&mut self, slot: Slot) {
         let server = self.node.dispatch.server(&slot).expect("a listed server").clone();
         let nth = nth_of(&server);
-        assert!(self.live[nth] && self.listed[nth], "{} gets nothing new", server.id);
+        assert!(self.live[nth] && self.listed[nth], "{} is not available", server.id);
         let in_use = self.in_use.entry(server.id.clone()).or_default();
         *in_use += 1;
         assert!(*in_use <= server.slots, "{in_use} requests at {}", server.id);
         self.slots.push(slot);
     }
 
-    fn finish(&mut self, nth: usize, ending: Ending) {
+    fn finish(&mut self, nth: usize, completion: Completion) {
         if self.slots.is_empty() {
             return;
         }
         let slot = self.slots.swap_remove(nth % self.slots.len());
         let id = self.node.dispatch.server_id(&slot).clone();
         *self.in_use.get_mut(&id).unwrap() -= 1;
-        self.node.dispatch.finish(&slot, ending, self.node.now_ms);
+        self.node.dispatch.release(&slot, completion, self.node.now_ms);
     }
 
-    fn give_up(&mut self, nth: usize) {
+    fn cancel(&mut self, nth: usize) {
         if self.waiting.is_empty() {
             return;
         }
         let ticket = self.waiting.remove(nth % self.waiting.len()).unwrap();
-        assert!(self.node.dispatch.give_up(ticket).is_some(), "its final answer comes at once");
-        assert!(self.node.dispatch.give_up(ticket).is_none(), "and only once");
+        assert!(self.node.dispatch.cancel_waiting(ticket).is_some(), "queued request not found");
+        assert!(self.node.dispatch.cancel_waiting(ticket).is_none(), "request cancelled twice");
     }
 
     fn set_list(&mut self) {
@@ -153,28 +153,28 @@
             served.push(next);
         }
         for (waiting, slot) in served {
-            assert_eq!(self.waiting.pop_front(), Some(waiting.ticket), "first come, first served");
+            assert_eq!(self.waiting.pop_front(), Some(waiting.ticket), "the queue is FIFO");
             self.take(slot);
         }
     }
 
-    /// All slots can be taken again once everything is over.
+    /// Checks that all slots can be acquired again once all requests have ended.
     fn check_no_leak(&mut self) {
         (self.live, self.listed) = ([true; 4], [true; 4]);
         self.set_list();
         while !self.slots.is_empty() || !self.waiting.is_empty() {
-            self.finish(0, Ending::Answered { latency_ms: 20 });
+            self.finish(0, Completion::Responded { latency_ms: 20 });
             self.node.now_ms = self.node.now_ms + Millis(2_000);
             self.serve_waiting();
         }
         for _ in 0..10 {
             for slot in self.node.fill(&[ZONE]) {
-                let ending = Ending::Answered { latency_ms: 20 };
-                self.node.dispatch.finish(&slot, ending, self.node.now_ms);
+                let completion = Completion::Responded { latency_ms: 20 };
+                self.node.dispatch.release(&slot, completion, self.node.now_ms);
             }
             self.node.now_ms = self.node.now_ms + Millis(2_000);
         }
-        assert_eq!(self.node.fill(&[ZONE]).len(), 12, "no slot has leaked");
+        assert_eq!(self.node.fill(&[ZONE]).len(), 12, "a slot leaked");
     }
 }
 
@@ -201,7 +201,7 @@
     #![proptest_config(ProptestConfig { cases: 256, ..ProptestConfig::default() })]
 
     #[test]
-    fn slots_and_queue_keep_their_order(ops in prop::collection::vec(op(), 1..200)) {
+    fn slots_and_queue_match_the_model(ops in prop::collection::vec(op(), 1..200)) {
         let mut model = Model::new();
         for op in ops {
             model.apply(op);
