--- a/crates/azuregate-core/tests/entries.rs
+++ b/crates/azuregate-core/tests/entries.rs
@@ -1,4 +1,4 @@
-//! Which entry instances callers are told to use.
+//! Selection of the entry instances for a caller.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -9,7 +9,7 @@
 };
 
 use azuregate_core::{
-    entries::{ENTRIES_LIMIT, VARIANTS, entries, rank, variant},
+    entries::{MAX_ENTRIES, RANKING_VARIANTS, entries, rank, ranking_variant},
     names::{BackendId, InstanceId, RegionName, ServiceName, StartNumber, ZoneName},
     route::group::{GroupId, sort_by_preference},
     snapshot::{BackendServer, Instance, InstanceList, Liveness, Snapshot},
@@ -26,8 +26,8 @@
     ServiceName::new(SERVICE)
 }
 
-/// `instances` entry instances over `zones` availability zones, two of these to
-/// a region, with two backend servers in each zone.
+/// A snapshot of `instances` entry instances over `zones` availability zones, with two
+/// zones per region and two backend servers per zone.
 fn snapshot(instances: usize, zones: usize, liveness: impl Fn(usize) -> Liveness) -> Snapshot {
     let region = |index| Region {
         name: RegionName::new(&format!("region-{index}")),
@@ -69,34 +69,34 @@
 }
 
 #[test]
-fn an_answer_is_as_short_at_680_instances_as_at_9() {
+fn entry_count_is_bounded() {
     for (instances, zones, named) in [(3, 3, 3), (9, 6, 8), (85, 19, 8), (680, 19, 8)] {
         let snapshot = snapshot(instances, zones, live);
         let answer = entries(&snapshot, &service(), &zone(0), "192.0.2.1");
         assert_eq!(answer.entries.len(), named, "of {instances}");
-        assert!(named <= ENTRIES_LIMIT);
+        assert!(named <= MAX_ENTRIES);
     }
 }
 
-// With the dispatcher further down, each request of a caller that follows the
-// answer would be handed over once.
+// Guards against needless hand-overs: with the dispatcher further down, each request of
+// a caller that follows the ranking would be handed over once.
 #[test]
-fn the_dispatcher_of_the_callers_zone_comes_first() {
+fn dispatcher_of_callers_zone_ranks_first() {
     let snapshot = snapshot(85, 19, live);
     for at in 0..19 {
         let mut all: Vec<_> = snapshot.instances.iter().collect();
         let group = GroupId { zone: zone(at), part: 0 };
         sort_by_preference(&mut all, &snapshot.topology, SERVICE, &group);
-        for variant in 0..VARIANTS {
+        for variant in 0..RANKING_VARIANTS {
             assert_eq!(rank(&snapshot, &service(), &zone(at), variant)[0].id, all[0].id);
         }
     }
 }
 
 #[test]
-fn nearer_instances_come_before_farther_ones() {
+fn nearer_instances_rank_first() {
     let snapshot = snapshot(9, 6, live);
-    for variant in 0..VARIANTS {
+    for variant in 0..RANKING_VARIANTS {
         let ranked = rank(&snapshot, &service(), &zone(0), variant);
         let distances: Vec<_> =
             ranked.iter().map(|i| snapshot.topology.distance(&zone(0), &i.zone)).collect();
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn leaving_instances_are_not_named() {
+fn leaving_instances_are_excluded() {
     let leaving = |index| if index % 2 == 0 { Liveness::Leaving } else { Liveness::Live };
     let snapshot = snapshot(9, 3, leaving);
     let answer = entries(&snapshot, &service(), &zone(0), "192.0.2.1");
@@ -116,14 +116,15 @@
     );
 }
 
-// All callers of a zone fail over when its dispatcher dies. If all had the same
-// second choice, that one would get all of their load at once.
+// Guards against a failover of all callers of a zone to the same instance when their
+// dispatcher fails.
 #[test]
-fn second_choices_are_spread_over_the_zone() {
+fn second_choices_spread_over_the_zone() {
     let snapshot = snapshot(680, 19, live);
     let mut chosen: BTreeMap<_, usize> = BTreeMap::new();
     for caller in 0..1_000 {
-        let ranked = rank(&snapshot, &service(), &zone(3), variant(&format!("192.0.2.{caller}")));
+        let ranked =
+            rank(&snapshot, &service(), &zone(3), ranking_variant(&format!("192.0.2.{caller}")));
         assert_eq!(ranked[1].zone, zone(3));
         *chosen.entry(ranked[1].id.clone()).or_default() += 1;
     }
--- a/crates/azuregate-core/tests/routing/limits.rs
+++ b/crates/azuregate-core/tests/routing/limits.rs
@@ -86,7 +86,7 @@
     let mut retries = 0;
     for _ in 0..10_000 {
         budget.deposit();
-        retries += u32::from(budget.try_take());
+        retries += u32::from(budget.try_withdraw());
     }
     assert!((1_000..=1_020).contains(&retries), "{retries}");
 }
