--- a/crates/azuregate-core/src/policy/change.rs
+++ b/crates/azuregate-core/src/policy/change.rs
@@ -1,8 +1,8 @@
-//! The changes that operators may make to a policy.
+//! Changes that operators may make to a policy.
 //!
-//! Each gives the next version of the row and leaves the old one alone. Two
-//! operators who start from the same version are told apart by the platform's
-//! compare-and-set: one wins, the other gets a conflict.
+//! Each change returns the next version of the row and leaves the current one
+//! unchanged. The platform's compare-and-set orders concurrent changes: one
+//! operator succeeds, the other gets a conflict.
 
 use std::fmt;
 
@@ -12,30 +12,30 @@
     time::Millis,
 };
 
-/// Why a change is not allowed.
+/// The reasons for which a change is rejected.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum ChangeErrorKind {
     /// A share is more than the whole, or the shares do not add up to it.
-    BadShares,
-    /// The cap is zero, more than the whole, or has no window.
-    BadCap,
+    InvalidShares,
+    /// The share of the cap is zero or more than the whole, or its window is zero.
+    InvalidCap,
     /// A timeout is zero.
-    BadTimeout,
-    /// The shares are the ones in force.
-    SameShares,
-    /// Shares change by a shift only, or they would jump.
-    SharesJump,
-    /// A shift is in progress; it has to be stopped or to end first.
-    ShiftRunning,
+    InvalidTimeout,
+    /// The shares are those in force.
+    SharesUnchanged,
+    /// Shares may change by a shift only, since they would jump otherwise.
+    SharesChangedWithoutShift,
+    /// A shift is in progress; it must end or be stopped first.
+    ShiftInProgress,
     /// No shift is in progress.
-    NoShift,
-    /// The backend server is drained already.
-    Drained,
+    NoShiftInProgress,
+    /// The backend server is already drained.
+    AlreadyDrained,
     /// The backend server is not drained.
     NotDrained,
 }
 
-/// A change that is not allowed.
+/// A rejected change.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ChangeError {
     kind: ChangeErrorKind,
@@ -47,7 +47,7 @@
         ChangeError { kind, detail: detail.into() }
     }
 
-    /// Why the change is not allowed.
+    /// Returns why the change is rejected.
     pub fn kind(&self) -> ChangeErrorKind {
         self.kind
     }
@@ -62,13 +62,14 @@
 impl std::error::Error for ChangeError {}
 
 impl Policy {
-    /// Starts a shift to `to_share_ppm`, at `now_ms` since the Unix epoch plus
-    /// the policy's delay. Without `cap` the policy's own cap bounds it.
+    /// Starts a shift to `to_share_ppm` once the policy's delay has passed since
+    /// `now_ms`, which counts from the Unix epoch. `cap` overrides the policy's own
+    /// cap.
     ///
     /// # Errors
     ///
-    /// When the shares or the cap are out of bounds, the shares are the ones in
-    /// force, or a shift is in progress.
+    /// When the shares or the cap are invalid, the shares are those in force, or a
+    /// shift is in progress.
     pub fn start_shift(
         &self,
         to_share_ppm: &Shares,
@@ -78,14 +79,14 @@
         let cap = cap.unwrap_or(self.cap);
         check_shares("to_share_ppm", to_share_ppm)?;
         check_cap("cap", cap)?;
-        let mut next = self.settled(now_ms).next_version();
+        let mut next = self.with_ended_shift_applied(now_ms).next_version();
         if let Some(shift) = &next.shift {
             let detail = format!("a shift is in progress until {} ms", shift.end_at_ms().0);
-            return Err(ChangeError::new(ChangeErrorKind::ShiftRunning, detail));
+            return Err(ChangeError::new(ChangeErrorKind::ShiftInProgress, detail));
         }
         if next.zone_share_ppm == *to_share_ppm {
             let detail = "the shares are the ones in force";
-            return Err(ChangeError::new(ChangeErrorKind::SameShares, detail));
+            return Err(ChangeError::new(ChangeErrorKind::SharesUnchanged, detail));
         }
         next.shift = Some(Shift {
             from_share_ppm: next.zone_share_ppm.clone(),
@@ -96,20 +97,22 @@
         Ok(next)
     }
 
-    /// Stops the shift in progress where it stands at `now_ms` since the Unix
-    /// epoch.
+    /// Stops the shift in progress at its position at `now_ms`, which counts from the
+    /// Unix epoch.
     ///
-    /// A shift from or to nearness goes back to where it started, since what it
-    /// has reached differs from instance to instance; the cap bounds the way
-    /// back as well.
+    /// A shift from or to distance-based routing returns to its start, since its
+    /// position differs between instances. The cap limits the way back as well.
     ///
     /// # Errors
     ///
     /// When no shift is in progress.
     pub fn stop_shift(&self, now_ms: Millis) -> Result<Policy, ChangeError> {
-        let mut next = self.settled(now_ms).next_version();
+        let mut next = self.with_ended_shift_applied(now_ms).next_version();
         let Some(shift) = next.shift.take() else {
-            return Err(ChangeError::new(ChangeErrorKind::NoShift, "no shift is in progress"));
+            return Err(ChangeError::new(
+                ChangeErrorKind::NoShiftInProgress,
+                "no shift is in progress",
+            ));
         };
         next.zone_share_ppm = shift.shares_at(now_ms).unwrap_or(shift.from_share_ppm);
         Ok(next)
@@ -119,17 +122,17 @@
     ///
     /// # Errors
     ///
-    /// When it is drained already.
+    /// When it is already drained.
     pub fn drain(&self, backend: &BackendId) -> Result<Policy, ChangeError> {
         let mut next = self.clone().next_version();
         if !next.drains.insert(backend.clone()) {
             let detail = format!("{backend} is drained already");
-            return Err(ChangeError::new(ChangeErrorKind::Drained, detail));
+            return Err(ChangeError::new(ChangeErrorKind::AlreadyDrained, detail));
         }
         Ok(next)
     }
 
-    /// Takes a backend server back into service.
+    /// Puts a backend server back into service.
     ///
     /// # Errors
     ///
@@ -143,22 +146,22 @@
         Ok(next)
     }
 
-    /// Checks whether operators may replace this policy by `wanted` as a whole.
+    /// Checks whether operators may replace this policy as a whole by `wanted`.
     ///
     /// # Errors
     ///
-    /// When `wanted` is out of bounds, or shares or the shift would change.
+    /// When `wanted` is invalid, or would change the shares or the shift.
     pub fn check_replace(&self, wanted: &Policy, now_ms: Millis) -> Result<(), ChangeError> {
         wanted.check()?;
-        let now = self.settled(now_ms);
-        let same_shares = [&self.zone_share_ppm, &now.zone_share_ppm]
+        let now = self.with_ended_shift_applied(now_ms);
+        let keeps_shares = [&self.zone_share_ppm, &now.zone_share_ppm]
             .contains(&&wanted.zone_share_ppm)
             && [&self.shift, &now.shift].contains(&&wanted.shift);
-        if same_shares {
+        if keeps_shares {
             return Ok(());
         }
         let detail = "shares move by a shift only: start or stop one instead";
-        Err(ChangeError::new(ChangeErrorKind::SharesJump, detail))
+        Err(ChangeError::new(ChangeErrorKind::SharesChangedWithoutShift, detail))
     }
 
     /// Checks the bounds of all fields.
@@ -171,7 +174,7 @@
         check_cap("cap", self.cap)?;
         if self.timeout_ms == 0 {
             let detail = "timeout_ms must be at least 1";
-            return Err(ChangeError::new(ChangeErrorKind::BadTimeout, detail));
+            return Err(ChangeError::new(ChangeErrorKind::InvalidTimeout, detail));
         }
         let Some(shift) = &self.shift else {
             return Ok(());
@@ -181,8 +184,9 @@
         check_cap("shift.cap", shift.cap)
     }
 
-    /// The same policy with a shift that has ended turned into plain shares.
-    pub fn settled(&self, now_ms: Millis) -> Policy {
+    /// Returns the policy in which a shift that has ended is replaced by its final
+    /// shares.
+    pub fn with_ended_shift_applied(&self, now_ms: Millis) -> Policy {
         let mut policy = self.clone();
         if let Some(shift) = policy.shift.take_if(|shift| shift.end_at_ms() <= now_ms) {
             policy.zone_share_ppm = shift.to_share_ppm;
@@ -202,7 +206,7 @@
         return Ok(());
     }
     let detail = format!("{field} adds up to {sum}, not {WHOLE_PPM}");
-    Err(ChangeError::new(ChangeErrorKind::BadShares, detail))
+    Err(ChangeError::new(ChangeErrorKind::InvalidShares, detail))
 }
 
 fn check_cap(field: &str, cap: Cap) -> Result<(), ChangeError> {
@@ -213,5 +217,5 @@
     } else {
         return Ok(());
     };
-    Err(ChangeError::new(ChangeErrorKind::BadCap, detail))
+    Err(ChangeError::new(ChangeErrorKind::InvalidCap, detail))
 }
--- a/crates/azuregate/src/serve/apply.rs
+++ b/crates/azuregate/src/serve/apply.rs
@@ -2,7 +2,7 @@
 
 use azuregate_core::{
     names::BackendId,
-    replica::{Changes, Row, Stale, Table},
+    replica::{Changes, Row, StaleRead, Table},
 };
 use azuregate_platform::{
     backend,
@@ -15,7 +15,7 @@
 impl State {
     /// Applies incremental changes of a table.
     pub(super) fn apply_changes(&self, table: Table, changes: Changes) {
-        let rows = self.tables.borrow_mut().get_mut(table).take(changes);
+        let rows = self.tables.borrow_mut().get_mut(table).apply(changes);
         self.apply_rows(table, &rows);
     }
 
@@ -24,7 +24,7 @@
     /// # Errors
     ///
     /// Returns an error if the snapshot is older than the current table.
-    pub(super) fn replace_table(&self, table: Table, snapshot: Changes) -> Result<(), Stale> {
+    pub(super) fn replace_table(&self, table: Table, snapshot: Changes) -> Result<(), StaleRead> {
         let rows =
             self.tables.borrow_mut().get_mut(table).replace(snapshot.rows, snapshot.version)?;
         self.apply_rows(table, &rows);
--- a/crates/azuregate/src/serve/follower.rs
+++ b/crates/azuregate/src/serve/follower.rs
@@ -43,13 +43,13 @@
     match &sources {
         ReplicationSource::Instances(wanted) => reconcile_sources(state, active, wanted),
         // Keep the previous sources until this instance's own watch has taken over.
-        ReplicationSource::Store if state.contact.borrow().has_own_contact(now_ms) => {
+        ReplicationSource::Store if state.contact.borrow().has_fresh_direct_watch(now_ms) => {
             active.clear()
         }
         ReplicationSource::Store => {}
     }
     let is_designated_watcher = sources == ReplicationSource::Store;
-    let has_source = !state.contact.borrow().needs_own_watch(now_ms);
+    let has_source = !state.contact.borrow().needs_direct_watch(now_ms);
     state.is_designated_watcher.set(is_designated_watcher);
     let is_watching = state.is_designated_watcher.get() || !has_source;
     let has_changed = state.is_watching.send_if_modified(|now| {
@@ -84,13 +84,13 @@
         let error = lost.err().unwrap_or_else(|| LinkError::new("closed"));
         inc_by(&state.metrics.changes.sources_lost, 1);
         log::info!(source:% = source.instance, error:% = error; "connection to source lost");
-        state.contact.borrow_mut().forget(&source.instance);
+        state.contact.borrow_mut().remove_source(&source.instance);
         tokio::select! {
             () = time::sleep(Duration::from_millis(RECONNECT_DELAY_MS)) => {}
             _ = &mut stopped => break,
         }
     }
-    state.contact.borrow_mut().forget(&source.instance);
+    state.contact.borrow_mut().remove_source(&source.instance);
 }
 
 async fn follow_until_lost(state: &State, source: &Member) -> Result<(), LinkError> {
@@ -98,7 +98,7 @@
     let mut socket = CborSocket::dial(state.settings.ip, addr, CHANGES_PATH, SOCKET_LIMITS).await?;
     log::info!(source:% = source.instance; "follows");
     loop {
-        let asked_at_ms = state.now_ms();
+        let requested_at_ms = state.now_ms();
         let version = |table| (table, state.tables.borrow().get(table).version());
         socket.send(&ChangesRequest { versions: Table::ALL.map(version).into() }).await?;
         let Some(response) = with_silence_timeout(state, socket.recv::<ChangesResponse>()).await?
@@ -108,7 +108,7 @@
         let Some(changes) = receive_changes(state, &mut socket, &response).await? else {
             return Ok(());
         };
-        apply_changes(state, &source.instance, &response, asked_at_ms, changes);
+        apply_changes(state, &source.instance, &response, requested_at_ms, changes);
     }
 }
 
@@ -137,7 +137,7 @@
     state: &State,
     frame: impl Future<Output = Result<T, LinkError>>,
 ) -> Result<T, LinkError> {
-    let silence_timeout = Duration::from_millis(state.contact.borrow().lost_ms());
+    let silence_timeout = Duration::from_millis(state.contact.borrow().staleness_limit_ms());
     time::timeout(silence_timeout, frame).await.unwrap_or_else(|_| Err(LinkError::new("silent")))
 }
 
@@ -145,12 +145,12 @@
     state: &State,
     source: &InstanceId,
     response: &ChangesResponse,
-    asked_at_ms: u64,
+    requested_at_ms: u64,
     changes: ChangeSet,
 ) {
     let held_ms = response.held_ms;
-    let report = response.age_ms.map(|age_ms| SourceReport { asked_at_ms, held_ms, age_ms });
-    state.contact.borrow_mut().heard(source, report);
+    let report = response.age_ms.map(|age_ms| SourceReport { requested_at_ms, held_ms, age_ms });
+    state.contact.borrow_mut().record_report(source, report);
     // Must precede the changes: contact with the store determines whether a missing row
     // counts as expired or as removed.
     state.update_store_contact();
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -125,7 +125,7 @@
 }
 
 fn known_at_ms(state: &State) -> u64 {
-    state.contact.borrow().known_at_ms().unwrap_or_default()
+    state.contact.borrow().synced_at_ms().unwrap_or_default()
 }
 
 /// Waits until there are changes after `versions`, or until the tables are confirmed
@@ -189,8 +189,9 @@
     }
     state.encoded_cache.borrow_mut().get(ranges.clone(), || {
         let tables = state.tables.borrow();
-        let changes =
-            ranges.into_iter().map(|(table, from, _)| (table, tables.get(table).since(from)));
+        let changes = ranges
+            .into_iter()
+            .map(|(table, from, _)| (table, tables.get(table).changes_since(from)));
         EncodedChanges::new(&changes.collect())
     })
 }
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -10,7 +10,7 @@
 use azuregate_core::{
     balance::{self, Balancer, Config, Members, MissingBackends, RetryBudget, WeightedRoundRobin},
     names::{ServiceName, StartNumber},
-    replica::{Contact, Table},
+    replica::{FreshnessTracker, Table},
 };
 use azuregate_platform::settings::{Bounds, Settings};
 use tokio::sync::{Notify, watch};
@@ -44,7 +44,7 @@
     /// Notified after each change of the tables or of their freshness.
     pub(super) tables_changed: watch::Sender<()>,
     /// The freshness of the tables, from this instance's own watch and from its sources.
-    pub(super) contact: RefCell<Contact>,
+    pub(super) contact: RefCell<FreshnessTracker>,
     /// Whether this instance watches the store itself.
     pub(super) is_watching: watch::Sender<bool>,
     /// Whether it does so on behalf of other instances.
@@ -97,7 +97,7 @@
             tables: RefCell::default(),
             encoded_cache: RefCell::default(),
             tables_changed: watch::Sender::new(()),
-            contact: RefCell::new(Contact::new(settings.bounds.propagation_ms)),
+            contact: RefCell::new(FreshnessTracker::new(settings.bounds.propagation_ms)),
             is_watching: watch::Sender::new(true),
             is_designated_watcher: Cell::new(false),
             followers: Cell::new(0),
@@ -138,7 +138,7 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_cold_rates(bounds.cold_rate_factor, bounds.cold_rate_slack);
         balancer.set_cold_limits(&self.members.borrow());
-        self.contact.borrow_mut().set_change_ms(bounds.propagation_ms);
+        self.contact.borrow_mut().set_propagation_limit_ms(bounds.propagation_ms);
         *self.bounds.borrow_mut() = bounds;
         // Budgets are recreated with the new ratio. They start empty, which allows fewer
         // retries rather than more.
--- a/crates/azuregate/src/serve/table_watch.rs
+++ b/crates/azuregate/src/serve/table_watch.rs
@@ -197,9 +197,9 @@
             Table::Members => MEMBERS_POLL_TIMEOUT_MS,
             Table::Operator => self.state.bounds().instance_expiry_ms,
             Table::Backends if self.state.is_designated_watcher.get() => {
-                self.state.contact.borrow().wait_ms()
+                self.state.contact.borrow().poll_wait_ms()
             }
-            Table::Backends => self.state.contact.borrow().wait_without_source_ms(),
+            Table::Backends => self.state.contact.borrow().fallback_poll_wait_ms(),
         }
     }
 
@@ -209,7 +209,7 @@
         }
         self.is_store_unreachable = true;
         if self.table == Table::Backends {
-            self.state.contact.borrow_mut().failed(self.state.now_ms());
+            self.state.contact.borrow_mut().record_failure(self.state.now_ms());
             self.state.update_store_contact();
         }
     }
@@ -222,7 +222,7 @@
         }
         if self.table == Table::Backends {
             let answered_at_ms = self.state.now_ms().saturating_sub(self.store.response_age_ms());
-            self.state.contact.borrow_mut().answered(answered_at_ms);
+            self.state.contact.borrow_mut().record_answer(answered_at_ms);
             self.state.update_store_contact();
         }
     }
