--- a/crates/azuregate/src/serve/metrics.rs
+++ b/crates/azuregate/src/serve/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms, served as text.
+//! Counters and latency histograms in the Prometheus text format.
 
 use std::{
     cell::{Cell, RefCell},
@@ -8,56 +8,55 @@
 
 use hdrhistogram::Histogram;
 
-/// The longest latency that is told apart.
-const LATENCY_LIMIT_MS: u64 = 60_000;
-/// Series that are kept at the most; routes come and go with the configuration.
-const SERIES_LIMIT: usize = 256;
+/// Longer latencies are recorded as this value.
+const MAX_LATENCY_MS: u64 = 60_000;
+/// Bounds memory, since each route that was ever configured adds series.
+const MAX_SERIES: usize = 256;
 
-/// Counters and histograms of one instance.
+/// The metrics of one instance.
 #[derive(Default)]
 pub(super) struct Metrics {
     pub(super) changes: ChangeCounters,
     series: RefCell<BTreeMap<Labels, Histogram<u64>>>,
 }
 
-/// What became of the store's changes on their way between instances.
+/// Counters of the replication of table changes between instances.
 #[derive(Debug, Default)]
 pub(super) struct ChangeCounters {
-    /// Bytes of changes sent to followers.
+    /// Bytes of encoded changes sent to followers.
     pub(super) sent_bytes: Cell<u64>,
-    /// Connections to sources that ended.
+    /// Lost connections to sources.
     pub(super) sources_lost: Cell<u64>,
-    /// Connections of followers that ended.
+    /// Lost connections of followers.
     pub(super) followers_lost: Cell<u64>,
-    /// Tables read whole from the store.
+    /// Full reads of a table from the store.
     pub(super) tables_read: Cell<u64>,
 }
 
-/// Adds to a counter.
-pub(super) fn count(counter: &Cell<u64>, more: u64) {
-    counter.set(counter.get().saturating_add(more));
+pub(super) fn inc_by(counter: &Cell<u64>, amount: u64) {
+    counter.set(counter.get().saturating_add(amount));
 }
 
-/// What is true of the instance at one moment.
+/// Values sampled when the metrics are rendered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Gauges {
-    /// Whether it takes requests.
+    /// Whether the instance is ready to serve requests.
     pub(super) is_ready: bool,
-    /// Open connections of clients.
+    /// Open client connections.
     pub(super) connections: usize,
     /// Registered instances.
     pub(super) instances: usize,
     /// Instances that follow this one.
     pub(super) followers: usize,
-    /// Whether it watches the store.
+    /// Whether the instance watches the store itself.
     pub(super) is_watching: bool,
-    /// The version of the configuration in force.
+    /// The version of the current configuration.
     pub(super) config_version: Option<u64>,
-    /// How old its knowledge of the store is.
+    /// The time since the tables were last confirmed current.
     pub(super) age_ms: Option<u64>,
 }
 
-/// What tells one histogram from another.
+/// The labels of a latency histogram.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Labels {
     service: String,
@@ -66,7 +65,7 @@
 }
 
 impl ChangeCounters {
-    fn named(&self) -> [(&'static str, &Cell<u64>); 4] {
+    fn with_names(&self) -> [(&'static str, &Cell<u64>); 4] {
         [
             ("changes_sent_bytes", &self.sent_bytes),
             ("sources_lost", &self.sources_lost),
@@ -77,21 +76,27 @@
 }
 
 impl Metrics {
-    /// Takes in one request.
-    pub(super) fn request(&self, service: &str, route: &str, code: &'static str, taken_ms: u64) {
+    /// Records the outcome and latency of one request.
+    pub(super) fn record_request(
+        &self,
+        service: &str,
+        route: &str,
+        code: &'static str,
+        taken_ms: u64,
+    ) {
         let mut series = self.series.borrow_mut();
         let key = Labels { service: service.to_owned(), route: route.to_owned(), code };
-        if series.len() >= SERIES_LIMIT && !series.contains_key(&key) {
+        if series.len() >= MAX_SERIES && !series.contains_key(&key) {
             return;
         }
         let histogram = series.entry(key).or_insert_with(|| {
-            Histogram::new_with_max(LATENCY_LIMIT_MS, 2).expect("the bounds are valid constants")
+            Histogram::new_with_max(MAX_LATENCY_MS, 2).expect("the bounds are valid constants")
         });
         histogram.saturating_record(taken_ms);
     }
 
-    /// All of them as text, a line each.
-    pub(super) fn text(&self, gauges: Gauges) -> String {
+    /// Renders all metrics as text, one per line.
+    pub(super) fn render(&self, gauges: Gauges) -> String {
         let mut text = String::new();
         let mut line = |line: std::fmt::Arguments<'_>| {
             let _ = text.write_fmt(line);
@@ -108,7 +113,7 @@
         if let Some(age_ms) = gauges.age_ms {
             line(format_args!("azuregate_knowledge_age_ms {age_ms}"));
         }
-        for (name, counter) in self.changes.named() {
+        for (name, counter) in self.changes.with_names() {
             line(format_args!("azuregate_{name}_total {}", counter.get()));
         }
         for (Labels { service, route, code }, histogram) in self.series.borrow().iter() {
--- a/crates/azuregate/tests/soak/clients.rs
+++ b/crates/azuregate/tests/soak/clients.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     ZONES,
-    world::{Answer, Client, look_up, read_request, write_request},
+    cluster::{Client, HttpResponse, get_request, lookup, post_request},
 };
 
 /// Shorter than the deadline in the requests.
@@ -106,7 +106,7 @@
         let (zone, _) = ZONES[random.usize(..ZONES.len())];
         for _ in 0..3 {
             let addr = self.lookup_addrs[random.usize(..self.lookup_addrs.len())];
-            let asked = time::timeout(Duration::from_secs(1), look_up(addr, zone, "")).await;
+            let asked = time::timeout(Duration::from_secs(1), lookup(addr, zone, "")).await;
             if let Some(addrs) = asked.ok().filter(|addrs| !addrs.is_empty()) {
                 return Some(addrs);
             }
@@ -124,14 +124,14 @@
         let id = format!("q{}", self.next_id.fetch_add(1, Ordering::Relaxed));
         let is_write = random.f64() < 0.4;
         let text = match is_write {
-            true => write_request("/write/x", &id, &body_of(&id)),
-            false => read_request("/read/x", &id),
+            true => post_request("/write/x", &id, &body_of(&id)),
+            false => get_request("/read/x", &id),
         };
         let object = format!("X-Affinity-Key: k{}", random.u32(..40));
         let text = text.replace("X-Affinity-Key: 17", &object);
         let sent_at = Instant::now();
         client.send(&text).await;
-        let outcome = match time::timeout(CLIENT_TIMEOUT, client.answer()).await {
+        let outcome = match time::timeout(CLIENT_TIMEOUT, client.response()).await {
             Ok(Some(answer)) => classify(&id, &answer),
             Ok(None) => Outcome::ConnectionClosed,
             Err(_) => Outcome::TimedOut,
@@ -148,7 +148,7 @@
     format!("order {id}")
 }
 
-fn classify(id: &str, answer: &Answer) -> Outcome {
+fn classify(id: &str, answer: &HttpResponse) -> Outcome {
     let is_signed = answer.header("x-response-signature") == Some(&format!("s-{id}"));
     let has_expected_body = answer.body == format!("answer to {id}");
     let matches_request = answer.status != 200 || (is_signed && has_expected_body);
--- a/crates/azuregate/tests/soak/processes.rs
+++ b/crates/azuregate/tests/soak/processes.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     ZONES,
-    world::{FIRST_PORT, PEER_PORT},
+    cluster::{FIRST_PORT, PEER_PORT},
 };
 
 /// Time between SIGTERM and the exit of a process, as in the settings fixture.
--- a/crates/azuregate/tests/soak/run.rs
+++ b/crates/azuregate/tests/soak/run.rs
@@ -19,10 +19,10 @@
 use crate::{
     ZONES, checks,
     clients::Traffic,
+    cluster::{Client, get_request, lookup, readiness_status},
     plan::{FAULT_PHASE, Fault, Plan},
     processes::Process,
     proxy::{LinkMode, Proxy},
-    world::{Client, look_up, read_request, readiness},
 };
 
 const SERVICE: &str = "shop";
@@ -158,7 +158,7 @@
     async fn wait_until_ready(&self) {
         for instance in &self.instances {
             let start = Instant::now();
-            while readiness(instance.readiness_addr).await != 200 {
+            while readiness_status(instance.readiness_addr).await != 200 {
                 assert!(
                     start.elapsed() < Duration::from_secs(20),
                     "an instance did not become ready"
@@ -259,21 +259,21 @@
     async fn check_recovered(&self) {
         let config = self.config.lock().unwrap().clone();
         for (number, instance) in self.instances.iter().enumerate() {
-            if readiness(instance.readiness_addr).await != 200 {
+            if readiness_status(instance.readiness_addr).await != 200 {
                 self.problem(format!("entry-{number} is not ready after recovery"));
                 continue;
             }
             // Only the first prefix is new in this version.
             for prefix in config.extra_prefixes.iter().take(1) {
                 let mut client = Client::connect(instance.traffic_addr).await;
-                client.send(&read_request(&format!("{prefix}x"), &format!("c{number}"))).await;
-                let status = client.answer().await.map(|answer| answer.status);
+                client.send(&get_request(&format!("{prefix}x"), &format!("c{number}"))).await;
+                let status = client.response().await.map(|answer| answer.status);
                 if status == Some(404) {
                     self.problem(format!("entry-{number} has no route for {prefix}"));
                 }
             }
             let (zone, _) = ZONES[number % ZONES.len()];
-            let addrs = look_up(self.instances[0].lookup_addr, zone, "").await;
+            let addrs = lookup(self.instances[0].lookup_addr, zone, "").await;
             if !addrs.contains(&instance.traffic_addr) {
                 self.problem(format!("entry-{number} is missing from lookups after recovery"));
             }
