--- a/crates/azuregate/src/cli/policy_file.rs
+++ b/crates/azuregate/src/cli/policy_file.rs
@@ -9,44 +9,44 @@
     jsonc::{
         self, Field,
         Presence::{self, Nullable, Optional, Required},
-        Problem, Shape,
+        Problem, Schema,
     },
     operators::convert,
 };
 
 /// A policy as operators write it, with what `policy get` says of it.
-const POLICY: Shape = Shape::Object(&[
-    field("service", Required, Shape::Text(service)),
+const POLICY: Schema = Schema::Object(&[
+    field("service", Required, Schema::String(service)),
     field("version", Optional, ANY),
-    field("operation_id", Optional, Shape::Text(any)),
+    field("operation_id", Optional, Schema::String(any)),
     field("zone_share_ppm", Optional, SHARES),
     field("cap", Required, CAP),
     field("shift", Nullable, SHIFT),
     field("shift_delay_ms", Optional, ANY),
-    field("drains", Optional, Shape::Set(&NAME)),
+    field("drains", Optional, Schema::Array(&NAME)),
     field("timeout_ms", Required, POSITIVE),
     field("queue_ms", Required, ANY),
 ]);
 
-const CAP: Shape = Shape::Object(&[
-    field("share_ppm", Required, Shape::Number { min: 1, max: WHOLE_PPM as u64 }),
+const CAP: Schema = Schema::Object(&[
+    field("share_ppm", Required, Schema::Integer { min: 1, max: WHOLE_PPM as u64 }),
     field("window_ms", Required, POSITIVE),
 ]);
 
-const SHIFT: Shape = Shape::Object(&[
+const SHIFT: Schema = Schema::Object(&[
     field("from_share_ppm", Required, SHARES),
     field("to_share_ppm", Required, SHARES),
     field("start_at_ms", Required, ANY),
     field("cap", Required, CAP),
 ]);
 
-const SHARES: Shape = Shape::Map(&Shape::Number { min: 0, max: WHOLE_PPM as u64 });
-const NAME: Shape = Shape::Text(name);
-const ANY: Shape = Shape::Number { min: 0, max: u64::MAX };
-const POSITIVE: Shape = Shape::Number { min: 1, max: u64::MAX };
+const SHARES: Schema = Schema::Map(&Schema::Integer { min: 0, max: WHOLE_PPM as u64 });
+const NAME: Schema = Schema::String(name);
+const ANY: Schema = Schema::Integer { min: 0, max: u64::MAX };
+const POSITIVE: Schema = Schema::Integer { min: 1, max: u64::MAX };
 
-const fn field(key: &'static str, presence: Presence, shape: Shape) -> Field {
-    Field { key, presence, shape }
+const fn field(key: &'static str, presence: Presence, schema: Schema) -> Field {
+    Field { key, presence, schema }
 }
 
 fn service(text: &str) -> Result<(), String> {
@@ -83,7 +83,7 @@
         lines.trim_end().to_owned()
     };
     jsonc::check(text, &POLICY, |_, _| ()).map_err(|problems| tell(&problems))?;
-    let mut value: Value = jsonc::read(text).map_err(|e| tell(&[e]))?;
+    let mut value: Value = jsonc::deserialize(text).map_err(|e| tell(&[e]))?;
     if let Some(object) = value.as_object_mut() {
         object.entry("version").or_insert(Value::from(0));
         object.entry("operation_id").or_insert(Value::from(""));
--- a/crates/azuregate/src/jsonc/mod.rs
+++ b/crates/azuregate/src/jsonc/mod.rs
@@ -1,19 +1,19 @@
 /*!
 JSON with comments that is checked as a whole.
 
-A table of [`Shape`]s says what a file may hold. [`check`] walks the file along
+A table of [`Schema`]s says what a file may hold. [`check`] walks the file along
 the table and reports every [`Problem`] at once, each with its line and column:
 
 ```
-use azuregate::jsonc::{Field, Presence, Shape, check};
+use azuregate::jsonc::{Field, Presence, Schema, check};
 
-const SHAPE: Shape = Shape::Object(&[Field {
+const SCHEMA: Schema = Schema::Object(&[Field {
     key: "timeout_ms",
     presence: Presence::Required,
-    shape: Shape::Number { min: 1, max: 60_000 },
+    schema: Schema::Integer { min: 1, max: 60_000 },
 }]);
 
-let problems = check("{ \"timeout\": 5 }", &SHAPE, |_, _| ()).unwrap_err();
+let problems = check("{ \"timeout\": 5 }", &SCHEMA, |_, _| ()).unwrap_err();
 assert_eq!(problems[0].line, 1);
 assert!(problems[0].message.contains("timeout_ms"));
 ```
@@ -21,22 +21,22 @@
 # Design
 
 Deserializing stops at the first error and knows no place in the text once the
-value is built. The walk works on the syntax tree, which keeps the place of each
+value is built. The validation works on the syntax tree, which keeps the place of each
 value; deserializing comes after it and should find nothing more.
 */
 
-mod hint;
 mod problem;
-mod shape;
+mod schema;
+mod suggestion;
 
 use jsonc_parser::{CollectOptions, ParseOptions, ast::Value};
 
-pub use hint::closest;
 pub use problem::{Problem, Problems};
-pub use shape::{Field, Presence, Shape};
+pub use schema::{Field, Presence, Schema};
+pub use suggestion::closest_match;
 
 /// JSON with comments and trailing commas, and nothing else beyond JSON.
-pub fn options() -> ParseOptions {
+pub fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
         allow_trailing_commas: true,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Checks a text against a shape, and then by `relations`, which looks at
+/// Checks a text against a schema, and then by `cross_checks`, which looks at
 /// several values together.
 ///
 /// # Errors
@@ -60,10 +60,10 @@
 /// just one, since nothing can be said of what follows it.
 pub fn check(
     text: &str,
-    shape: &Shape,
-    relations: impl FnOnce(&Value<'_>, &mut Problems<'_>),
+    schema: &Schema,
+    cross_checks: impl FnOnce(&Value<'_>, &mut Problems<'_>),
 ) -> Result<(), Vec<Problem>> {
-    let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &options());
+    let parsed = jsonc_parser::parse_to_ast(text, &CollectOptions::default(), &parse_options());
     let root = match parsed {
         Ok(parsed) => parsed.value,
         Err(e) => return Err(vec![Problem::syntax(&e)]),
@@ -71,8 +71,8 @@
     let mut problems = Problems::new(text);
     match root {
         Some(root) => {
-            shape::walk(&root, shape, "", &mut problems);
-            relations(&root, &mut problems);
+            schema::validate(&root, schema, "", &mut problems);
+            cross_checks(&root, &mut problems);
         }
         None => problems.add(0, "", "the file is empty"),
     }
@@ -84,6 +84,6 @@
 /// # Errors
 ///
 /// What the check did not know of.
-pub fn read<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Problem> {
-    jsonc_parser::parse_to_serde_value(text, &options()).map_err(|e| Problem::syntax(&e))
+pub fn deserialize<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Problem> {
+    jsonc_parser::parse_to_serde_value(text, &parse_options()).map_err(|e| Problem::syntax(&e))
 }
--- a/crates/azuregate/src/jsonc/problem.rs
+++ b/crates/azuregate/src/jsonc/problem.rs
@@ -47,7 +47,7 @@
     /// Adds a problem at a byte offset of the text; `path` names the value, such
     /// as `platform.addr`, and is empty for the whole.
     pub fn add(&mut self, offset: usize, path: &str, message: impl fmt::Display) {
-        let (line, column) = self.place(offset);
+        let (line, column) = self.position(offset);
         let message =
             if path.is_empty() { message.to_string() } else { format!("{path}: {message}") };
         self.found.push(Problem { line, column, message });
@@ -55,10 +55,10 @@
 
     /// The line of a byte offset, from 1.
     pub fn line(&self, offset: usize) -> usize {
-        self.place(offset).0
+        self.position(offset).0
     }
 
-    fn place(&self, offset: usize) -> (usize, usize) {
+    fn position(&self, offset: usize) -> (usize, usize) {
         let before = self.text.get(..offset).unwrap_or(self.text);
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
         let line = before.matches('\n').count() + 1;
--- a/crates/azuregate/src/jsonc/shape.rs
+++ b/crates/azuregate/src/jsonc/schema.rs
@@ -1,4 +1,4 @@
-//! Tables that say what a text may hold, and the walk along them.
+//! Tables that say what a text may hold, and the validation against them.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,23 @@
     common::Ranged,
 };
 
-use super::{Problems, hint};
+use super::{Problems, suggestion};
 
 /// What a value may be.
 #[derive(Clone, Copy, Debug)]
-pub enum Shape {
+pub enum Schema {
     /// An object with these keys and no others.
     Object(&'static [Field]),
     /// A list with at least one element.
-    List(&'static Shape),
+    NonEmptyArray(&'static Schema),
     /// A list that may be empty.
-    Set(&'static Shape),
+    Array(&'static Schema),
     /// An object with any keys.
-    Map(&'static Shape),
+    Map(&'static Schema),
     /// A text that the function takes; its error says what the text must be.
-    Text(fn(&str) -> Result<(), String>),
+    String(fn(&str) -> Result<(), String>),
     /// A whole number within bounds, both included.
-    Number {
+    Integer {
         /// The least.
         min: u64,
         /// The greatest.
@@ -39,7 +39,7 @@
     /// Whether it may be left out.
     pub presence: Presence,
     /// What its value may be.
-    pub shape: Shape,
+    pub schema: Schema,
 }
 
 /// Whether a key may be left out.
@@ -54,32 +54,37 @@
 }
 
 /// Checks one value; `path` names it.
-pub(super) fn walk(value: &Value<'_>, shape: &Shape, path: &str, problems: &mut Problems<'_>) {
+pub(super) fn validate(
+    value: &Value<'_>,
+    schema: &Schema,
+    path: &str,
+    problems: &mut Problems<'_>,
+) {
     let offset = value.range().start;
-    match (shape, value) {
-        (Shape::Object(fields), Value::Object(object)) => {
-            walk_object(object, fields, path, problems);
+    match (schema, value) {
+        (Schema::Object(fields), Value::Object(object)) => {
+            validate_object(object, fields, path, problems);
         }
-        (Shape::List(_), Value::Array(array)) if array.elements.is_empty() => {
+        (Schema::NonEmptyArray(_), Value::Array(array)) if array.elements.is_empty() => {
             problems.add(offset, path, "must not be empty");
         }
-        (Shape::List(element) | Shape::Set(element), Value::Array(array)) => {
+        (Schema::NonEmptyArray(element) | Schema::Array(element), Value::Array(array)) => {
             for (index, value) in array.elements.iter().enumerate() {
-                walk(value, element, &format!("{path}[{index}]"), problems);
+                validate(value, element, &format!("{path}[{index}]"), problems);
             }
         }
-        (Shape::Map(element), Value::Object(object)) => {
-            report_repeats(object, path, problems);
+        (Schema::Map(element), Value::Object(object)) => {
+            report_duplicates(object, path, problems);
             for prop in &object.properties {
-                walk(&prop.value, element, &join(path, prop.name.as_str()), problems);
+                validate(&prop.value, element, &join(path, prop.name.as_str()), problems);
             }
         }
-        (Shape::Text(accept), Value::StringLit(text)) => {
-            if let Err(e) = accept(&text.value) {
+        (Schema::String(check), Value::StringLit(text)) => {
+            if let Err(e) = check(&text.value) {
                 problems.add(offset, path, format!("{e}, not {:?}", text.value));
             }
         }
-        (Shape::Number { min, max }, Value::NumberLit(number)) => {
+        (Schema::Integer { min, max }, Value::NumberLit(number)) => {
             let within = number.value.parse().is_ok_and(|n: u64| (*min..=*max).contains(&n));
             if !within {
                 let message =
@@ -87,50 +92,54 @@
                 problems.add(offset, path, message);
             }
         }
-        (shape, value) => {
-            problems.add(offset, path, format!("must be {}, not {}", wanted(shape), given(value)));
+        (schema, value) => {
+            problems.add(
+                offset,
+                path,
+                format!("must be {}, not {}", expected_type(schema), describe_value(value)),
+            );
         }
     }
 }
 
-fn walk_object(
+fn validate_object(
     object: &Object<'_>,
     fields: &'static [Field],
     path: &str,
     problems: &mut Problems<'_>,
 ) {
-    report_repeats(object, path, problems);
+    report_duplicates(object, path, problems);
     let is_given = |key: &str| object.properties.iter().any(|prop| prop.name.as_str() == key);
     let missing: Vec<&Field> = fields.iter().filter(|field| !is_given(field.key)).collect();
-    let mut meant = Vec::new();
+    let mut suggested = Vec::new();
     for prop in &object.properties {
         let key = prop.name.as_str();
         let path = join(path, key);
         let Some(field) = fields.iter().find(|field| field.key == key) else {
-            let hint = hint::for_key(key, missing.iter().map(|field| field.key));
-            let text = match &hint {
-                Some(hint) => hint.text.clone(),
-                None => format!("known here: {}", keys(fields)),
+            let suggestion = suggestion::suggest_key(key, missing.iter().map(|field| field.key));
+            let text = match &suggestion {
+                Some(suggestion) => suggestion.message.clone(),
+                None => format!("known here: {}", key_list(fields)),
             };
             problems.add(prop.range.start, &path, format!("unknown key; {text}"));
-            meant.extend(hint.map(|hint| hint.key));
+            suggested.extend(suggestion.map(|suggestion| suggestion.key));
             continue;
         };
         if matches!(prop.value, Value::NullKeyword(_)) && field.presence == Presence::Nullable {
             continue;
         }
-        walk(&prop.value, &field.shape, &path, problems);
+        validate(&prop.value, &field.schema, &path, problems);
     }
     for field in missing {
         // A key that was misspelt is one mistake, and is reported as one.
-        if field.presence == Presence::Required && !meant.contains(&field.key) {
+        if field.presence == Presence::Required && !suggested.contains(&field.key) {
             problems.add(object.range.start, &join(path, field.key), "missing key");
         }
     }
 }
 
 /// Readers disagree on which of two equal keys counts.
-fn report_repeats(object: &Object<'_>, path: &str, problems: &mut Problems<'_>) {
+fn report_duplicates(object: &Object<'_>, path: &str, problems: &mut Problems<'_>) {
     let mut first = BTreeMap::new();
     for prop in &object.properties {
         let key = prop.name.as_str();
@@ -147,21 +156,21 @@
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-fn keys(fields: &[Field]) -> String {
+fn key_list(fields: &[Field]) -> String {
     let keys: Vec<_> = fields.iter().map(|field| field.key).collect();
     keys.join(", ")
 }
 
-fn wanted(shape: &Shape) -> String {
-    match shape {
-        Shape::Object(_) | Shape::Map(_) => "an object".to_owned(),
-        Shape::List(_) | Shape::Set(_) => "a list".to_owned(),
-        Shape::Text(_) => "text".to_owned(),
-        Shape::Number { min, max } => format!("a whole number from {min} to {max}"),
+fn expected_type(schema: &Schema) -> String {
+    match schema {
+        Schema::Object(_) | Schema::Map(_) => "an object".to_owned(),
+        Schema::NonEmptyArray(_) | Schema::Array(_) => "a list".to_owned(),
+        Schema::String(_) => "text".to_owned(),
+        Schema::Integer { min, max } => format!("a whole number from {min} to {max}"),
     }
 }
 
-fn given(value: &Value<'_>) -> String {
+fn describe_value(value: &Value<'_>) -> String {
     match value {
         Value::StringLit(text) => format!("the text {:?}", text.value),
         Value::NumberLit(number) => format!("the number {}", number.value),
--- a/crates/azuregate/src/jsonc/hint.rs
+++ b/crates/azuregate/src/jsonc/suggestion.rs
@@ -20,16 +20,16 @@
 
 /// A key that was probably meant, and why.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) struct Hint<'a> {
+pub(crate) struct Suggestion<'a> {
     pub(crate) key: &'a str,
-    pub(crate) text: String,
+    pub(crate) message: String,
 }
 
 /// What an unknown key was probably meant to be.
-pub(crate) fn for_key<'a>(
+pub(crate) fn suggest_key<'a>(
     unknown: &str,
     known: impl Iterator<Item = &'a str> + Clone,
-) -> Option<Hint<'a>> {
+) -> Option<Suggestion<'a>> {
     let (stem, unit) = split_unit(unknown);
     let same_stem = known.clone().find(|key| {
         let (known_stem, known_unit) = split_unit(key);
@@ -37,14 +37,14 @@
     });
     if let Some(key) = same_stem {
         let wanted = split_unit(key).1.unwrap_or_default();
-        let text = match unit {
+        let message = match unit {
             None => format!("the name lacks its unit; write {key:?}, in {wanted}"),
             Some(unit) => format!("this is not taken in {unit}; write {key:?}, in {wanted}"),
         };
-        return Some(Hint { key, text });
+        return Some(Suggestion { key, message });
     }
-    let key = closest(unknown, known)?;
-    Some(Hint { key, text: format!("did you mean {key:?}?") })
+    let key = closest_match(unknown, known)?;
+    Some(Suggestion { key, message: format!("did you mean {key:?}?") })
 }
 
 fn split_unit(key: &str) -> (&str, Option<&'static str>) {
@@ -57,14 +57,15 @@
 
 /// The known name that is nearest to `unknown`, if any is near enough to be
 /// what was meant.
-pub fn closest<'a>(unknown: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
-    let unknown = plain(unknown);
-    let (distance, name) = known.map(|name| (edit_distance(&unknown, &plain(name)), name)).min()?;
+pub fn closest_match<'a>(unknown: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
+    let unknown = normalize(unknown);
+    let (distance, name) =
+        known.map(|name| (edit_distance(&unknown, &normalize(name)), name)).min()?;
     (distance <= unknown.len().div_ceil(3).min(3)).then_some(name)
 }
 
 /// Lower case, without what separates words: `timeoutMs` is `timeout_ms`.
-fn plain(name: &str) -> Vec<char> {
+fn normalize(name: &str) -> Vec<char> {
     name.chars().filter(|c| c.is_alphanumeric()).flat_map(char::to_lowercase).collect()
 }
 
--- a/crates/azuregate/src/operators/validate.rs
+++ b/crates/azuregate/src/operators/validate.rs
@@ -12,7 +12,7 @@
     answer::refused,
     edit::{Edit, Wanted},
 };
-use crate::jsonc::closest;
+use crate::jsonc::closest_match;
 
 /// Refuses names that nobody knows: a misspelt zone would get no traffic, and a
 /// misspelt backend server would go on serving, both without a word.
@@ -70,5 +70,5 @@
 }
 
 fn did_you_mean<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> String {
-    closest(name, known).map_or_else(String::new, |name| format!(" (did you mean {name}?)"))
+    closest_match(name, known).map_or_else(String::new, |name| format!(" (did you mean {name}?)"))
 }
--- a/crates/azuregate/src/settings/check.rs
+++ b/crates/azuregate/src/settings/check.rs
@@ -7,14 +7,14 @@
     common::Ranged,
 };
 
-use crate::jsonc::{Problems, closest};
+use crate::jsonc::{Problems, closest_match};
 
 /// The ports that an instance opens on its IP number.
 const PORTS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
 
 /// Reports what does not fit together. Values of the wrong shape are passed
 /// over, since they are reported elsewhere.
-pub(super) fn relations(root: &Value<'_>, problems: &mut Problems<'_>) {
+pub(super) fn cross_checks(root: &Value<'_>, problems: &mut Problems<'_>) {
     ports(root, problems);
     platform(root, problems);
     topology(root, problems);
@@ -61,15 +61,15 @@
     for (index, region) in elements(root, &["topology", "regions"]).iter().enumerate() {
         let path = format!("topology.regions[{index}]");
         if let Some(name) = text(region, &["name"]) {
-            report_repeat(&mut regions, name, &format!("{path}.name"), problems);
+            report_duplicate(&mut regions, name, &format!("{path}.name"), problems);
         }
         for zone in elements(region, &["zones"]).iter().filter_map(Value::as_string_lit) {
-            report_repeat(&mut zones, zone, &format!("{path}.zones"), problems);
+            report_duplicate(&mut zones, zone, &format!("{path}.zones"), problems);
         }
     }
 }
 
-fn report_repeat<'a>(
+fn report_duplicate<'a>(
     seen: &mut BTreeMap<&'a str, usize>,
     name: &'a StringLit<'_>,
     path: &str,
@@ -96,7 +96,7 @@
     if zones.is_empty() || zones.contains(&&*zone.value) {
         return;
     }
-    let hint = closest(&zone.value, zones.into_iter())
+    let hint = closest_match(&zone.value, zones.into_iter())
         .map_or_else(String::new, |name| format!("; did you mean {name:?}?"));
     problems.add(
         zone.range().start,
--- a/crates/azuregate/src/settings/fields.rs
+++ b/crates/azuregate/src/settings/fields.rs
@@ -7,7 +7,7 @@
 use crate::jsonc::{
     Field,
     Presence::{self, Nullable, Optional, Required},
-    Shape,
+    Schema,
 };
 
 /// The longest name of an instance, region or availability zone, in bytes.
@@ -28,44 +28,46 @@
 /// The levels of the log, from the least to the most.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
-const PORT: Shape = Shape::Number { min: 1, max: 65_535 };
-const NAME: Shape = Shape::Text(name);
-const DELAY: Shape = Shape::Number { min: 0, max: DELAY_LIMIT_MS };
+const PORT: Schema = Schema::Integer { min: 1, max: 65_535 };
+const NAME: Schema = Schema::String(name);
+const DELAY: Schema = Schema::Integer { min: 0, max: DELAY_LIMIT_MS };
 
 /// The whole settings file.
-pub(super) const SETTINGS: Shape = Shape::Object(&[
+pub(super) const SETTINGS: Schema = Schema::Object(&[
     field("instance", Required, NAME),
     field("zone", Required, NAME),
-    field("ip", Required, Shape::Text(ip)),
+    field("ip", Required, Schema::String(ip)),
     field("traffic_port", Required, PORT),
     field("peer_port", Required, PORT),
     field("operators_port", Required, PORT),
     field("status_port", Required, PORT),
     field("platform", Required, PLATFORM),
     field("topology", Required, TOPOLOGY),
-    field("statsd_addr", Nullable, Shape::Text(addr)),
-    field("log_filter", Optional, Shape::Text(log_filter)),
-    field("stop_delay_ms", Optional, Shape::Number { min: 0, max: STOP_DELAY_LIMIT_MS }),
+    field("statsd_addr", Nullable, Schema::String(addr)),
+    field("log_filter", Optional, Schema::String(log_filter)),
+    field("stop_delay_ms", Optional, Schema::Integer { min: 0, max: STOP_DELAY_LIMIT_MS }),
 ]);
 
-const PLATFORM: Shape = Shape::Object(&[
-    field("addr", Required, Shape::Text(addr)),
-    field("poll_ms", Optional, Shape::Number { min: POLL_RANGE_MS.0, max: POLL_RANGE_MS.1 }),
-    field("timeout_ms", Optional, Shape::Number { min: 1, max: PLATFORM_TIMEOUT_LIMIT_MS }),
+const PLATFORM: Schema = Schema::Object(&[
+    field("addr", Required, Schema::String(addr)),
+    field("poll_ms", Optional, Schema::Integer { min: POLL_RANGE_MS.0, max: POLL_RANGE_MS.1 }),
+    field("timeout_ms", Optional, Schema::Integer { min: 1, max: PLATFORM_TIMEOUT_LIMIT_MS }),
 ]);
 
-const TOPOLOGY: Shape = Shape::Object(&[
-    field("regions", Required, Shape::List(&REGION)),
+const TOPOLOGY: Schema = Schema::Object(&[
+    field("regions", Required, Schema::NonEmptyArray(&REGION)),
     field("zone_delay_ms", Required, DELAY),
     field("region_delay_ms", Required, DELAY),
-    field("link_mbit_per_s", Required, Shape::Number { min: 1, max: LINK_LIMIT_MBIT_PER_S }),
+    field("link_mbit_per_s", Required, Schema::Integer { min: 1, max: LINK_LIMIT_MBIT_PER_S }),
 ]);
 
-const REGION: Shape =
-    Shape::Object(&[field("name", Required, NAME), field("zones", Required, Shape::List(&NAME))]);
+const REGION: Schema = Schema::Object(&[
+    field("name", Required, NAME),
+    field("zones", Required, Schema::NonEmptyArray(&NAME)),
+]);
 
-const fn field(key: &'static str, presence: Presence, shape: Shape) -> Field {
-    Field { key, presence, shape }
+const fn field(key: &'static str, presence: Presence, schema: Schema) -> Field {
+    Field { key, presence, schema }
 }
 
 fn name(text: &str) -> Result<(), String> {
--- a/crates/azuregate/src/settings/mod.rs
+++ b/crates/azuregate/src/settings/mod.rs
@@ -131,6 +131,6 @@
 }
 
 fn parse(text: &str) -> Result<Settings, SettingsError> {
-    jsonc::check(text, &fields::SETTINGS, check::relations).map_err(SettingsError::new)?;
-    jsonc::read(text).map_err(|e| SettingsError::new(vec![e]))
+    jsonc::check(text, &fields::SETTINGS, check::cross_checks).map_err(SettingsError::new)?;
+    jsonc::deserialize(text).map_err(|e| SettingsError::new(vec![e]))
 }
