--- a/crates/azuregate/src/cli/call.rs
+++ b/crates/azuregate/src/cli/call.rs
@@ -105,7 +105,7 @@
             Ok(Ok(answer)) => Ok(answer.into_inner()),
             Ok(Err(status)) => {
                 let message = format!("{addr}: {}", status.message());
-                Err(Attempt::Sent(FailureClass::of(&status), message))
+                Err(Attempt::Sent(FailureClass::from_status(&status), message))
             }
             Err(_) => {
                 let message = format!("{addr}: no answer within {} ms", self.args.timeout_ms);
--- a/crates/azuregate/src/operators/answer.rs
+++ b/crates/azuregate/src/operators/answer.rs
@@ -39,7 +39,7 @@
     ///
     /// `None` when the failure did not come from an instance: the call was lost
     /// on its way, and nothing is known of its effect.
-    pub fn of(status: &Status) -> Option<FailureClass> {
+    pub fn from_status(status: &Status) -> Option<FailureClass> {
         let all = [
             FailureClass::Usage,
             FailureClass::Refused,
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -60,7 +60,7 @@
 const APPLY_LIMIT_MS: u64 = 1_000;
 
 /// What the operators' service works with.
-pub struct Parts {
+pub struct Dependencies {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -84,21 +84,21 @@
 /// Answers operators; cheap to clone.
 #[derive(Clone)]
 pub struct OperatorsService {
-    parts: Arc<Parts>,
+    deps: Arc<Dependencies>,
     rows: Rows,
     settler: Settler,
 }
 
 impl OperatorsService {
-    /// A service that works with `parts`.
-    pub fn new(parts: Parts) -> OperatorsService {
-        let rows = Rows::new(Arc::clone(&parts.platform));
+    /// A service that works with `deps`.
+    pub fn new(deps: Dependencies) -> OperatorsService {
+        let rows = Rows::new(Arc::clone(&deps.platform));
         let settler = Settler {
             rows: rows.clone(),
-            clock: Arc::clone(&parts.clock),
-            snapshots: parts.snapshots.clone(),
+            clock: Arc::clone(&deps.clock),
+            snapshots: deps.snapshots.clone(),
         };
-        OperatorsService { parts: Arc::new(parts), rows, settler }
+        OperatorsService { deps: Arc::new(deps), rows, settler }
     }
 
     /// Makes a change and brings it into force on this instance.
@@ -121,7 +121,7 @@
         let settled = self.settler.settle(wanted, dry_run).await.inspect_err(|e| {
             log::warn!(
                 service:% = wanted.service, operation:% = wanted.operation_id,
-                code = FailureClass::of(e).map_or("unknown", FailureClass::as_str),
+                code = FailureClass::from_status(e).map_or("unknown", FailureClass::as_str),
                 detail = e.message();
                 "change failed"
             );
@@ -155,8 +155,8 @@
     /// Brings a policy into force here, before the operator has the answer: a
     /// script that reads what it set would else see the version before.
     async fn apply(&self, policy: &Policy) {
-        self.parts.config.change(Change::Policy(Box::new(policy.clone()), Source::Platform));
-        let mut snapshots = self.parts.snapshots.watch();
+        self.deps.config.change(Change::Policy(Box::new(policy.clone()), Source::Platform));
+        let mut snapshots = self.deps.snapshots.watch();
         let in_force = snapshots.wait_for(|snapshot| {
             let version = snapshot.policies.get(&policy.service).map_or(0, |policy| policy.version);
             version >= policy.version
@@ -165,8 +165,8 @@
     }
 
     fn compare(&self, before: Option<&Policy>, after: &Policy) -> v1::ChangeResponse {
-        let snapshot = self.parts.snapshots.current();
-        let now_ms = self.parts.clock.epoch();
+        let snapshot = self.deps.snapshots.current();
+        let now_ms = self.deps.clock.epoch();
         let comparison = Comparison { before, after, snapshot: &snapshot, now_ms };
         v1::ChangeResponse {
             policy: Some(convert::to_proto(after)),
@@ -219,7 +219,7 @@
 
     fn policy_in_force(&self, service: &str) -> Result<Arc<Policy>, Status> {
         let service = service_name(service)?;
-        let snapshot = self.parts.snapshots.current();
+        let snapshot = self.deps.snapshots.current();
         let policy = snapshot.policies.get(&service).cloned();
         policy.ok_or_else(|| answer::refused(format!("no policy names {service}")))
     }
--- a/crates/azuregate/src/operators/service.rs
+++ b/crates/azuregate/src/operators/service.rs
@@ -38,22 +38,22 @@
 #[tonic::async_trait]
 impl Operators for OperatorsService {
     async fn status(&self, _request: Request<v1::StatusRequest>) -> Answer<v1::StatusResponse> {
-        let snapshot = self.parts.snapshots.current();
-        let stopping = self.parts.stop.is_stopping();
+        let snapshot = self.deps.snapshots.current();
+        let stopping = self.deps.stop.is_stopping();
         let (ready, reason) = describe::readiness(&snapshot, stopping);
         let versions = snapshot.policies.iter();
         Ok(Response::new(v1::StatusResponse {
-            instance: self.parts.instance.to_string(),
-            start: self.parts.start.0,
+            instance: self.deps.instance.to_string(),
+            start: self.deps.start.0,
             ready,
             stopping,
             policy_versions: versions.map(|(name, p)| (name.to_string(), p.version)).collect(),
             ready_reason: reason,
             build_version: env!("CARGO_PKG_VERSION").to_owned(),
-            zone: self.parts.zone.to_string(),
+            zone: self.deps.zone.to_string(),
             instances: describe::instances(&snapshot),
             backends: describe::backends(&snapshot, None),
-            histograms: describe::histograms(self.parts.recorder.histograms().await, None),
+            histograms: describe::histograms(self.deps.recorder.histograms().await, None),
         }))
     }
 
@@ -69,7 +69,7 @@
         &self,
         _request: Request<v1::ListPoliciesRequest>,
     ) -> Answer<v1::ListPoliciesResponse> {
-        let snapshot = self.parts.snapshots.current();
+        let snapshot = self.deps.snapshots.current();
         let policies = snapshot.policies.values().map(|policy| convert::to_proto(policy)).collect();
         Ok(Response::new(v1::ListPoliciesResponse { policies }))
     }
@@ -139,7 +139,7 @@
         request: Request<v1::GetShiftRequest>,
     ) -> Answer<v1::GetShiftResponse> {
         let policy = self.policy_in_force(&request.into_inner().service)?;
-        let now_ms = self.parts.clock.epoch();
+        let now_ms = self.deps.clock.epoch();
         let shares = effect::shares_now(&policy, now_ms).unwrap_or_default();
         let shift = policy.settled(now_ms).shift;
         Ok(Response::new(v1::GetShiftResponse {
@@ -169,7 +169,7 @@
         request: Request<v1::ListDrainsRequest>,
     ) -> Answer<v1::ListDrainsResponse> {
         let service = optional_service(&request.into_inner().service)?;
-        let mut backends = describe::backends(&self.parts.snapshots.current(), service.as_ref());
+        let mut backends = describe::backends(&self.deps.snapshots.current(), service.as_ref());
         backends.retain(|backend| !backend.open);
         Ok(Response::new(v1::ListDrainsResponse { backends }))
     }
@@ -182,8 +182,8 @@
             "" => from.unwrap_or_default(),
             caller => caller.to_owned(),
         };
-        let snapshot = self.parts.snapshots.current();
-        let answer = entries::entries(&snapshot, &policy.service, &self.parts.zone, &caller);
+        let snapshot = self.deps.snapshots.current();
+        let answer = entries::entries(&snapshot, &policy.service, &self.deps.zone, &caller);
         let entries = answer.entries.into_iter().map(|entry| v1::Entry {
             id: entry.id.to_string(),
             addr: entry.addr.to_string(),
@@ -197,7 +197,7 @@
         request: Request<v1::HistogramsRequest>,
     ) -> Answer<v1::HistogramsResponse> {
         let service = optional_service(&request.into_inner().service)?;
-        let histograms = self.parts.recorder.histograms().await;
+        let histograms = self.deps.recorder.histograms().await;
         Ok(Response::new(v1::HistogramsResponse {
             dropped: histograms.dropped,
             histograms: describe::histograms(histograms, service.as_ref()),
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -133,7 +133,7 @@
     }
 
     pub(super) fn operators(&self) -> OperatorsService {
-        OperatorsService::new(operators::Parts {
+        OperatorsService::new(operators::Dependencies {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
             start: self.start,
--- a/crates/azuregate/tests/operators/fake.rs
+++ b/crates/azuregate/tests/operators/fake.rs
@@ -10,7 +10,7 @@
     clock::Clock,
     config::{Change, Config, Snapshots},
     metrics::{NullSink, Recorder},
-    operators::{FailureClass, OperatorsService, Parts, convert},
+    operators::{Dependencies, FailureClass, OperatorsService, convert},
     platform::{
         Changes, Commit, Effect, Expect, Platform, PlatformError, Result, Row, Table, Write,
     },
@@ -229,7 +229,7 @@
         snapshots.watch().wait_for(|snapshot| snapshot.ready).await.unwrap();
         let recorder = Recorder::start(Arc::new(NullSink));
         let (stopper, stop) = stop::channel();
-        let service = OperatorsService::new(Parts {
+        let service = OperatorsService::new(Dependencies {
             instance: settings.instance,
             zone: settings.zone,
             start: StartNumber(7),
@@ -293,7 +293,7 @@
 pub(crate) fn ending(result: &std::result::Result<Response<ChangeResponse>, Status>) -> String {
     let response = match result {
         Ok(response) => response.get_ref(),
-        Err(status) => return FailureClass::of(status).unwrap().as_str().to_owned(),
+        Err(status) => return FailureClass::from_status(status).unwrap().as_str().to_owned(),
     };
     let policy = response.policy.clone().map(|policy| convert::from_proto(policy).unwrap());
     let version = policy.map_or(0, |policy| policy.version);
--- a/crates/azuregate/tests/operators/refusals.rs
+++ b/crates/azuregate/tests/operators/refusals.rs
@@ -47,7 +47,7 @@
 
 fn tell(seen: &mut String, name: &str, result: Result<Response<ChangeResponse>, Status>) {
     let status = result.unwrap_err();
-    let class = FailureClass::of(&status).unwrap().as_str();
+    let class = FailureClass::from_status(&status).unwrap().as_str();
     writeln!(seen, "{name}\n    {class}: {}", status.message()).unwrap();
 }
 
