--- a/crates/azuregate/src/settings/check.rs
+++ b/crates/azuregate/src/settings/check.rs
@@ -10,38 +10,38 @@
 use crate::jsonc::{Problems, closest_match};
 
 /// The ports that an instance opens on its IP number.
-const PORTS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
+const PORT_KEYS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
 
 /// Reports what does not fit together. Values of the wrong shape are passed
 /// over, since they are reported elsewhere.
 pub(super) fn cross_checks(root: &Value<'_>, problems: &mut Problems<'_>) {
-    ports(root, problems);
-    platform(root, problems);
-    topology(root, problems);
-    zone(root, problems);
+    check_ports(root, problems);
+    check_platform(root, problems);
+    check_topology(root, problems);
+    check_zone(root, problems);
 }
 
 /// The second listener on a port would fail, and the instance not start.
-fn ports(root: &Value<'_>, problems: &mut Problems<'_>) {
-    let mut taken: BTreeMap<&str, &str> = BTreeMap::new();
-    for key in PORTS {
+fn check_ports(root: &Value<'_>, problems: &mut Problems<'_>) {
+    let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
+    for key in PORT_KEYS {
         let Some(port) = number(root, &[key]) else { continue };
-        if let Some(by) = taken.get(port.value) {
-            let message = format!("clashes with {by}: both are {}", port.value);
+        if let Some(previous) = seen.get(port.value) {
+            let message = format!("clashes with {previous}: both are {}", port.value);
             problems.add(port.range.start, key, message);
         } else {
-            taken.insert(port.value, key);
+            seen.insert(port.value, key);
         }
     }
 }
 
 /// An instance that takes itself for the platform waits for a configuration
 /// for ever.
-fn platform(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_platform(root: &Value<'_>, problems: &mut Problems<'_>) {
     let (Some(ip), Some(addr)) = (text(root, &["ip"]), text(root, &["platform", "addr"])) else {
         return;
     };
-    for key in PORTS {
+    for key in PORT_KEYS {
         let Some(port) = number(root, &[key]) else { continue };
         let own: Option<SocketAddr> = format!("{}:{}", ip.value, port.value).parse().ok();
         if own.is_some() && own == addr.value.parse().ok() {
@@ -55,7 +55,7 @@
 }
 
 /// A zone's region must be plain, since distance and failing over follow it.
-fn topology(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_topology(root: &Value<'_>, problems: &mut Problems<'_>) {
     let mut regions = BTreeMap::new();
     let mut zones = BTreeMap::new();
     for (index, region) in elements(root, &["topology", "regions"]).iter().enumerate() {
@@ -85,7 +85,7 @@
     seen.insert(&name.value, offset);
 }
 
-fn zone(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_zone(root: &Value<'_>, problems: &mut Problems<'_>) {
     let Some(zone) = text(root, &["zone"]) else { return };
     let regions = elements(root, &["topology", "regions"]);
     let zones: Vec<&str> = regions
--- a/crates/azuregate/src/settings/fields.rs
+++ b/crates/azuregate/src/settings/fields.rs
@@ -11,26 +11,26 @@
 };
 
 /// The longest name of an instance, region or availability zone, in bytes.
-const NAME_LIMIT_BYTES: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 /// The longest planned stop, in milliseconds.
-const STOP_DELAY_LIMIT_MS: u64 = 3_600_000;
+const MAX_STOP_DELAY_MS: u64 = 3_600_000;
 /// The longest delay of a link, in milliseconds.
-const DELAY_LIMIT_MS: u64 = 60_000;
+const MAX_LINK_DELAY_MS: u64 = 60_000;
 /// The widest link, in megabits a second.
-const LINK_LIMIT_MBIT_PER_S: u64 = 10_000_000;
+const MAX_LINK_MBIT_PER_S: u64 = 10_000_000;
 /// The shortest and the longest time between two reads of the platform: more
 /// often is more than the platform serves to many instances, and more seldom
 /// leaves an accepted change out of force for too long.
 const POLL_RANGE_MS: (u64, u64) = (50, 60_000);
 /// The longest that a call to the platform may take, in milliseconds.
-const PLATFORM_TIMEOUT_LIMIT_MS: u64 = 60_000;
+const MAX_PLATFORM_TIMEOUT_MS: u64 = 60_000;
 
 /// The levels of the log, from the least to the most.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 const PORT: Schema = Schema::Integer { min: 1, max: 65_535 };
 const NAME: Schema = Schema::String(name);
-const DELAY: Schema = Schema::Integer { min: 0, max: DELAY_LIMIT_MS };
+const LINK_DELAY: Schema = Schema::Integer { min: 0, max: MAX_LINK_DELAY_MS };
 
 /// The whole settings file.
 pub(super) const SETTINGS: Schema = Schema::Object(&[
@@ -45,20 +45,20 @@
     field("topology", Required, TOPOLOGY),
     field("statsd_addr", Nullable, Schema::String(addr)),
     field("log_filter", Optional, Schema::String(log_filter)),
-    field("stop_delay_ms", Optional, Schema::Integer { min: 0, max: STOP_DELAY_LIMIT_MS }),
+    field("stop_delay_ms", Optional, Schema::Integer { min: 0, max: MAX_STOP_DELAY_MS }),
 ]);
 
 const PLATFORM: Schema = Schema::Object(&[
     field("addr", Required, Schema::String(addr)),
     field("poll_ms", Optional, Schema::Integer { min: POLL_RANGE_MS.0, max: POLL_RANGE_MS.1 }),
-    field("timeout_ms", Optional, Schema::Integer { min: 1, max: PLATFORM_TIMEOUT_LIMIT_MS }),
+    field("timeout_ms", Optional, Schema::Integer { min: 1, max: MAX_PLATFORM_TIMEOUT_MS }),
 ]);
 
 const TOPOLOGY: Schema = Schema::Object(&[
     field("regions", Required, Schema::NonEmptyArray(&REGION)),
-    field("zone_delay_ms", Required, DELAY),
-    field("region_delay_ms", Required, DELAY),
-    field("link_mbit_per_s", Required, Schema::Integer { min: 1, max: LINK_LIMIT_MBIT_PER_S }),
+    field("zone_delay_ms", Required, LINK_DELAY),
+    field("region_delay_ms", Required, LINK_DELAY),
+    field("link_mbit_per_s", Required, Schema::Integer { min: 1, max: MAX_LINK_MBIT_PER_S }),
 ]);
 
 const REGION: Schema = Schema::Object(&[
@@ -72,15 +72,15 @@
 
 fn name(text: &str) -> Result<(), String> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if (1..=NAME_LIMIT_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
+    if (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
         return Ok(());
     }
-    Err(format!("must be 1 to {NAME_LIMIT_BYTES} letters, digits, dots, hyphens or underscores"))
+    Err(format!("must be 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens or underscores"))
 }
 
 fn ip(text: &str) -> Result<(), String> {
     let ip: IpAddr = text.parse().map_err(|_| "must be an IP number".to_owned())?;
-    usable(ip)
+    check_host_ip(ip)
 }
 
 fn addr(text: &str) -> Result<(), String> {
@@ -89,11 +89,11 @@
     if addr.port() == 0 {
         return Err("must have a port of 1 to 65535".to_owned());
     }
-    usable(addr.ip())
+    check_host_ip(addr.ip())
 }
 
 /// The others are told this number, and cannot reach one that stands for many.
-fn usable(ip: IpAddr) -> Result<(), String> {
+fn check_host_ip(ip: IpAddr) -> Result<(), String> {
     if ip.is_unspecified() || ip.is_multicast() {
         return Err("must be the IP number of one machine".to_owned());
     }
@@ -103,9 +103,9 @@
 fn log_filter(text: &str) -> Result<(), String> {
     // The library takes a lone word that is no level for the name of a module,
     // and then logs nothing else: a misspelt level would silence the instance.
-    let is_clear = |part: &str| part.contains('=') || LEVELS.contains(&part.trim());
-    let is_known = RustLogFilterBuilder::try_from_spec(text).is_ok();
-    if is_known && text.split(',').all(is_clear) {
+    let is_valid_directive = |part: &str| part.contains('=') || LEVELS.contains(&part.trim());
+    let parses = RustLogFilterBuilder::try_from_spec(text).is_ok();
+    if parses && text.split(',').all(is_valid_directive) {
         return Ok(());
     }
     Err(format!("must be one of {}, or a list of module=level", LEVELS.join(", ")))
