--- a/crates/azuregate/src/operators/edit.rs
+++ b/crates/azuregate/src/operators/edit.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use tonic::Status;
 
-use super::answer::{change_error, refused};
+use super::failure::{change_error, refused};
 
 /// A change that an operator asked for.
 #[derive(Clone, Debug)]
@@ -62,28 +62,30 @@
     pub(crate) fn apply(
         &self,
         service: &ServiceName,
-        held: Option<&Policy>,
+        stored: Option<&Policy>,
         now_ms: Millis,
     ) -> Result<Policy, Status> {
-        let Some(held) = held else {
+        let Some(stored) = stored else {
             return self.create(service);
         };
         let next = match self {
-            Edit::Set(wanted) => held
+            Edit::Set(wanted) => stored
                 .check_replace(wanted, now_ms)
-                .map(|()| Policy { version: held.version + 1, ..Policy::clone(wanted) }),
-            Edit::StartShift { to_share_ppm, cap } => held.start_shift(to_share_ppm, *cap, now_ms),
-            Edit::StopShift => held.stop_shift(now_ms),
+                .map(|()| Policy { version: stored.version + 1, ..Policy::clone(wanted) }),
+            Edit::StartShift { to_share_ppm, cap } => {
+                stored.start_shift(to_share_ppm, *cap, now_ms)
+            }
+            Edit::StopShift => stored.stop_shift(now_ms),
             Edit::Drain(backends) => {
-                backends.iter().try_fold(held.clone(), |policy, id| policy.drain(id))
+                backends.iter().try_fold(stored.clone(), |policy, id| policy.drain(id))
             }
             Edit::Undrain(backends) => {
-                backends.iter().try_fold(held.clone(), |policy, id| policy.undrain(id))
+                backends.iter().try_fold(stored.clone(), |policy, id| policy.undrain(id))
             }
         };
         let next = next.map_err(|e| change_error(&e))?;
         // Several backend servers are one change.
-        Ok(Policy { version: held.version + 1, ..next })
+        Ok(Policy { version: stored.version + 1, ..next })
     }
 
     fn create(&self, service: &ServiceName) -> Result<Policy, Status> {
--- a/crates/azuregate/src/operators/answer.rs
+++ b/crates/azuregate/src/operators/failure.rs
@@ -6,7 +6,7 @@
 use crate::platform::PlatformError;
 
 /// The metadata that carries the class.
-pub(crate) const CLASS: &str = "azuregate-class";
+pub(crate) const CLASS_METADATA_KEY: &str = "azuregate-class";
 
 /// How a call failed.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -47,7 +47,7 @@
             FailureClass::Unknown,
             FailureClass::Failed,
         ];
-        let name = status.metadata().get(CLASS)?.to_str().ok()?;
+        let name = status.metadata().get(CLASS_METADATA_KEY)?.to_str().ok()?;
         all.into_iter().find(|class| class.as_str() == name)
     }
 
@@ -63,27 +63,27 @@
 }
 
 /// A failed call of `class`.
-pub(super) fn failure(class: FailureClass, detail: impl Into<String>) -> Status {
+pub(super) fn status(class: FailureClass, detail: impl Into<String>) -> Status {
     let mut status = Status::new(class.code(), detail);
-    status.metadata_mut().insert(CLASS, MetadataValue::from_static(class.as_str()));
+    status.metadata_mut().insert(CLASS_METADATA_KEY, MetadataValue::from_static(class.as_str()));
     status
 }
 
 pub(super) fn usage(detail: impl Into<String>) -> Status {
-    failure(FailureClass::Usage, detail)
+    status(FailureClass::Usage, detail)
 }
 
 pub(super) fn refused(detail: impl Into<String>) -> Status {
-    failure(FailureClass::Refused, detail)
+    status(FailureClass::Refused, detail)
 }
 
 pub(super) fn failed(detail: impl Into<String>) -> Status {
-    failure(FailureClass::Failed, detail)
+    status(FailureClass::Failed, detail)
 }
 
 /// For calls that changed nothing so far.
 pub(super) fn unreachable(e: &PlatformError) -> Status {
-    failure(FailureClass::Unreachable, format!("nothing was changed: {e}"))
+    status(FailureClass::Unreachable, format!("nothing was changed: {e}"))
 }
 
 pub(super) fn change_error(e: &ChangeError) -> Status {
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -7,21 +7,21 @@
 # Design
 
 * `edit` turns what an operator asked for into the next version of a policy.
-* `rows` keeps that version, its history and the operation, in one transaction.
+* `store` keeps that version, its history and the operation, in one transaction.
 * `settle` makes a change once at the most, whatever answers are lost.
 * `validate` refuses names that nobody knows, `effect` tells what a change moves.
 */
 
 pub mod convert;
 
-mod answer;
 mod describe;
 mod difference;
 mod edit;
 mod effect;
-mod rows;
+mod failure;
 mod service;
 mod settle;
+mod store;
 mod validate;
 
 use std::{sync::Arc, time::Duration};
@@ -35,13 +35,13 @@
 use tokio::time;
 use tonic::Status;
 
-pub use answer::FailureClass;
+pub use failure::FailureClass;
 
 use self::{
     edit::{Edit, Wanted},
     effect::Comparison,
-    rows::{ReadError, Rows},
     settle::{Settled, Settler},
+    store::{PolicyStore, ReadError},
 };
 use crate::{
     clock::SharedClock,
@@ -85,32 +85,32 @@
 #[derive(Clone)]
 pub struct OperatorsService {
     deps: Arc<Dependencies>,
-    rows: Rows,
+    store: PolicyStore,
     settler: Settler,
 }
 
 impl OperatorsService {
     /// A service that works with `deps`.
     pub fn new(deps: Dependencies) -> OperatorsService {
-        let rows = Rows::new(Arc::clone(&deps.platform));
+        let store = PolicyStore::new(Arc::clone(&deps.platform));
         let settler = Settler {
-            rows: rows.clone(),
+            store: store.clone(),
             clock: Arc::clone(&deps.clock),
             snapshots: deps.snapshots.clone(),
         };
-        OperatorsService { deps: Arc::new(deps), rows, settler }
+        OperatorsService { deps: Arc::new(deps), store, settler }
     }
 
     /// Makes a change and brings it into force on this instance.
     async fn change(&self, wanted: Wanted, dry_run: bool) -> Result<v1::ChangeResponse, Status> {
         convert::check_name("operation_id", &wanted.operation_id)
-            .map_err(|e| answer::usage(e.to_string()))?;
+            .map_err(|e| failure::usage(e.to_string()))?;
         // An operator who goes away, or whose deadline passes, drops the call's
         // future. A task of its own goes on: otherwise a write might be left
         // unsettled, and be in force everywhere but here.
         let service = self.clone();
         let task = tokio::spawn(async move { service.change_to_end(&wanted, dry_run).await });
-        task.await.map_err(|e| answer::failed(e.to_string()))?
+        task.await.map_err(|e| failure::failed(e.to_string()))?
     }
 
     async fn change_to_end(
@@ -189,7 +189,7 @@
         let base = match (&wanted.edit, wanted.based_on_version) {
             (Edit::Set(policy), _) => Some(Policy::clone(policy)),
             // The differences are an extra; the conflict is told without them.
-            (_, Some(version)) => self.rows.version(&wanted.service, version).await.ok().flatten(),
+            (_, Some(version)) => self.store.version(&wanted.service, version).await.ok().flatten(),
             (_, None) => None,
         };
         let differences =
@@ -204,15 +204,15 @@
 
     async fn history(&self, service: &ServiceName, limit: u32) -> Result<Vec<Policy>, Status> {
         let limit = if limit == 0 { HISTORY_DEFAULT } else { limit.min(HISTORY_LIMIT) };
-        let held = self.rows.policy(service).await.map_err(|e| read_error(&e))?;
-        let Some(held) = held else {
-            return Err(answer::refused(format!("no policy names {service}")));
+        let stored = self.store.policy(service).await.map_err(|e| read_failure(&e))?;
+        let Some(stored) = stored else {
+            return Err(failure::refused(format!("no policy names {service}")));
         };
-        let newest = held.policy.version;
+        let newest = stored.policy.version;
         let oldest = newest.saturating_sub(u64::from(limit) - 1).max(1);
-        let reads = (oldest..newest).rev().map(|version| self.rows.version(service, version));
-        let older = future::try_join_all(reads).await.map_err(|e| read_error(&e))?;
-        let mut history = vec![held.policy];
+        let reads = (oldest..newest).rev().map(|version| self.store.version(service, version));
+        let older = future::try_join_all(reads).await.map_err(|e| read_failure(&e))?;
+        let mut history = vec![stored.policy];
         history.extend(older.into_iter().flatten());
         Ok(history)
     }
@@ -221,12 +221,12 @@
         let service = service_name(service)?;
         let snapshot = self.deps.snapshots.current();
         let policy = snapshot.policies.get(&service).cloned();
-        policy.ok_or_else(|| answer::refused(format!("no policy names {service}")))
+        policy.ok_or_else(|| failure::refused(format!("no policy names {service}")))
     }
 }
 
 fn service_name(text: &str) -> Result<ServiceName, Status> {
-    convert::service(text).map_err(|e| answer::usage(e.to_string()))
+    convert::service(text).map_err(|e| failure::usage(e.to_string()))
 }
 
 fn optional_service(text: &str) -> Result<Option<ServiceName>, Status> {
@@ -236,9 +236,9 @@
     service_name(text).map(Some)
 }
 
-fn read_error(e: &ReadError) -> Status {
+fn read_failure(e: &ReadError) -> Status {
     match e {
-        ReadError::Platform(e) => answer::unreachable(e),
-        ReadError::Garbage(detail) => answer::failed(detail),
+        ReadError::Platform(e) => failure::unreachable(e),
+        ReadError::Malformed(detail) => failure::failed(detail),
     }
 }
--- a/crates/azuregate/src/operators/service.rs
+++ b/crates/azuregate/src/operators/service.rs
@@ -9,9 +9,9 @@
 use tonic::{Request, Response, Status};
 
 use super::{
-    OperatorsService, answer, convert, describe,
+    OperatorsService, convert, describe,
     edit::{Edit, Wanted},
-    effect, optional_service, service_name,
+    effect, failure, optional_service, service_name,
 };
 
 type Answer<T> = Result<Response<T>, Status>;
@@ -19,10 +19,10 @@
 /// The change that a request for a drain stands for.
 fn drain(request: &v1::DrainRequest, edit: fn(Vec<BackendId>) -> Edit) -> Result<Wanted, Status> {
     if request.backends.is_empty() {
-        return Err(answer::usage("backends must not be empty"));
+        return Err(failure::usage("backends must not be empty"));
     }
     for id in &request.backends {
-        convert::check_name("backends", id).map_err(|e| answer::usage(e.to_string()))?;
+        convert::check_name("backends", id).map_err(|e| failure::usage(e.to_string()))?;
     }
     let mut ids: Vec<_> = request.backends.iter().map(|id| BackendId::new(id)).collect();
     ids.sort();
@@ -90,7 +90,7 @@
     ) -> Answer<v1::ChangeResponse> {
         let request = request.into_inner();
         let mut policy = convert::from_proto(request.policy.unwrap_or_default())
-            .map_err(|e| answer::usage(e.to_string()))?;
+            .map_err(|e| failure::usage(e.to_string()))?;
         // What the file says of these is of the version that it was read from.
         policy.version = 0;
         policy.operation_id.clear();
@@ -109,7 +109,7 @@
     ) -> Answer<v1::ChangeResponse> {
         let request = request.into_inner();
         let to_share_ppm = convert::shares_from_proto("to_share_ppm", &request.to_share_ppm)
-            .map_err(|e| answer::usage(e.to_string()))?;
+            .map_err(|e| failure::usage(e.to_string()))?;
         let cap = request.cap.map(|v1::Cap { share_ppm, window_ms }| Cap { share_ppm, window_ms });
         let wanted = Wanted {
             service: service_name(&request.service)?,
--- a/crates/azuregate/src/operators/settle.rs
+++ b/crates/azuregate/src/operators/settle.rs
@@ -15,9 +15,9 @@
 use tonic::Status;
 
 use super::{
-    answer::{self, FailureClass},
     edit::Wanted,
-    rows::{Held, Operation, ReadError, Rows},
+    failure::{self, FailureClass},
+    store::{Operation, PolicyStore, ReadError, StoredPolicy},
     validate,
 };
 use crate::{
@@ -55,7 +55,7 @@
 /// Makes changes.
 #[derive(Clone)]
 pub(crate) struct Settler {
-    pub(crate) rows: Rows,
+    pub(crate) store: PolicyStore,
     pub(crate) clock: SharedClock,
     /// Tells which zones and backend servers there are.
     pub(crate) snapshots: Snapshots,
@@ -99,7 +99,7 @@
             }
         }
         let Some(Pending { error, .. }) = run.pending else {
-            return Err(answer::refused("other changes kept coming first; nothing was changed"));
+            return Err(failure::refused("other changes kept coming first; nothing was changed"));
         };
         Err(unknown(&error))
     }
@@ -107,34 +107,34 @@
 
 impl Run<'_> {
     async fn step(&mut self) -> Step {
-        let (operation, held) = match self.look().await {
+        let (operation, stored) = match self.look().await {
             Ok(seen) => seen,
             Err(e) => return read_failed(e, self.pending.as_ref()),
         };
         if let Some(operation) = operation {
             return Some(self.applied(&operation).await);
         }
-        let row_version = held.as_ref().map_or(0, |held| held.row_version);
+        let row_version = stored.as_ref().map_or(0, |stored| stored.row_version);
         // A write under the condition of an older row can no longer take effect.
         self.pending.take_if(|pending| pending.row_version != row_version);
-        let version = held.as_ref().map_or(0, |held| held.policy.version);
+        let version = stored.as_ref().map_or(0, |stored| stored.policy.version);
         if self.based_on_version.is_some_and(|based_on| based_on != version) {
-            return Some(Ok(Settled::Conflict(held.map(|held| held.policy))));
+            return Some(Ok(Settled::Conflict(stored.map(|stored| stored.policy))));
         }
         if !self.wanted.edit.commutes() {
             // Whatever comes after the first look, the operator cannot have seen.
             self.based_on_version = Some(version);
         }
-        let next = match self.next(held.as_ref()) {
+        let next = match self.next(stored.as_ref()) {
             Ok(next) => next,
             Err(_) if self.pending.is_some() => return None,
             Err(status) => return Some(Err(status)),
         };
         if self.dry_run {
-            let before = held.map(|held| held.policy);
+            let before = stored.map(|stored| stored.policy);
             return Some(Ok(Settled::Planned { before, policy: next }));
         }
-        self.commit(held, next).await
+        self.commit(stored, next).await
     }
 
     /// The policy that the change leads to.
@@ -142,57 +142,57 @@
     /// Names are checked here, and not when the call comes in: what a change that
     /// was made before names may be gone since, and a refusal would tell that
     /// nothing was changed.
-    fn next(&self, held: Option<&Held>) -> Result<Policy, Status> {
+    fn next(&self, stored: Option<&StoredPolicy>) -> Result<Policy, Status> {
         validate::known_names(self.wanted, &self.settler.snapshots.current())?;
-        let policy = held.map(|held| &held.policy);
+        let policy = stored.map(|stored| &stored.policy);
         let now_ms = self.settler.clock.epoch();
         let next = self.wanted.edit.apply(&self.wanted.service, policy, now_ms)?;
         Ok(Policy { operation_id: self.wanted.operation_id.clone(), ..next })
     }
 
-    async fn look(&self) -> Result<(Option<Operation>, Option<Held>), ReadError> {
+    async fn look(&self) -> Result<(Option<Operation>, Option<StoredPolicy>), ReadError> {
         // In this order: a policy that is read last could be of this very
         // operation, taking effect in between, and look like a rival's.
-        let held = self.settler.rows.policy(&self.wanted.service).await?;
-        let operation = self.settler.rows.operation(self.wanted).await?;
-        Ok((operation, held))
+        let stored = self.settler.store.policy(&self.wanted.service).await?;
+        let operation = self.settler.store.operation(self.wanted).await?;
+        Ok((operation, stored))
     }
 
-    async fn commit(&mut self, held: Option<Held>, next: Policy) -> Step {
-        match self.settler.rows.commit(self.wanted, held.as_ref(), &next).await {
+    async fn commit(&mut self, stored: Option<StoredPolicy>, next: Policy) -> Step {
+        match self.settler.store.commit(self.wanted, stored.as_ref(), &next).await {
             Ok(Commit::Done(_)) => {
-                let before = held.map(|held| held.policy);
+                let before = stored.map(|stored| stored.policy);
                 Some(Ok(Settled::Accepted { before, policy: next }))
             }
             // The next look tells whether a rival or an own write came first.
             Ok(Commit::Conflict { .. }) => None,
             Err(error) if error.effect() == Effect::Unknown => {
-                let row_version = held.map_or(0, |held| held.row_version);
+                let row_version = stored.map_or(0, |stored| stored.row_version);
                 self.pending = Some(Pending { row_version, error });
                 None
             }
             Err(_) if self.pending.is_some() => None,
-            Err(error) => Some(Err(answer::unreachable(&error))),
+            Err(error) => Some(Err(failure::unreachable(&error))),
         }
     }
 
     async fn applied(&self, operation: &Operation) -> Result<Settled, Status> {
         if operation.fingerprint != self.wanted.fingerprint() {
             let id = &self.wanted.operation_id;
-            return Err(answer::refused(format!(
+            return Err(failure::refused(format!(
                 "the operation id {id:?} named another change before; nothing was changed"
             )));
         }
         let version = operation.version;
-        match self.settler.rows.version(&self.wanted.service, version).await {
+        match self.settler.store.version(&self.wanted.service, version).await {
             Ok(Some(policy)) => {
                 let repeated = self.pending.is_none();
                 Ok(Settled::Applied { policy, repeated })
             }
             Ok(None) => {
-                Err(answer::failed(format!("the change led to version {version}, which is gone")))
+                Err(failure::failed(format!("the change led to version {version}, which is gone")))
             }
-            Err(ReadError::Garbage(detail)) => Err(answer::failed(detail)),
+            Err(ReadError::Malformed(detail)) => Err(failure::failed(detail)),
             Err(ReadError::Platform(e)) => Err(unknown(&e)),
         }
     }
@@ -201,8 +201,8 @@
 fn read_failed(e: ReadError, pending: Option<&Pending>) -> Step {
     match (e, pending) {
         (_, Some(_)) => None,
-        (ReadError::Platform(e), None) => Some(Err(answer::unreachable(&e))),
-        (ReadError::Garbage(detail), None) => Some(Err(answer::failed(detail))),
+        (ReadError::Platform(e), None) => Some(Err(failure::unreachable(&e))),
+        (ReadError::Malformed(detail), None) => Some(Err(failure::failed(detail))),
     }
 }
 
@@ -210,5 +210,5 @@
     let detail = format!(
         "it is not known whether the change was made; repeat it with the same operation id: {e}"
     );
-    answer::failure(FailureClass::Unknown, detail)
+    failure::status(FailureClass::Unknown, detail)
 }
--- a/crates/azuregate/src/operators/rows.rs
+++ b/crates/azuregate/src/operators/store.rs
@@ -17,13 +17,13 @@
 
 /// A policy's rows in the platform; cheap to clone.
 #[derive(Clone)]
-pub(crate) struct Rows {
+pub(crate) struct PolicyStore {
     platform: SharedPlatform,
 }
 
 /// What the platform holds for a policy.
 #[derive(Clone, Debug)]
-pub(crate) struct Held {
+pub(crate) struct StoredPolicy {
     pub(crate) row_version: u64,
     pub(crate) policy: Policy,
 }
@@ -44,21 +44,24 @@
     /// The platform did not serve.
     Platform(PlatformError),
     /// A row is not understood.
-    Garbage(String),
+    Malformed(String),
 }
 
-impl Rows {
-    pub(crate) fn new(platform: SharedPlatform) -> Rows {
-        Rows { platform }
+impl PolicyStore {
+    pub(crate) fn new(platform: SharedPlatform) -> PolicyStore {
+        PolicyStore { platform }
     }
 
     /// The policy of a service.
-    pub(crate) async fn policy(&self, service: &ServiceName) -> Result<Option<Held>, ReadError> {
-        let Some(row) = self.row(Table::Policy, service.as_str()).await? else {
+    pub(crate) async fn policy(
+        &self,
+        service: &ServiceName,
+    ) -> Result<Option<StoredPolicy>, ReadError> {
+        let Some(row) = self.read_row(Table::Policy, service.as_str()).await? else {
             return Ok(None);
         };
         let row_version = row.version;
-        Ok(Some(Held { row_version, policy: parse(row)? }))
+        Ok(Some(StoredPolicy { row_version, policy: parse(row)? }))
     }
 
     /// A version of a policy that was accepted.
@@ -67,13 +70,13 @@
         service: &ServiceName,
         version: u64,
     ) -> Result<Option<Policy>, ReadError> {
-        let row = self.row(Table::PolicyHistory, &version_key(service, version)).await?;
+        let row = self.read_row(Table::PolicyHistory, &version_key(service, version)).await?;
         row.map(parse).transpose()
     }
 
     /// An operation that was applied.
     pub(crate) async fn operation(&self, wanted: &Wanted) -> Result<Option<Operation>, ReadError> {
-        let row = self.row(Table::PolicyHistory, &operation_key(wanted)).await?;
+        let row = self.read_row(Table::PolicyHistory, &operation_key(wanted)).await?;
         row.map(parse).transpose()
     }
 
@@ -81,15 +84,15 @@
     pub(crate) async fn commit(
         &self,
         wanted: &Wanted,
-        held: Option<&Held>,
+        stored: Option<&StoredPolicy>,
         next: &Policy,
     ) -> platform::Result<Commit> {
         let operation = Operation { version: next.version, fingerprint: wanted.fingerprint() };
         let policy = Write {
             table: Table::Policy,
             key: wanted.service.to_string(),
-            expect: held.map_or(Expect::Absent, |held| Expect::Version(held.row_version)),
-            value: Some(value(next)?),
+            expect: stored.map_or(Expect::Absent, |stored| Expect::Version(stored.row_version)),
+            value: Some(to_value(next)?),
         };
         let history = |key: String, value: serde_json::Value| Write {
             table: Table::PolicyHistory,
@@ -99,13 +102,13 @@
         };
         let writes = [
             policy,
-            history(version_key(&wanted.service, next.version), value(next)?),
-            history(operation_key(wanted), value(&operation)?),
+            history(version_key(&wanted.service, next.version), to_value(next)?),
+            history(operation_key(wanted), to_value(&operation)?),
         ];
         self.platform.transact(&writes).await
     }
 
-    async fn row(&self, table: Table, key: &str) -> Result<Option<Row>, ReadError> {
+    async fn read_row(&self, table: Table, key: &str) -> Result<Option<Row>, ReadError> {
         self.platform.read(table, key).await.map_err(ReadError::Platform)
     }
 }
@@ -118,11 +121,11 @@
     format!("{}/operation/{}", wanted.service, wanted.operation_id)
 }
 
-fn value(content: &impl Serialize) -> platform::Result<serde_json::Value> {
+fn to_value(content: &impl Serialize) -> platform::Result<serde_json::Value> {
     serde_json::to_value(content).map_err(|e| PlatformError::new(Effect::None, e.to_string()))
 }
 
 fn parse<T: DeserializeOwned>(row: Row) -> Result<T, ReadError> {
     serde_json::from_value(row.value)
-        .map_err(|e| ReadError::Garbage(format!("the row {:?} is not understood: {e}", row.key)))
+        .map_err(|e| ReadError::Malformed(format!("the row {:?} is not understood: {e}", row.key)))
 }
--- a/crates/azuregate/src/operators/validate.rs
+++ b/crates/azuregate/src/operators/validate.rs
@@ -9,8 +9,8 @@
 use tonic::Status;
 
 use super::{
-    answer::refused,
     edit::{Edit, Wanted},
+    failure::refused,
 };
 use crate::jsonc::closest_match;
 
