--- a/crates/azuregate/src/cli/policy_file.rs
+++ b/crates/azuregate/src/cli/policy_file.rs
@@ -50,7 +50,7 @@
 }
 
 fn service(text: &str) -> Result<(), String> {
-    convert::service(text).map(|_| ()).map_err(|e| shorten(&e.to_string()))
+    convert::service_name(text).map(|_| ()).map_err(|e| shorten(&e.to_string()))
 }
 
 fn name(text: &str) -> Result<(), String> {
--- a/crates/azuregate/src/operators/convert.rs
+++ b/crates/azuregate/src/operators/convert.rs
@@ -10,7 +10,7 @@
 use azuregate_schema::v1;
 
 /// The longest name, in bytes.
-const NAME_LIMIT_BYTES: usize = 63;
+const MAX_NAME_BYTES: usize = 63;
 
 /// A policy that operators may not set.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -48,7 +48,7 @@
 ///
 /// When a field is missing or out of bounds; the error names it.
 pub fn from_proto(policy: v1::Policy) -> Result<Policy, PolicyError> {
-    let service = service(&policy.service)?;
+    let service = service_name(&policy.service)?;
     let zone_share_ppm = shares_from_proto("zone_share_ppm", &policy.zone_share_ppm)?;
     for id in &policy.drains {
         check_name("drains", id)?;
@@ -76,7 +76,7 @@
 ///
 /// When the name is empty, too long, or holds what has a meaning in the keys of
 /// rows or cannot stand in a Host header.
-pub fn service(text: &str) -> Result<ServiceName, PolicyError> {
+pub fn service_name(text: &str) -> Result<ServiceName, PolicyError> {
     check_name("service", text)?;
     if text.chars().any(|c| c.is_ascii_uppercase()) {
         return Err(error(format!("service must be in lower case, as in Host, not {text:?}")));
@@ -92,11 +92,11 @@
 /// hyphens and underscores.
 pub fn check_name(field: &str, text: &str) -> Result<(), PolicyError> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if (1..=NAME_LIMIT_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
+    if (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
         return Ok(());
     }
     Err(error(format!(
-        "{field} must be 1 to {NAME_LIMIT_BYTES} letters, digits, dots, hyphens or underscores, \
+        "{field} must be 1 to {MAX_NAME_BYTES} letters, digits, dots, hyphens or underscores, \
          not {text:?}"
     )))
 }
--- a/crates/azuregate/src/operators/describe.rs
+++ b/crates/azuregate/src/operators/describe.rs
@@ -6,7 +6,7 @@
 };
 use azuregate_schema::v1;
 
-use super::effect::reasons;
+use super::effect::closed_reasons;
 use crate::metrics::{HistogramSummary, Histograms};
 
 /// Whether an instance is ready, and why.
@@ -43,14 +43,14 @@
 
 /// The backend servers of one service, or of all.
 pub(super) fn backends(snapshot: &Snapshot, service: Option<&ServiceName>) -> Vec<v1::Backend> {
-    let wanted = |name: &ServiceName| service.is_none_or(|service| service == name);
-    let services = snapshot.backends.iter().filter(|(name, _)| wanted(name));
+    let is_selected = |name: &ServiceName| service.is_none_or(|service| service == name);
+    let services = snapshot.backends.iter().filter(|(name, _)| is_selected(name));
     services.flat_map(|(_, servers)| servers.iter()).map(|s| backend(snapshot, s)).collect()
 }
 
 fn backend(snapshot: &Snapshot, server: &BackendServer) -> v1::Backend {
     let policy = snapshot.policies.get(&server.service).map(|policy| &**policy);
-    let reasons = reasons(snapshot, server, policy);
+    let reasons = closed_reasons(snapshot, server, policy);
     v1::Backend {
         id: server.id.to_string(),
         service: server.service.to_string(),
@@ -67,9 +67,9 @@
     histograms: Histograms,
     service: Option<&ServiceName>,
 ) -> Vec<v1::Histogram> {
-    let wanted =
+    let is_selected =
         |summary: &HistogramSummary| service.is_none_or(|service| *service == summary.service);
-    histograms.histograms.into_iter().filter(wanted).map(histogram).collect()
+    histograms.histograms.into_iter().filter(is_selected).map(histogram).collect()
 }
 
 fn histogram(summary: HistogramSummary) -> v1::Histogram {
--- a/crates/azuregate/src/operators/difference.rs
+++ b/crates/azuregate/src/operators/difference.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 /// Fields that differ between any two versions.
-const BOOKKEEPING: [&str; 2] = ["version", "operation_id"];
+const IGNORED_FIELDS: [&str; 2] = ["version", "operation_id"];
 
 /// The fields that differ, ordered by name.
 pub(super) fn between(before: Option<&Policy>, after: &Policy) -> Vec<v1::Difference> {
@@ -34,7 +34,7 @@
     if let Ok(value) = serde_json::to_value(policy) {
         flatten("", value, &mut fields);
     }
-    for name in BOOKKEEPING {
+    for name in IGNORED_FIELDS {
         fields.remove(name);
     }
     fields
--- a/crates/azuregate/src/operators/edit.rs
+++ b/crates/azuregate/src/operators/edit.rs
@@ -13,7 +13,7 @@
 
 /// A change that an operator asked for.
 #[derive(Clone, Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct ChangeRequest {
     pub(crate) service: ServiceName,
     /// Names the change in the platform.
     pub(crate) operation_id: String,
@@ -38,7 +38,7 @@
     Undrain(Vec<BackendId>),
 }
 
-impl Wanted {
+impl ChangeRequest {
     /// Tells this change from any other that is sent under the same
     /// operation id by mistake.
     pub(crate) fn fingerprint(&self) -> String {
@@ -69,9 +69,9 @@
             return self.create(service);
         };
         let next = match self {
-            Edit::Set(wanted) => stored
-                .check_replace(wanted, now_ms)
-                .map(|()| Policy { version: stored.version + 1, ..Policy::clone(wanted) }),
+            Edit::Set(replacement) => stored
+                .check_replace(replacement, now_ms)
+                .map(|()| Policy { version: stored.version + 1, ..Policy::clone(replacement) }),
             Edit::StartShift { to_share_ppm, cap } => {
                 stored.start_shift(to_share_ppm, *cap, now_ms)
             }
@@ -89,10 +89,10 @@
     }
 
     fn create(&self, service: &ServiceName) -> Result<Policy, Status> {
-        let Edit::Set(wanted) = self else {
+        let Edit::Set(replacement) = self else {
             return Err(refused(format!("no policy names {service}")));
         };
-        wanted.check().map_err(|e| change_error(&e))?;
-        Ok(Policy { version: 1, ..Policy::clone(wanted) })
+        replacement.check().map_err(|e| change_error(&e))?;
+        Ok(Policy { version: 1, ..Policy::clone(replacement) })
     }
 }
--- a/crates/azuregate/src/operators/effect.rs
+++ b/crates/azuregate/src/operators/effect.rs
@@ -59,18 +59,23 @@
                 zone: zone.to_string(),
                 before_ppm: share(&before, zone),
                 after_ppm: share(&after, zone),
-                open_before: count(self.open(self.before).filter(|server| server.zone == *zone)),
-                open_after: count(self.open(Some(self.after)).filter(|s| s.zone == *zone)),
+                open_before: count(
+                    self.open_backends(self.before).filter(|server| server.zone == *zone),
+                ),
+                open_after: count(self.open_backends(Some(self.after)).filter(|s| s.zone == *zone)),
             })
             .collect()
     }
 
-    fn open<'a>(&'a self, policy: Option<&'a Policy>) -> impl Iterator<Item = &'a BackendServer> {
+    fn open_backends<'a>(
+        &'a self,
+        policy: Option<&'a Policy>,
+    ) -> impl Iterator<Item = &'a BackendServer> {
         let servers = self.snapshot.backends.get(&self.after.service);
         servers
             .map_or(&[][..], |servers| servers)
             .iter()
-            .filter(move |server| reasons(self.snapshot, server, policy).is_empty())
+            .filter(move |server| closed_reasons(self.snapshot, server, policy).is_empty())
     }
 
     /// A shift moves shares; a drain moves what the closed servers had.
@@ -78,7 +83,8 @@
         if let Some(shift) = self.new_shift() {
             return u32::try_from(shift.distance_ppm()).unwrap_or(WHOLE_PPM);
         }
-        let slots = |policy| self.open(policy).map(|server| u64::from(server.slots)).sum::<u64>();
+        let slots =
+            |policy| self.open_backends(policy).map(|server| u64::from(server.slots)).sum::<u64>();
         let (before, after) = (slots(self.before), slots(Some(self.after)));
         let closed = before.saturating_sub(after) * u64::from(WHOLE_PPM);
         u32::try_from(closed / before.max(1)).unwrap_or(WHOLE_PPM)
@@ -122,7 +128,7 @@
 }
 
 /// Why a backend server gets no new work under `policy`; empty if it does.
-pub(super) fn reasons(
+pub(super) fn closed_reasons(
     snapshot: &Snapshot,
     server: &BackendServer,
     policy: Option<&Policy>,
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -8,7 +8,7 @@
 
 * `edit` turns what an operator asked for into the next version of a policy.
 * `store` keeps that version, its history and the operation, in one transaction.
-* `settle` makes a change once at the most, whatever answers are lost.
+* `execute` makes a change once at the most, whatever answers are lost.
 * `validate` refuses names that nobody knows, `effect` tells what a change moves.
 */
 
@@ -18,9 +18,9 @@
 mod difference;
 mod edit;
 mod effect;
+mod execute;
 mod failure;
 mod service;
-mod settle;
 mod store;
 mod validate;
 
@@ -38,9 +38,9 @@
 pub use failure::FailureClass;
 
 use self::{
-    edit::{Edit, Wanted},
+    edit::{ChangeRequest, Edit},
     effect::Comparison,
-    settle::{Settled, Settler},
+    execute::{ChangeExecutor, ChangeOutcome},
     store::{PolicyStore, ReadError},
 };
 use crate::{
@@ -52,12 +52,12 @@
 };
 
 /// How many versions a history holds unless the operator says otherwise.
-const HISTORY_DEFAULT: u32 = 20;
+const DEFAULT_HISTORY_LIMIT: u32 = 20;
 /// How many versions a history holds at the most: each is a read.
-const HISTORY_LIMIT: u32 = 100;
+const MAX_HISTORY_LIMIT: u32 = 100;
 
 /// How long an answer waits for the change to be in force here.
-const APPLY_LIMIT_MS: u64 = 1_000;
+const APPLY_TIMEOUT_MS: u64 = 1_000;
 
 /// What the operators' service works with.
 pub struct Dependencies {
@@ -86,67 +86,73 @@
 pub struct OperatorsService {
     deps: Arc<Dependencies>,
     store: PolicyStore,
-    settler: Settler,
+    executor: ChangeExecutor,
 }
 
 impl OperatorsService {
     /// A service that works with `deps`.
     pub fn new(deps: Dependencies) -> OperatorsService {
         let store = PolicyStore::new(Arc::clone(&deps.platform));
-        let settler = Settler {
+        let executor = ChangeExecutor {
             store: store.clone(),
             clock: Arc::clone(&deps.clock),
             snapshots: deps.snapshots.clone(),
         };
-        OperatorsService { deps: Arc::new(deps), store, settler }
+        OperatorsService { deps: Arc::new(deps), store, executor }
     }
 
     /// Makes a change and brings it into force on this instance.
-    async fn change(&self, wanted: Wanted, dry_run: bool) -> Result<v1::ChangeResponse, Status> {
-        convert::check_name("operation_id", &wanted.operation_id)
+    async fn change(
+        &self,
+        request: ChangeRequest,
+        dry_run: bool,
+    ) -> Result<v1::ChangeResponse, Status> {
+        convert::check_name("operation_id", &request.operation_id)
             .map_err(|e| failure::usage(e.to_string()))?;
         // An operator who goes away, or whose deadline passes, drops the call's
         // future. A task of its own goes on: otherwise a write might be left
         // unsettled, and be in force everywhere but here.
         let service = self.clone();
-        let task = tokio::spawn(async move { service.change_to_end(&wanted, dry_run).await });
+        let task = tokio::spawn(async move { service.execute_change(&request, dry_run).await });
         task.await.map_err(|e| failure::failed(e.to_string()))?
     }
 
-    async fn change_to_end(
+    async fn execute_change(
         &self,
-        wanted: &Wanted,
+        request: &ChangeRequest,
         dry_run: bool,
     ) -> Result<v1::ChangeResponse, Status> {
-        let settled = self.settler.settle(wanted, dry_run).await.inspect_err(|e| {
+        let outcome = self.executor.execute(request, dry_run).await.inspect_err(|e| {
             log::warn!(
-                service:% = wanted.service, operation:% = wanted.operation_id,
+                service:% = request.service, operation:% = request.operation_id,
                 code = FailureClass::from_status(e).map_or("unknown", FailureClass::as_str),
                 detail = e.message();
                 "change failed"
             );
         })?;
-        let response = match settled {
-            Settled::Accepted { before, policy } => {
-                self.accept(wanted, &policy).await;
-                let response = self.compare(before.as_ref(), &policy);
+        let response = match outcome {
+            ChangeOutcome::Accepted { before, policy } => {
+                self.apply_and_log(request, &policy).await;
+                let response = self.describe_change(before.as_ref(), &policy);
                 v1::ChangeResponse { accepted: true, ..response }
             }
-            Settled::Applied { policy, repeated } => {
-                self.accept(wanted, &policy).await;
+            ChangeOutcome::AlreadyApplied { policy, repeated } => {
+                self.apply_and_log(request, &policy).await;
                 let policy = Some(convert::to_proto(&policy));
                 v1::ChangeResponse { accepted: true, policy, repeated, ..Default::default() }
             }
-            Settled::Planned { before, policy } => self.compare(before.as_ref(), &policy),
-            Settled::Conflict(winner) => self.conflict(wanted, winner).await,
+            ChangeOutcome::DryRun { before, policy } => {
+                self.describe_change(before.as_ref(), &policy)
+            }
+            ChangeOutcome::Conflict(winner) => self.conflict_response(request, winner).await,
         };
         Ok(response)
     }
 
-    async fn accept(&self, wanted: &Wanted, policy: &Policy) {
-        self.apply(policy).await;
+    async fn apply_and_log(&self, request: &ChangeRequest, policy: &Policy) {
+        self.apply_locally(policy).await;
         log::info!(
-            service:% = wanted.service, operation:% = wanted.operation_id,
+            service:% = request.service, operation:% = request.operation_id,
             version = policy.version;
             "change accepted"
         );
@@ -154,17 +160,17 @@
 
     /// Brings a policy into force here, before the operator has the answer: a
     /// script that reads what it set would else see the version before.
-    async fn apply(&self, policy: &Policy) {
+    async fn apply_locally(&self, policy: &Policy) {
         self.deps.config.change(Change::Policy(Box::new(policy.clone()), Source::Platform));
         let mut snapshots = self.deps.snapshots.watch();
         let in_force = snapshots.wait_for(|snapshot| {
             let version = snapshot.policies.get(&policy.service).map_or(0, |policy| policy.version);
             version >= policy.version
         });
-        let _ = time::timeout(Duration::from_millis(APPLY_LIMIT_MS), in_force).await;
+        let _ = time::timeout(Duration::from_millis(APPLY_TIMEOUT_MS), in_force).await;
     }
 
-    fn compare(&self, before: Option<&Policy>, after: &Policy) -> v1::ChangeResponse {
+    fn describe_change(&self, before: Option<&Policy>, after: &Policy) -> v1::ChangeResponse {
         let snapshot = self.deps.snapshots.current();
         let now_ms = self.deps.clock.epoch();
         let comparison = Comparison { before, after, snapshot: &snapshot, now_ms };
@@ -176,20 +182,26 @@
         }
     }
 
-    async fn conflict(&self, wanted: &Wanted, winner: Option<Policy>) -> v1::ChangeResponse {
+    async fn conflict_response(
+        &self,
+        request: &ChangeRequest,
+        winner: Option<Policy>,
+    ) -> v1::ChangeResponse {
         log::info!(
-            service:% = wanted.service, operation:% = wanted.operation_id,
+            service:% = request.service, operation:% = request.operation_id,
             version = winner.as_ref().map_or(0, |winner| winner.version);
             "change lost to another"
         );
         let Some(winner) = winner else {
             return v1::ChangeResponse { conflict: true, ..Default::default() };
         };
-        self.apply(&winner).await;
-        let base = match (&wanted.edit, wanted.based_on_version) {
+        self.apply_locally(&winner).await;
+        let base = match (&request.edit, request.based_on_version) {
             (Edit::Set(policy), _) => Some(Policy::clone(policy)),
             // The differences are an extra; the conflict is told without them.
-            (_, Some(version)) => self.store.version(&wanted.service, version).await.ok().flatten(),
+            (_, Some(version)) => {
+                self.store.version(&request.service, version).await.ok().flatten()
+            }
             (_, None) => None,
         };
         let differences =
@@ -203,7 +215,7 @@
     }
 
     async fn history(&self, service: &ServiceName, limit: u32) -> Result<Vec<Policy>, Status> {
-        let limit = if limit == 0 { HISTORY_DEFAULT } else { limit.min(HISTORY_LIMIT) };
+        let limit = if limit == 0 { DEFAULT_HISTORY_LIMIT } else { limit.min(MAX_HISTORY_LIMIT) };
         let stored = self.store.policy(service).await.map_err(|e| read_failure(&e))?;
         let Some(stored) = stored else {
             return Err(failure::refused(format!("no policy names {service}")));
@@ -218,22 +230,22 @@
     }
 
     fn policy_in_force(&self, service: &str) -> Result<Arc<Policy>, Status> {
-        let service = service_name(service)?;
+        let service = parse_service_name(service)?;
         let snapshot = self.deps.snapshots.current();
         let policy = snapshot.policies.get(&service).cloned();
         policy.ok_or_else(|| failure::refused(format!("no policy names {service}")))
     }
 }
 
-fn service_name(text: &str) -> Result<ServiceName, Status> {
-    convert::service(text).map_err(|e| failure::usage(e.to_string()))
+fn parse_service_name(text: &str) -> Result<ServiceName, Status> {
+    convert::service_name(text).map_err(|e| failure::usage(e.to_string()))
 }
 
-fn optional_service(text: &str) -> Result<Option<ServiceName>, Status> {
+fn parse_optional_service(text: &str) -> Result<Option<ServiceName>, Status> {
     if text.is_empty() {
         return Ok(None);
     }
-    service_name(text).map(Some)
+    parse_service_name(text).map(Some)
 }
 
 fn read_failure(e: &ReadError) -> Status {
--- a/crates/azuregate/src/operators/service.rs
+++ b/crates/azuregate/src/operators/service.rs
@@ -10,14 +10,17 @@
 
 use super::{
     OperatorsService, convert, describe,
-    edit::{Edit, Wanted},
-    effect, failure, optional_service, service_name,
+    edit::{ChangeRequest, Edit},
+    effect, failure, parse_optional_service, parse_service_name,
 };
 
 type Answer<T> = Result<Response<T>, Status>;
 
 /// The change that a request for a drain stands for.
-fn drain(request: &v1::DrainRequest, edit: fn(Vec<BackendId>) -> Edit) -> Result<Wanted, Status> {
+fn drain_change(
+    request: &v1::DrainRequest,
+    edit: fn(Vec<BackendId>) -> Edit,
+) -> Result<ChangeRequest, Status> {
     if request.backends.is_empty() {
         return Err(failure::usage("backends must not be empty"));
     }
@@ -27,8 +30,8 @@
     let mut ids: Vec<_> = request.backends.iter().map(|id| BackendId::new(id)).collect();
     ids.sort();
     ids.dedup();
-    Ok(Wanted {
-        service: service_name(&request.service)?,
+    Ok(ChangeRequest {
+        service: parse_service_name(&request.service)?,
         operation_id: request.operation_id.clone(),
         based_on_version: request.based_on_version,
         edit: edit(ids),
@@ -79,7 +82,7 @@
         request: Request<v1::PolicyHistoryRequest>,
     ) -> Answer<v1::PolicyHistoryResponse> {
         let request = request.into_inner();
-        let history = self.history(&service_name(&request.service)?, request.limit).await?;
+        let history = self.history(&parse_service_name(&request.service)?, request.limit).await?;
         let policies = history.iter().map(convert::to_proto).collect();
         Ok(Response::new(v1::PolicyHistoryResponse { policies }))
     }
@@ -94,13 +97,13 @@
         // What the file says of these is of the version that it was read from.
         policy.version = 0;
         policy.operation_id.clear();
-        let wanted = Wanted {
+        let change = ChangeRequest {
             service: policy.service.clone(),
             operation_id: request.operation_id,
             based_on_version: Some(request.based_on_version),
             edit: Edit::Set(Box::new(policy)),
         };
-        Ok(Response::new(self.change(wanted, request.dry_run).await?))
+        Ok(Response::new(self.change(change, request.dry_run).await?))
     }
 
     async fn start_shift(
@@ -111,13 +114,13 @@
         let to_share_ppm = convert::shares_from_proto("to_share_ppm", &request.to_share_ppm)
             .map_err(|e| failure::usage(e.to_string()))?;
         let cap = request.cap.map(|v1::Cap { share_ppm, window_ms }| Cap { share_ppm, window_ms });
-        let wanted = Wanted {
-            service: service_name(&request.service)?,
+        let change = ChangeRequest {
+            service: parse_service_name(&request.service)?,
             operation_id: request.operation_id,
             based_on_version: request.based_on_version,
             edit: Edit::StartShift { to_share_ppm, cap },
         };
-        Ok(Response::new(self.change(wanted, request.dry_run).await?))
+        Ok(Response::new(self.change(change, request.dry_run).await?))
     }
 
     async fn stop_shift(
@@ -125,13 +128,13 @@
         request: Request<v1::StopShiftRequest>,
     ) -> Answer<v1::ChangeResponse> {
         let request = request.into_inner();
-        let wanted = Wanted {
-            service: service_name(&request.service)?,
+        let change = ChangeRequest {
+            service: parse_service_name(&request.service)?,
             operation_id: request.operation_id,
             based_on_version: request.based_on_version,
             edit: Edit::StopShift,
         };
-        Ok(Response::new(self.change(wanted, request.dry_run).await?))
+        Ok(Response::new(self.change(change, request.dry_run).await?))
     }
 
     async fn get_shift(
@@ -154,21 +157,21 @@
 
     async fn start_drain(&self, request: Request<v1::DrainRequest>) -> Answer<v1::ChangeResponse> {
         let request = request.into_inner();
-        let wanted = drain(&request, Edit::Drain)?;
-        Ok(Response::new(self.change(wanted, request.dry_run).await?))
+        let change = drain_change(&request, Edit::Drain)?;
+        Ok(Response::new(self.change(change, request.dry_run).await?))
     }
 
     async fn stop_drain(&self, request: Request<v1::DrainRequest>) -> Answer<v1::ChangeResponse> {
         let request = request.into_inner();
-        let wanted = drain(&request, Edit::Undrain)?;
-        Ok(Response::new(self.change(wanted, request.dry_run).await?))
+        let change = drain_change(&request, Edit::Undrain)?;
+        Ok(Response::new(self.change(change, request.dry_run).await?))
     }
 
     async fn list_drains(
         &self,
         request: Request<v1::ListDrainsRequest>,
     ) -> Answer<v1::ListDrainsResponse> {
-        let service = optional_service(&request.into_inner().service)?;
+        let service = parse_optional_service(&request.into_inner().service)?;
         let mut backends = describe::backends(&self.deps.snapshots.current(), service.as_ref());
         backends.retain(|backend| !backend.open);
         Ok(Response::new(v1::ListDrainsResponse { backends }))
@@ -196,7 +199,7 @@
         &self,
         request: Request<v1::HistogramsRequest>,
     ) -> Answer<v1::HistogramsResponse> {
-        let service = optional_service(&request.into_inner().service)?;
+        let service = parse_optional_service(&request.into_inner().service)?;
         let histograms = self.deps.recorder.histograms().await;
         Ok(Response::new(v1::HistogramsResponse {
             dropped: histograms.dropped,
--- a/crates/azuregate/src/operators/store.rs
+++ b/crates/azuregate/src/operators/store.rs
@@ -10,7 +10,7 @@
 use azuregate_core::{names::ServiceName, policy::Policy};
 use serde::{Deserialize, Serialize, de::DeserializeOwned};
 
-use super::edit::Wanted;
+use super::edit::ChangeRequest;
 use crate::platform::{
     self, Commit, Effect, Expect, PlatformError, Row, SharedPlatform, Table, Write,
 };
@@ -34,7 +34,7 @@
 pub(crate) struct Operation {
     /// The version that it led to.
     pub(crate) version: u64,
-    /// See [`Wanted::fingerprint`].
+    /// See [`ChangeRequest::fingerprint`].
     pub(crate) fingerprint: String,
 }
 
@@ -75,22 +75,25 @@
     }
 
     /// An operation that was applied.
-    pub(crate) async fn operation(&self, wanted: &Wanted) -> Result<Option<Operation>, ReadError> {
-        let row = self.read_row(Table::PolicyHistory, &operation_key(wanted)).await?;
+    pub(crate) async fn operation(
+        &self,
+        request: &ChangeRequest,
+    ) -> Result<Option<Operation>, ReadError> {
+        let row = self.read_row(Table::PolicyHistory, &operation_key(request)).await?;
         row.map(parse).transpose()
     }
 
     /// Writes the next version of a policy, if nobody else did.
     pub(crate) async fn commit(
         &self,
-        wanted: &Wanted,
+        request: &ChangeRequest,
         stored: Option<&StoredPolicy>,
         next: &Policy,
     ) -> platform::Result<Commit> {
-        let operation = Operation { version: next.version, fingerprint: wanted.fingerprint() };
+        let operation = Operation { version: next.version, fingerprint: request.fingerprint() };
         let policy = Write {
             table: Table::Policy,
-            key: wanted.service.to_string(),
+            key: request.service.to_string(),
             expect: stored.map_or(Expect::Absent, |stored| Expect::Version(stored.row_version)),
             value: Some(to_value(next)?),
         };
@@ -102,8 +105,8 @@
         };
         let writes = [
             policy,
-            history(version_key(&wanted.service, next.version), to_value(next)?),
-            history(operation_key(wanted), to_value(&operation)?),
+            history(version_key(&request.service, next.version), to_value(next)?),
+            history(operation_key(request), to_value(&operation)?),
         ];
         self.platform.transact(&writes).await
     }
@@ -117,8 +120,8 @@
     format!("{service}/{version}")
 }
 
-fn operation_key(wanted: &Wanted) -> String {
-    format!("{}/operation/{}", wanted.service, wanted.operation_id)
+fn operation_key(request: &ChangeRequest) -> String {
+    format!("{}/operation/{}", request.service, request.operation_id)
 }
 
 fn to_value(content: &impl Serialize) -> platform::Result<serde_json::Value> {
--- a/crates/azuregate/src/operators/validate.rs
+++ b/crates/azuregate/src/operators/validate.rs
@@ -9,7 +9,7 @@
 use tonic::Status;
 
 use super::{
-    edit::{Edit, Wanted},
+    edit::{ChangeRequest, Edit},
     failure::refused,
 };
 use crate::jsonc::closest_match;
@@ -20,15 +20,15 @@
 /// # Errors
 ///
 /// All unknown names at once.
-pub(super) fn known_names(wanted: &Wanted, snapshot: &Snapshot) -> Result<(), Status> {
+pub(super) fn check_names(request: &ChangeRequest, snapshot: &Snapshot) -> Result<(), Status> {
     let mut unknown = Vec::new();
-    match &wanted.edit {
+    match &request.edit {
         Edit::Set(policy) => {
-            zones(&policy.zone_share_ppm, snapshot, &mut unknown);
-            new_drains(policy, snapshot, &mut unknown);
+            check_zones(&policy.zone_share_ppm, snapshot, &mut unknown);
+            check_new_drains(policy, snapshot, &mut unknown);
         }
-        Edit::StartShift { to_share_ppm, .. } => zones(to_share_ppm, snapshot, &mut unknown),
-        Edit::Drain(ids) => backends(&wanted.service, ids.iter(), snapshot, &mut unknown),
+        Edit::StartShift { to_share_ppm, .. } => check_zones(to_share_ppm, snapshot, &mut unknown),
+        Edit::Drain(ids) => check_backends(&request.service, ids.iter(), snapshot, &mut unknown),
         // What is drained may be gone from the list, and is known by the policy.
         Edit::StopShift | Edit::Undrain(_) => {}
     }
@@ -38,7 +38,7 @@
     Err(refused(unknown.join("; ")))
 }
 
-fn zones(shares: &Shares, snapshot: &Snapshot, unknown: &mut Vec<String>) {
+fn check_zones(shares: &Shares, snapshot: &Snapshot, unknown: &mut Vec<String>) {
     let known = || snapshot.topology.zones().map(|zone| zone.as_str());
     for zone in shares.keys().filter(|zone| known().all(|known| known != zone.as_str())) {
         let hint = did_you_mean(zone.as_str(), known());
@@ -47,13 +47,13 @@
 }
 
 /// A server that is drained already may be gone from the list.
-fn new_drains(policy: &Policy, snapshot: &Snapshot, unknown: &mut Vec<String>) {
+fn check_new_drains(policy: &Policy, snapshot: &Snapshot, unknown: &mut Vec<String>) {
     let in_force = snapshot.policies.get(&policy.service).map(|policy| &policy.drains);
     let is_new = |id: &&BackendId| !in_force.is_some_and(|drains| drains.contains(*id));
-    backends(&policy.service, policy.drains.iter().filter(is_new), snapshot, unknown);
+    check_backends(&policy.service, policy.drains.iter().filter(is_new), snapshot, unknown);
 }
 
-fn backends<'a>(
+fn check_backends<'a>(
     service: &ServiceName,
     ids: impl Iterator<Item = &'a BackendId>,
     snapshot: &Snapshot,
