--- a/crates/azuregate/tests/cli/calls.rs
+++ b/crates/azuregate/tests/cli/calls.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpListener;
 
 use crate::{
-    fake::{Bench, Fault, SERVICE, first_policy},
+    fake::{Fault, Fixture, SERVICE, initial_policy},
     server::{self, Run, azuregate},
 };
 
@@ -26,10 +26,10 @@
 
 #[tokio::test]
 async fn what_commands_show() {
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     for (tenant, latency_ms) in [(Some("bakers"), 20), (Some("bakers"), 30), (None, 5)] {
-        bench.recorder.record(Sample {
+        fixture.recorder.record(Sample {
             service: ServiceName::new(SERVICE),
             tenant: tenant.map(TenantName::new),
             class: RequestClass::Read,
@@ -69,15 +69,15 @@
 
 #[tokio::test]
 async fn a_policy_is_read_edited_and_set() {
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     let got = azuregate(&format!("policy get --service {SERVICE} --at {at}")).await;
     let edited = got.stdout.replace("\"queue_ms\": 200", "\"queue_ms\": 300 // longer");
     let edited = file("edited.jsonc", &edited);
     // The file's version is what the change is based on.
     let first = azuregate(&format!("policy set --file {edited} --at {at} --operation-id a")).await;
     assert_eq!(first.exit, 0, "{}", first.stderr);
-    assert_eq!(bench.platform.policy().queue_ms, 300);
+    assert_eq!(fixture.platform.policy().queue_ms, 300);
     let rival = got.stdout.replace("\"timeout_ms\": 10000", "\"timeout_ms\": 9000");
     let rival = file("rival.jsonc", &rival);
     let second = azuregate(&format!("policy set --file {rival} --at {at} --operation-id b")).await;
@@ -91,11 +91,11 @@
 
 #[tokio::test]
 async fn an_operation_id_that_is_made_up_is_told() {
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     let run = azuregate(&format!("{DRAIN} --at {at}")).await;
     let id = run.stderr.trim().strip_prefix("operation ").unwrap().to_owned();
-    assert_eq!(bench.platform.policy().operation_id, id);
+    assert_eq!(fixture.platform.policy().operation_id, id);
     let again = azuregate(&format!("{DRAIN} --at {at} --operation-id {id}")).await;
     assert!(again.stdout.contains("accepted by an earlier call as version 2"), "{}", again.stdout);
 }
@@ -109,20 +109,20 @@
         (&drain.replace("op-1", "a/b"), &[], 2),
         (&drain.replace("-01", "-99"), &[], 3),
         (&drain, &[Fault::Refused], 5),
-        (&drain, &[Fault::LostAfterThenDown], 6),
+        (&drain, &[Fault::ResponseLostThenDown], 6),
     ];
     for (line, faults, exit) in cases {
-        let bench = Bench::new().await;
-        let at = server::serve(&bench).await;
-        bench.platform.script(faults);
+        let fixture = Fixture::new().await;
+        let at = server::serve(&fixture).await;
+        fixture.platform.script(faults);
         let run = azuregate(&format!("{line} --at {at}")).await;
         assert_eq!(run.exit, exit, "{line} {faults:?}: {}", run.stderr);
     }
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     let line = format!("{drain} --at {at} --based-on 7");
     assert_eq!(azuregate(&line).await.exit, 4);
-    bench.platform.put(azuregate::platform::Table::Policy, SERVICE, serde_json::json!(7));
+    fixture.platform.put(azuregate::platform::Table::Policy, SERVICE, serde_json::json!(7));
     assert_eq!(azuregate(&format!("{drain} --at {at}")).await.exit, 1);
 }
 
@@ -132,8 +132,8 @@
 
 #[tokio::test]
 async fn instances_are_tried_in_turn() {
-    let bench = Bench::new().await;
-    let (dead, at) = (nobody().await, server::serve(&bench).await);
+    let fixture = Fixture::new().await;
+    let (dead, at) = (nobody().await, server::serve(&fixture).await);
     for line in [
         format!("status --at {dead} --at {at}"),
         format!("status --at {dead},{at}"),
@@ -154,25 +154,25 @@
 // once. Alone, the first leaves the outcome unknown.
 #[tokio::test]
 async fn an_instance_that_goes_silent_leaves_a_change_unknown() {
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     // Connections to it are opened, and nothing is ever read.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = silent.local_addr().unwrap();
     let line = format!("{DRAIN} --operation-id op-1 --timeout-ms 300 --at {addr}");
     assert_eq!(azuregate(&line).await.exit, 6);
-    assert_eq!(bench.platform.policy(), first_policy());
+    assert_eq!(fixture.platform.policy(), initial_policy());
     let line = format!("{DRAIN} --operation-id op-1 --timeout-ms 3000 --at {addr},{at}");
     assert_eq!(azuregate(&line).await.exit, 0);
-    assert_eq!(bench.platform.policy().version, 2);
+    assert_eq!(fixture.platform.policy().version, 2);
 }
 
 // The first instance may still be at work on the change when the second refuses
 // it. To tell that nothing was changed would be a guess.
 #[tokio::test]
 async fn a_refusal_after_an_unknown_outcome_is_not_believed() {
-    let bench = Bench::new().await;
-    let at = server::serve(&bench).await;
+    let fixture = Fixture::new().await;
+    let at = server::serve(&fixture).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = silent.local_addr().unwrap();
     let line = format!("{DRAIN} --operation-id op-1 --timeout-ms 500 --at {addr},{at}");
--- a/crates/azuregate/tests/cli/server.rs
+++ b/crates/azuregate/tests/cli/server.rs
@@ -10,13 +10,13 @@
 use tokio_stream::wrappers::TcpListenerStream;
 use tonic::transport::Server;
 
-use crate::fake::Bench;
+use crate::fake::Fixture;
 
-/// Serves `bench` on loopback until the test ends.
-pub(crate) async fn serve(bench: &Bench) -> SocketAddr {
+/// Serves `fixture` on loopback until the test ends.
+pub(crate) async fn serve(fixture: &Fixture) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let service = OperatorsServer::new(bench.service.clone());
+    let service = OperatorsServer::new(fixture.service.clone());
     let server = Server::builder().add_service(service);
     tokio::spawn(server.serve_with_incoming(TcpListenerStream::new(listener)));
     addr
--- a/crates/azuregate/tests/operators/conversions.rs
+++ b/crates/azuregate/tests/operators/conversions.rs
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn any_policy_of_the_wire_is_taken_or_refused(
+    fn arbitrary_policies_never_panic(
         service in any::<String>(),
         drains in prop::collection::vec(any::<String>(), 0..3),
         shares in prop::collection::btree_map(any::<String>(), any::<u32>(), 0..3),
--- a/crates/azuregate/tests/operators/fake.rs
+++ b/crates/azuregate/tests/operators/fake.rs
@@ -35,26 +35,26 @@
     /// Refused, without effect.
     Refused,
     /// Takes effect; the answer is lost.
-    LostAfter,
+    ResponseLost,
     /// The call is lost on its way; no effect.
-    LostBefore,
+    RequestLost,
     /// Takes effect, the answer is lost, and a rival changes the policy.
-    LostAfterThenRival,
+    ResponseLostThenConflict,
     /// The call is lost on its way, and a rival changes the policy.
-    LostBeforeThenRival,
+    RequestLostThenConflict,
     /// The answer is lost, and the effect comes with the next transaction.
-    Late,
+    AppliedLate,
     /// Takes effect; the answer is lost, and the platform goes down.
-    LostAfterThenDown,
+    ResponseLostThenDown,
     /// A rival changes the policy just before.
-    RivalFirst,
+    ConflictFirst,
 }
 
 #[derive(Default)]
 struct State {
     rows: BTreeMap<(Table, String), Row>,
     script: VecDeque<Fault>,
-    late: Option<Vec<Write>>,
+    delayed: Option<Vec<Write>>,
     down: bool,
 }
 
@@ -109,7 +109,7 @@
     }
 
     /// Another operator makes the timeout a millisecond longer.
-    fn rival(&mut self) {
+    fn apply_concurrent_change(&mut self) {
         let row = self.rows.get_mut(&(Table::Policy, SERVICE.to_owned())).unwrap();
         let mut policy: Policy = serde_json::from_value(row.value.clone()).unwrap();
         policy.version += 1;
@@ -120,7 +120,7 @@
     }
 }
 
-fn lost() -> PlatformError {
+fn response_lost() -> PlatformError {
     PlatformError::new(Effect::Unknown, "no answer within 1000 ms")
 }
 
@@ -147,8 +147,8 @@
     async fn transact(&self, writes: &[Write]) -> Result<Commit> {
         tokio::task::yield_now().await;
         let mut state = self.state.lock().unwrap();
-        if let Some(late) = state.late.take() {
-            state.apply(&late);
+        if let Some(delayed) = state.delayed.take() {
+            state.apply(&delayed);
         }
         let Some(fault) = state.script.pop_front() else {
             if state.down {
@@ -158,24 +158,24 @@
         };
         match fault {
             Fault::Refused => return Err(refused()),
-            Fault::RivalFirst => {
-                state.rival();
+            Fault::ConflictFirst => {
+                state.apply_concurrent_change();
                 return Ok(state.apply(writes));
             }
-            Fault::LostBefore => {}
-            Fault::LostBeforeThenRival => state.rival(),
-            Fault::Late => state.late = Some(writes.to_vec()),
-            Fault::LostAfter => drop(state.apply(writes)),
-            Fault::LostAfterThenRival => {
+            Fault::RequestLost => {}
+            Fault::RequestLostThenConflict => state.apply_concurrent_change(),
+            Fault::AppliedLate => state.delayed = Some(writes.to_vec()),
+            Fault::ResponseLost => drop(state.apply(writes)),
+            Fault::ResponseLostThenConflict => {
                 state.apply(writes);
-                state.rival();
+                state.apply_concurrent_change();
             }
-            Fault::LostAfterThenDown => {
+            Fault::ResponseLostThenDown => {
                 state.apply(writes);
                 state.down = true;
             }
         }
-        Err(lost())
+        Err(response_lost())
     }
 
     async fn put_object(&self, _name: &str, _bytes: Bytes) -> Result<()> {
@@ -193,9 +193,9 @@
 
 /// A clock that stands.
 #[derive(Debug)]
-struct StandingClock;
+struct FixedClock;
 
-impl Clock for StandingClock {
+impl Clock for FixedClock {
     fn now(&self) -> Millis {
         Millis(1_000)
     }
@@ -206,7 +206,7 @@
 }
 
 /// A service on a platform that holds version 1 of one policy.
-pub(crate) struct Bench {
+pub(crate) struct Fixture {
     pub(crate) platform: Arc<FakePlatform>,
     pub(crate) service: OperatorsService,
     pub(crate) snapshots: Snapshots,
@@ -215,15 +215,15 @@
     _stopper: stop::Stopper,
 }
 
-impl Bench {
-    pub(crate) async fn new() -> Bench {
+impl Fixture {
+    pub(crate) async fn new() -> Fixture {
         let text = include_str!("../../../../examples/entry.jsonc");
         let settings = Settings::parse(text).unwrap();
         let platform = Arc::new(FakePlatform::default());
-        platform.put(Table::Policy, SERVICE, serde_json::to_value(first_policy()).unwrap());
+        platform.put(Table::Policy, SERVICE, serde_json::to_value(initial_policy()).unwrap());
         let (config, snapshots) = Config::start(Snapshot::empty(Arc::new(settings.topology)));
-        config.change(Change::List(list()));
-        let policy = Box::new(first_policy());
+        config.change(Change::List(instance_list()));
+        let policy = Box::new(initial_policy());
         config.change(Change::Policy(policy, azuregate::config::Source::Platform));
         config.change(Change::Confirmed);
         snapshots.watch().wait_for(|snapshot| snapshot.ready).await.unwrap();
@@ -236,11 +236,11 @@
             config: config.clone(),
             snapshots: snapshots.clone(),
             platform: platform.clone(),
-            clock: Arc::new(StandingClock),
+            clock: Arc::new(FixedClock),
             recorder: recorder.clone(),
             stop,
         });
-        Bench { platform, service, snapshots, recorder, config, _stopper: stopper }
+        Fixture { platform, service, snapshots, recorder, config, _stopper: stopper }
     }
 
     /// The version in force on this instance.
@@ -249,7 +249,7 @@
     }
 }
 
-pub(crate) fn first_policy() -> Policy {
+pub(crate) fn initial_policy() -> Policy {
     Policy {
         service: ServiceName::new(SERVICE),
         version: 1,
@@ -267,7 +267,7 @@
 }
 
 /// The platform's list: two backend servers in each of three zones, and two entry instances.
-pub(crate) fn list() -> InstanceList {
+pub(crate) fn instance_list() -> InstanceList {
     let zones = ["sofia-a", "plovdiv-a", "varna-a"];
     let backends = (0_u16..6).map(|index| BackendServer {
         id: BackendId::new(&format!("{SERVICE}-{:02}", index + 1)),
@@ -290,7 +290,7 @@
 }
 
 /// How a call ended, in a word and the version that it speaks of.
-pub(crate) fn ending(result: &std::result::Result<Response<ChangeResponse>, Status>) -> String {
+pub(crate) fn outcome(result: &std::result::Result<Response<ChangeResponse>, Status>) -> String {
     let response = match result {
         Ok(response) => response.get_ref(),
         Err(status) => return FailureClass::from_status(status).unwrap().as_str().to_owned(),
--- a/crates/azuregate/tests/operators/faults.rs
+++ b/crates/azuregate/tests/operators/faults.rs
@@ -11,15 +11,19 @@
 use tonic::{Request, Response, Status};
 
 use crate::fake::{
-    Bench,
     Fault::{self, *},
-    SERVICE, ending, first_policy, list,
+    Fixture, SERVICE, initial_policy, instance_list, outcome,
 };
 
 type Answer = Result<Response<ChangeResponse>, Status>;
 
-async fn set(bench: &Bench, operation_id: &str, based_on_version: u64, queue_ms: u64) -> Answer {
-    let mut policy = first_policy();
+async fn set(
+    fixture: &Fixture,
+    operation_id: &str,
+    based_on_version: u64,
+    queue_ms: u64,
+) -> Answer {
+    let mut policy = initial_policy();
     policy.queue_ms = queue_ms;
     let request = SetPolicyRequest {
         policy: Some(convert::to_proto(&policy)),
@@ -27,45 +31,45 @@
         operation_id: operation_id.to_owned(),
         dry_run: false,
     };
-    bench.service.set_policy(Request::new(request)).await
+    fixture.service.set_policy(Request::new(request)).await
 }
 
 // Two operators create the same policy. The second, who says that there is none,
 // is told of the first's.
 #[tokio::test(start_paused = true)]
 async fn a_policy_is_created_once() {
-    let bench = Bench::new().await;
+    let fixture = Fixture::new().await;
     let create = async |operation_id: &str| {
-        let mut policy = convert::to_proto(&first_policy());
+        let mut policy = convert::to_proto(&initial_policy());
         policy.service = "proof-vault".to_owned();
         let operation_id = operation_id.to_owned();
         let request = SetPolicyRequest { policy: Some(policy), operation_id, ..Default::default() };
-        ending(&bench.service.set_policy(Request::new(request)).await)
+        outcome(&fixture.service.set_policy(Request::new(request)).await)
     };
     assert_eq!(create("op-1").await, "accepted 1");
     assert_eq!(create("op-2").await, "conflict 1");
     assert_eq!(create("op-1").await, "repeated 1");
-    assert_eq!(bench.snapshots.current().policies["proof-vault"].version, 1);
+    assert_eq!(fixture.snapshots.current().policies["proof-vault"].version, 1);
 }
 
-async fn drain(bench: &Bench, operation_id: &str, backend: &str) -> Answer {
+async fn drain(fixture: &Fixture, operation_id: &str, backend: &str) -> Answer {
     let request = DrainRequest {
         service: SERVICE.to_owned(),
         backends: vec![backend.to_owned()],
         operation_id: operation_id.to_owned(),
         ..DrainRequest::default()
     };
-    bench.service.start_drain(Request::new(request)).await
+    fixture.service.start_drain(Request::new(request)).await
 }
 
-async fn shift(bench: &Bench, operation_id: &str, zone: &str) -> Answer {
+async fn shift(fixture: &Fixture, operation_id: &str, zone: &str) -> Answer {
     let request = StartShiftRequest {
         service: SERVICE.to_owned(),
         to_share_ppm: [(zone.to_owned(), 1_000_000)].into(),
         operation_id: operation_id.to_owned(),
         ..StartShiftRequest::default()
     };
-    bench.service.start_shift(Request::new(request)).await
+    fixture.service.start_shift(Request::new(request)).await
 }
 
 /// What goes wrong, then how a replacement and a drain end, each with the
@@ -73,21 +77,27 @@
 const FAULTS: &[(&[Fault], &str, u64, &str, u64)] = &[
     (&[], "accepted 2", 2, "accepted 2", 2),
     (&[Refused], "unreachable", 1, "unreachable", 1),
-    (&[LostAfter], "accepted 2", 2, "accepted 2", 2),
-    (&[LostBefore], "accepted 2", 2, "accepted 2", 2),
-    (&[LostAfterThenRival], "accepted 2", 3, "accepted 2", 3),
-    (&[LostBeforeThenRival], "conflict 2", 2, "accepted 3", 3),
-    (&[LostBefore, LostAfter], "accepted 2", 2, "accepted 2", 2),
-    (&[LostBefore, LostAfterThenRival], "accepted 2", 3, "accepted 2", 3),
-    (&[LostBefore, Refused], "accepted 2", 2, "accepted 2", 2),
-    (&[LostBefore, RivalFirst], "conflict 2", 2, "accepted 3", 3),
-    (&[Late], "accepted 2", 2, "accepted 2", 2),
-    (&[Late, LostBefore], "accepted 2", 2, "accepted 2", 2),
-    (&[RivalFirst], "conflict 2", 2, "accepted 3", 3),
-    (&[LostBefore, LostBefore, LostBefore, LostBefore], "unknown", 1, "unknown", 1),
-    (&[LostAfterThenDown], "unknown", 2, "unknown", 2),
-    (&[RivalFirst, RivalFirst, RivalFirst, RivalFirst], "conflict 2", 2, "refused", 5),
-    (&[LostBeforeThenRival, RivalFirst, RivalFirst, RivalFirst], "conflict 2", 2, "refused", 5),
+    (&[ResponseLost], "accepted 2", 2, "accepted 2", 2),
+    (&[RequestLost], "accepted 2", 2, "accepted 2", 2),
+    (&[ResponseLostThenConflict], "accepted 2", 3, "accepted 2", 3),
+    (&[RequestLostThenConflict], "conflict 2", 2, "accepted 3", 3),
+    (&[RequestLost, ResponseLost], "accepted 2", 2, "accepted 2", 2),
+    (&[RequestLost, ResponseLostThenConflict], "accepted 2", 3, "accepted 2", 3),
+    (&[RequestLost, Refused], "accepted 2", 2, "accepted 2", 2),
+    (&[RequestLost, ConflictFirst], "conflict 2", 2, "accepted 3", 3),
+    (&[AppliedLate], "accepted 2", 2, "accepted 2", 2),
+    (&[AppliedLate, RequestLost], "accepted 2", 2, "accepted 2", 2),
+    (&[ConflictFirst], "conflict 2", 2, "accepted 3", 3),
+    (&[RequestLost, RequestLost, RequestLost, RequestLost], "unknown", 1, "unknown", 1),
+    (&[ResponseLostThenDown], "unknown", 2, "unknown", 2),
+    (&[ConflictFirst, ConflictFirst, ConflictFirst, ConflictFirst], "conflict 2", 2, "refused", 5),
+    (
+        &[RequestLostThenConflict, ConflictFirst, ConflictFirst, ConflictFirst],
+        "conflict 2",
+        2,
+        "refused",
+        5,
+    ),
 ];
 
 // The operator sends one change. Its write, or the answer to it, is lost, comes
@@ -95,19 +105,19 @@
 // that the platform holds, "conflict", "refused" and "unreachable" only of one
 // that it does not hold and never will.
 #[tokio::test(start_paused = true)]
-async fn one_change() {
-    for (faults, set_ending, set_version, drain_ending, drain_version) in FAULTS {
-        let bench = Bench::new().await;
-        bench.platform.script(faults);
-        let result = set(&bench, "op-1", 1, 300).await;
-        assert_eq!(ending(&result), *set_ending, "set: {faults:?}");
-        assert_eq!(bench.platform.policy().version, *set_version, "set: {faults:?}");
+async fn one_change_under_each_fault() {
+    for (faults, set_outcome, set_version, drain_outcome, drain_version) in FAULTS {
+        let fixture = Fixture::new().await;
+        fixture.platform.script(faults);
+        let result = set(&fixture, "op-1", 1, 300).await;
+        assert_eq!(outcome(&result), *set_outcome, "set: {faults:?}");
+        assert_eq!(fixture.platform.policy().version, *set_version, "set: {faults:?}");
 
-        let bench = Bench::new().await;
-        bench.platform.script(faults);
-        let result = drain(&bench, "op-1", "starter-desk-01").await;
-        assert_eq!(ending(&result), *drain_ending, "drain: {faults:?}");
-        assert_eq!(bench.platform.policy().version, *drain_version, "drain: {faults:?}");
+        let fixture = Fixture::new().await;
+        fixture.platform.script(faults);
+        let result = drain(&fixture, "op-1", "starter-desk-01").await;
+        assert_eq!(outcome(&result), *drain_outcome, "drain: {faults:?}");
+        assert_eq!(fixture.platform.policy().version, *drain_version, "drain: {faults:?}");
     }
 }
 
@@ -115,67 +125,67 @@
 // tell. A rival changes the policy. The operator repeats the call with the same
 // operation id: it is told of its own version, and nothing is made twice.
 #[tokio::test(start_paused = true)]
-async fn an_unknown_change_is_asked_after_later() {
-    let bench = Bench::new().await;
-    bench.platform.script(&[LostAfterThenDown]);
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "unknown");
-    bench.platform.set_down(false);
-    assert_eq!(ending(&set(&bench, "op-2", 2, 400).await), "accepted 3");
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "repeated 2");
-    assert_eq!(bench.platform.policy().version, 3);
-    assert_eq!(bench.platform.policy().queue_ms, 400);
-    assert_eq!(bench.version_in_force(), 3);
+async fn a_retry_resolves_an_unknown_outcome() {
+    let fixture = Fixture::new().await;
+    fixture.platform.script(&[ResponseLostThenDown]);
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "unknown");
+    fixture.platform.set_down(false);
+    assert_eq!(outcome(&set(&fixture, "op-2", 2, 400).await), "accepted 3");
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "repeated 2");
+    assert_eq!(fixture.platform.policy().version, 3);
+    assert_eq!(fixture.platform.policy().queue_ms, 400);
+    assert_eq!(fixture.version_in_force(), 3);
 }
 
 // The answer to a drain is lost. The server finishes and is taken off the list
 // before the operator repeats the call. To refuse it as a server that nobody
 // knows would tell that nothing was changed.
 #[tokio::test(start_paused = true)]
-async fn a_drain_is_asked_after_when_its_server_is_gone() {
-    let bench = Bench::new().await;
-    assert_eq!(ending(&drain(&bench, "op-1", "starter-desk-01").await), "accepted 2");
-    let mut list = list();
+async fn a_drain_is_repeated_after_its_server_is_removed() {
+    let fixture = Fixture::new().await;
+    assert_eq!(outcome(&drain(&fixture, "op-1", "starter-desk-01").await), "accepted 2");
+    let mut list = instance_list();
     list.backends.remove(0);
-    bench.config.change(Change::List(list));
-    let mut snapshots = bench.snapshots.watch();
+    fixture.config.change(Change::List(list));
+    let mut snapshots = fixture.snapshots.watch();
     snapshots.wait_for(|snapshot| snapshot.backends[SERVICE].len() == 5).await.unwrap();
-    assert_eq!(ending(&drain(&bench, "op-1", "starter-desk-01").await), "repeated 2");
-    assert_eq!(ending(&drain(&bench, "op-2", "starter-desk-01").await), "refused");
+    assert_eq!(outcome(&drain(&fixture, "op-1", "starter-desk-01").await), "repeated 2");
+    assert_eq!(outcome(&drain(&fixture, "op-2", "starter-desk-01").await), "refused");
 }
 
 // The same operation id comes with another change, by a mistake in a script.
 // Taking it for a repeat would report a change that nobody made.
 #[tokio::test(start_paused = true)]
 async fn an_operation_id_names_one_change() {
-    let bench = Bench::new().await;
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "accepted 2");
+    let fixture = Fixture::new().await;
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "accepted 2");
     for other in [
-        set(&bench, "op-1", 1, 301).await,
-        set(&bench, "op-1", 2, 300).await,
-        drain(&bench, "op-1", "starter-desk-01").await,
+        set(&fixture, "op-1", 1, 301).await,
+        set(&fixture, "op-1", 2, 300).await,
+        drain(&fixture, "op-1", "starter-desk-01").await,
     ] {
-        assert_eq!(ending(&other), "refused");
+        assert_eq!(outcome(&other), "refused");
     }
-    assert_eq!(bench.platform.policy().version, 2);
+    assert_eq!(fixture.platform.policy().version, 2);
 }
 
 // Two operators start from version 1 at the same moment, on two instances or
 // on one. One wins. The other is told who won and where the winner differs.
 #[tokio::test(start_paused = true)]
-async fn two_operators_replace_a_policy() {
-    let bench = Bench::new().await;
-    let results = tokio::join!(set(&bench, "op-1", 1, 300), set(&bench, "op-2", 1, 400));
-    let mut endings = [ending(&results.0), ending(&results.1)];
-    endings.sort();
-    assert_eq!(endings, ["accepted 2", "conflict 2"]);
-    let winner = bench.platform.policy();
-    let (lost, lost_queue_ms) =
+async fn concurrent_replacements_conflict() {
+    let fixture = Fixture::new().await;
+    let results = tokio::join!(set(&fixture, "op-1", 1, 300), set(&fixture, "op-2", 1, 400));
+    let mut outcomes = [outcome(&results.0), outcome(&results.1)];
+    outcomes.sort();
+    assert_eq!(outcomes, ["accepted 2", "conflict 2"]);
+    let winner = fixture.platform.policy();
+    let (loser, losing_queue_ms) =
         if winner.queue_ms == 300 { (results.1, 400) } else { (results.0, 300) };
-    let lost = lost.unwrap().into_inner();
-    assert_eq!(lost.policy.unwrap().operation_id, winner.operation_id);
-    let [difference] = &lost.differences[..] else { panic!("{:?}", lost.differences) };
+    let loser = loser.unwrap().into_inner();
+    assert_eq!(loser.policy.unwrap().operation_id, winner.operation_id);
+    let [difference] = &loser.differences[..] else { panic!("{:?}", loser.differences) };
     assert_eq!(difference.field, "queue_ms");
-    assert_eq!(difference.before, lost_queue_ms.to_string());
+    assert_eq!(difference.before, losing_queue_ms.to_string());
     assert_eq!(difference.after, winner.queue_ms.to_string());
 }
 
@@ -183,86 +193,87 @@
 // neither operator has to start again. Shifts do: the second is not made on top
 // of one that its operator never saw.
 #[tokio::test(start_paused = true)]
-async fn two_operators_drain_and_shift() {
-    let bench = Bench::new().await;
+async fn concurrent_drains_commute_and_shifts_conflict() {
+    let fixture = Fixture::new().await;
     let results = tokio::join!(
-        drain(&bench, "op-1", "starter-desk-01"),
-        drain(&bench, "op-2", "starter-desk-02")
+        drain(&fixture, "op-1", "starter-desk-01"),
+        drain(&fixture, "op-2", "starter-desk-02")
     );
-    let mut endings = [ending(&results.0), ending(&results.1)];
-    endings.sort();
-    assert_eq!(endings, ["accepted 2", "accepted 3"]);
-    assert_eq!(bench.platform.policy().drains.len(), 2);
+    let mut outcomes = [outcome(&results.0), outcome(&results.1)];
+    outcomes.sort();
+    assert_eq!(outcomes, ["accepted 2", "accepted 3"]);
+    assert_eq!(fixture.platform.policy().drains.len(), 2);
 
-    let bench = Bench::new().await;
-    let results = tokio::join!(shift(&bench, "op-1", "sofia-a"), shift(&bench, "op-2", "varna-a"));
-    let mut endings = [ending(&results.0), ending(&results.1)];
-    endings.sort();
-    assert_eq!(endings, ["accepted 2", "conflict 2"]);
+    let fixture = Fixture::new().await;
+    let results =
+        tokio::join!(shift(&fixture, "op-1", "sofia-a"), shift(&fixture, "op-2", "varna-a"));
+    let mut outcomes = [outcome(&results.0), outcome(&results.1)];
+    outcomes.sort();
+    assert_eq!(outcomes, ["accepted 2", "conflict 2"]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_shift_is_started_and_stopped() {
-    let bench = Bench::new().await;
-    assert_eq!(ending(&shift(&bench, "op-1", "varna-a").await), "accepted 2");
-    assert_eq!(ending(&shift(&bench, "op-2", "sofia-a").await), "refused");
+    let fixture = Fixture::new().await;
+    assert_eq!(outcome(&shift(&fixture, "op-1", "varna-a").await), "accepted 2");
+    assert_eq!(outcome(&shift(&fixture, "op-2", "sofia-a").await), "refused");
     let stop = |operation_id: &str| {
         let request = StopShiftRequest {
             service: SERVICE.to_owned(),
             operation_id: operation_id.to_owned(),
             ..StopShiftRequest::default()
         };
-        bench.service.stop_shift(Request::new(request))
+        fixture.service.stop_shift(Request::new(request))
     };
-    assert_eq!(ending(&stop("op-3").await), "accepted 3");
-    assert_eq!(ending(&stop("op-3").await), "repeated 3");
-    assert_eq!(ending(&stop("op-4").await), "refused");
-    assert_eq!(bench.platform.policy().shift, None);
+    assert_eq!(outcome(&stop("op-3").await), "accepted 3");
+    assert_eq!(outcome(&stop("op-3").await), "repeated 3");
+    assert_eq!(outcome(&stop("op-4").await), "refused");
+    assert_eq!(fixture.platform.policy().shift, None);
 }
 
 // The operator's connection breaks while the platform is at work. The change
 // goes on, and is in force on this instance though nobody waits for the answer.
 #[tokio::test(start_paused = true)]
-async fn an_operator_who_goes_away_leaves_nothing_unsettled() {
-    let bench = Bench::new().await;
-    bench.platform.script(&[LostBefore]);
-    let call = set(&bench, "op-1", 1, 300);
+async fn a_cancelled_call_completes_the_change() {
+    let fixture = Fixture::new().await;
+    fixture.platform.script(&[RequestLost]);
+    let call = set(&fixture, "op-1", 1, 300);
     // Let it start, and no more.
-    let gone = tokio::time::timeout(Duration::from_millis(1), call).await;
-    assert!(gone.is_err());
-    let mut snapshots = bench.snapshots.watch();
+    let cancelled = tokio::time::timeout(Duration::from_millis(1), call).await;
+    assert!(cancelled.is_err());
+    let mut snapshots = fixture.snapshots.watch();
     let in_force = snapshots.wait_for(|snapshot| snapshot.policies[SERVICE].version == 2);
     let in_force = tokio::time::timeout(Duration::from_secs(5), in_force).await;
     assert!(in_force.is_ok(), "the change never came into force");
-    assert_eq!(bench.platform.policy().queue_ms, 300);
+    assert_eq!(fixture.platform.policy().queue_ms, 300);
 }
 
 // A script sets a policy and reads it back. Were the change only on its way to
 // the task that brings it into force, now and then it would read the old one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_is_in_force_here_when_it_is_answered() {
-    let bench = Bench::new().await;
+async fn an_accepted_change_is_in_force_on_the_serving_instance() {
+    let fixture = Fixture::new().await;
     for version in 2..200 {
-        let result = set(&bench, &format!("op-{version}"), version - 1, version).await;
-        assert_eq!(ending(&result), format!("accepted {version}"));
-        assert_eq!(bench.version_in_force(), version);
+        let result = set(&fixture, &format!("op-{version}"), version - 1, version).await;
+        assert_eq!(outcome(&result), format!("accepted {version}"));
+        assert_eq!(fixture.version_in_force(), version);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_platform_that_is_down_or_garbled_changes_nothing() {
-    let bench = Bench::new().await;
-    bench.platform.set_down(true);
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "unreachable");
+async fn an_unavailable_platform_or_a_malformed_row_changes_nothing() {
+    let fixture = Fixture::new().await;
+    fixture.platform.set_down(true);
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "unreachable");
 
-    let bench = Bench::new().await;
-    bench.platform.put(Table::Policy, SERVICE, json!({ "service": 7 }));
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "failed");
-    assert_eq!(ending(&drain(&bench, "op-1", "starter-desk-01").await), "failed");
+    let fixture = Fixture::new().await;
+    fixture.platform.put(Table::Policy, SERVICE, json!({ "service": 7 }));
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "failed");
+    assert_eq!(outcome(&drain(&fixture, "op-1", "starter-desk-01").await), "failed");
 
-    let bench = Bench::new().await;
+    let fixture = Fixture::new().await;
     let operation = format!("{SERVICE}/operation/op-1");
-    bench.platform.put(Table::PolicyHistory, &operation, json!("garbage"));
-    assert_eq!(ending(&set(&bench, "op-1", 1, 300).await), "failed");
-    assert_eq!(bench.platform.policy().version, 1);
+    fixture.platform.put(Table::PolicyHistory, &operation, json!("garbage"));
+    assert_eq!(outcome(&set(&fixture, "op-1", 1, 300).await), "failed");
+    assert_eq!(fixture.platform.policy().version, 1);
 }
--- a/crates/azuregate/tests/operators/refusals.rs
+++ b/crates/azuregate/tests/operators/refusals.rs
@@ -11,7 +11,7 @@
 };
 use tonic::{Request, Response, Status};
 
-use crate::fake::{Bench, SERVICE, first_policy};
+use crate::fake::{Fixture, SERVICE, initial_policy};
 
 type Edit = fn(&mut SetPolicyRequest);
 
@@ -45,28 +45,28 @@
     request.policy.as_mut().unwrap()
 }
 
-fn tell(seen: &mut String, name: &str, result: Result<Response<ChangeResponse>, Status>) {
+fn record(transcript: &mut String, name: &str, result: Result<Response<ChangeResponse>, Status>) {
     let status = result.unwrap_err();
     let class = FailureClass::from_status(&status).unwrap().as_str();
-    writeln!(seen, "{name}\n    {class}: {}", status.message()).unwrap();
+    writeln!(transcript, "{name}\n    {class}: {}", status.message()).unwrap();
 }
 
 #[tokio::test]
 async fn policies() {
-    let bench = Bench::new().await;
-    let mut seen = String::new();
+    let fixture = Fixture::new().await;
+    let mut transcript = String::new();
     for (name, edit) in SETS {
         let mut request = SetPolicyRequest {
-            policy: Some(convert::to_proto(&first_policy())),
+            policy: Some(convert::to_proto(&initial_policy())),
             based_on_version: 1,
             operation_id: "op-1".to_owned(),
             dry_run: false,
         };
         edit(&mut request);
-        tell(&mut seen, name, bench.service.set_policy(Request::new(request)).await);
+        record(&mut transcript, name, fixture.service.set_policy(Request::new(request)).await);
     }
-    insta::assert_snapshot!(seen);
-    assert_eq!(bench.platform.policy(), first_policy());
+    insta::assert_snapshot!(transcript);
+    assert_eq!(fixture.platform.policy(), initial_policy());
 }
 
 fn shift(service: &str, shares: &[(&str, u32)]) -> Request<StartShiftRequest> {
@@ -80,25 +80,25 @@
 
 #[tokio::test]
 async fn shifts() {
-    let bench = Bench::new().await;
-    let service = &bench.service;
-    let mut seen = String::new();
+    let fixture = Fixture::new().await;
+    let service = &fixture.service;
+    let mut transcript = String::new();
     let unknown = shift(SERVICE, &[("sofia-c", 500_000), ("nowhere", 500_000)]);
-    tell(&mut seen, "unknown zones", service.start_shift(unknown).await);
+    record(&mut transcript, "unknown zones", service.start_shift(unknown).await);
     let over = shift(SERVICE, &[("sofia-a", 600_000), ("sofia-b", 600_000)]);
-    tell(&mut seen, "over the whole", service.start_shift(over).await);
+    record(&mut transcript, "over the whole", service.start_shift(over).await);
     let same = shift(SERVICE, &[("sofia-a", 600_000), ("varna-a", 400_000)]);
-    tell(&mut seen, "the same shares", service.start_shift(same).await);
+    record(&mut transcript, "the same shares", service.start_shift(same).await);
     let none = shift("no-such", &[("sofia-a", 1_000_000)]);
-    tell(&mut seen, "an unknown service", service.start_shift(none).await);
+    record(&mut transcript, "an unknown service", service.start_shift(none).await);
     let stop = StopShiftRequest {
         service: SERVICE.to_owned(),
         operation_id: "op-1".to_owned(),
         ..StopShiftRequest::default()
     };
-    tell(&mut seen, "no shift to stop", service.stop_shift(Request::new(stop)).await);
-    insta::assert_snapshot!(seen);
-    assert_eq!(bench.platform.policy(), first_policy());
+    record(&mut transcript, "no shift to stop", service.stop_shift(Request::new(stop)).await);
+    insta::assert_snapshot!(transcript);
+    assert_eq!(fixture.platform.policy(), initial_policy());
 }
 
 fn drain(backends: &[&str]) -> Request<DrainRequest> {
@@ -112,15 +112,15 @@
 
 #[tokio::test]
 async fn drains() {
-    let bench = Bench::new().await;
-    let service = &bench.service;
-    let mut seen = String::new();
-    tell(&mut seen, "no backend server", service.start_drain(drain(&[])).await);
+    let fixture = Fixture::new().await;
+    let service = &fixture.service;
+    let mut transcript = String::new();
+    record(&mut transcript, "no backend server", service.start_drain(drain(&[])).await);
     let unknown = drain(&["starter-desk-07", "starter-desk-01", "x"]);
-    tell(&mut seen, "unknown backend servers", service.start_drain(unknown).await);
+    record(&mut transcript, "unknown backend servers", service.start_drain(unknown).await);
     let not_drained = drain(&["starter-desk-01"]);
-    tell(&mut seen, "not drained", service.stop_drain(not_drained).await);
-    insta::assert_snapshot!(seen);
-    let policy: Policy = bench.platform.policy();
-    assert_eq!(policy, first_policy());
+    record(&mut transcript, "not drained", service.stop_drain(not_drained).await);
+    insta::assert_snapshot!(transcript);
+    let policy: Policy = fixture.platform.policy();
+    assert_eq!(policy, initial_policy());
 }
--- a/crates/azuregate/tests/operators/views.rs
+++ b/crates/azuregate/tests/operators/views.rs
@@ -6,7 +6,7 @@
 };
 use tonic::Request;
 
-use crate::fake::{Bench, SERVICE, ending, first_policy};
+use crate::fake::{Fixture, SERVICE, initial_policy, outcome};
 
 fn shift(dry_run: bool) -> Request<StartShiftRequest> {
     Request::new(StartShiftRequest {
@@ -29,28 +29,28 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dry_run_tells_what_would_move_and_moves_nothing() {
-    let bench = Bench::new().await;
-    let planned = bench.service.start_shift(shift(true)).await;
-    assert_eq!(ending(&planned), "planned 2");
+async fn a_dry_run_reports_the_effect_without_applying_it() {
+    let fixture = Fixture::new().await;
+    let planned = fixture.service.start_shift(shift(true)).await;
+    assert_eq!(outcome(&planned), "planned 2");
     insta::assert_debug_snapshot!("shift", planned.unwrap().into_inner().effect);
     let planned =
-        bench.service.start_drain(drain(&["starter-desk-01", "starter-desk-04"], true)).await;
-    assert_eq!(ending(&planned), "planned 2");
+        fixture.service.start_drain(drain(&["starter-desk-01", "starter-desk-04"], true)).await;
+    assert_eq!(outcome(&planned), "planned 2");
     insta::assert_debug_snapshot!("drain", planned.unwrap().into_inner().effect);
-    assert_eq!(bench.platform.policy(), first_policy());
-    assert_eq!(bench.version_in_force(), 1);
+    assert_eq!(fixture.platform.policy(), initial_policy());
+    assert_eq!(fixture.version_in_force(), 1);
 }
 
 #[tokio::test(start_paused = true)]
 async fn the_shift_in_progress() {
-    let bench = Bench::new().await;
+    let fixture = Fixture::new().await;
     let show =
-        || bench.service.get_shift(Request::new(GetShiftRequest { service: SERVICE.into() }));
+        || fixture.service.get_shift(Request::new(GetShiftRequest { service: SERVICE.into() }));
     let none = show().await.unwrap().into_inner();
     assert_eq!((none.shift.is_some(), none.end_at_ms), (false, 0));
     assert_eq!(none.share_ppm["sofia-a"], 600_000);
-    assert_eq!(ending(&bench.service.start_shift(shift(false)).await), "accepted 2");
+    assert_eq!(outcome(&fixture.service.start_shift(shift(false)).await), "accepted 2");
     let some = show().await.unwrap().into_inner();
     // It starts when the change is in force everywhere.
     assert_eq!(some.shift.unwrap().start_at_ms, 1_013_000);
@@ -58,18 +58,18 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn backend_servers_that_take_no_new_work_with_why() {
-    let bench = Bench::new().await;
-    let drained = bench.service.start_drain(drain(&["starter-desk-01"], false)).await;
-    assert_eq!(ending(&drained), "accepted 2");
+async fn closed_backend_servers_are_listed_with_reasons() {
+    let fixture = Fixture::new().await;
+    let drained = fixture.service.start_drain(drain(&["starter-desk-01"], false)).await;
+    assert_eq!(outcome(&drained), "accepted 2");
     let request = Request::new(ListDrainsRequest::default());
-    let [backend] = &bench.service.list_drains(request).await.unwrap().into_inner().backends[..]
+    let [backend] = &fixture.service.list_drains(request).await.unwrap().into_inner().backends[..]
     else {
         panic!("one is drained")
     };
     assert_eq!(backend.id, "starter-desk-01");
     assert_eq!(backend.reasons, ["drained by an operator"]);
-    let status = bench.service.status(Request::new(StatusRequest {})).await.unwrap().into_inner();
+    let status = fixture.service.status(Request::new(StatusRequest {})).await.unwrap().into_inner();
     assert_eq!(status.backends.iter().filter(|backend| backend.open).count(), 5);
     assert_eq!(status.ready_reason, "confirmed by the platform");
     assert_eq!(status.instances.len(), 2);
@@ -77,16 +77,16 @@
 
 #[tokio::test(start_paused = true)]
 async fn history_is_newest_first_and_bounded() {
-    let bench = Bench::new().await;
+    let fixture = Fixture::new().await;
     for index in 1..=4 {
         let backend = format!("starter-desk-0{index}");
         let mut request = drain(&[&backend], false);
         request.get_mut().operation_id = format!("op-{index}");
-        bench.service.start_drain(request).await.unwrap();
+        fixture.service.start_drain(request).await.unwrap();
     }
     for (limit, versions) in [(0, vec![5, 4, 3, 2]), (2, vec![5, 4]), (1, vec![5])] {
         let request = PolicyHistoryRequest { service: SERVICE.to_owned(), limit };
-        let answer = bench.service.policy_history(Request::new(request)).await.unwrap();
+        let answer = fixture.service.policy_history(Request::new(request)).await.unwrap();
         let policies = answer.into_inner().policies;
         let seen: Vec<_> = policies.iter().map(|policy| policy.version).collect();
         assert_eq!(seen, versions, "limit {limit}");
@@ -94,10 +94,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn entries_are_those_that_callers_get() {
-    let bench = Bench::new().await;
+async fn entries_match_those_returned_to_callers() {
+    let fixture = Fixture::new().await;
     let request = EntriesRequest { service: SERVICE.to_owned(), caller: String::new() };
-    let answer = bench.service.entries(Request::new(request)).await.unwrap().into_inner();
+    let answer = fixture.service.entries(Request::new(request)).await.unwrap().into_inner();
     let ids: Vec<_> = answer.entries.iter().map(|entry| entry.id.as_str()).collect();
     assert_eq!(ids, ["entry-1", "entry-2"]);
 }
