--- a/crates/azuregate/src/cli/args.rs
+++ b/crates/azuregate/src/cli/args.rs
@@ -5,7 +5,7 @@
 use gumdrop::Options;
 
 use super::options::{
-    Addresses, CallArgs, ChangeArgs, Output, call_options, change_options, group,
+    Addresses, CallArgs, ChangeArgs, OutputFormat, call_options, change_options, command_group,
 };
 
 /// Global traffic steering: entry instances and the operators' client.
@@ -71,7 +71,7 @@
     #[options(required, help = "the settings file", meta = "FILE")]
     pub(super) settings: PathBuf,
     #[options(no_short, help = "human or json", meta = "FORM", default = "human")]
-    pub(super) output: Output,
+    pub(super) output: OutputFormat,
 }
 
 call_options! { ReadArgs {} }
@@ -108,7 +108,7 @@
     }
 }
 
-group! { PolicyArgs, PolicyCommand }
+command_group! { PolicyArgs, PolicyCommand }
 
 #[derive(Debug, Options)]
 pub(super) enum PolicyCommand {
@@ -134,7 +134,7 @@
     }
 }
 
-group! { ShiftArgs, ShiftCommand }
+command_group! { ShiftArgs, ShiftCommand }
 
 #[derive(Debug, Options)]
 pub(super) enum ShiftCommand {
@@ -170,7 +170,7 @@
     }
 }
 
-group! { DrainArgs, DrainCommand }
+command_group! { DrainArgs, DrainCommand }
 
 #[derive(Debug, Options)]
 pub(super) enum DrainCommand {
--- a/crates/azuregate/src/cli/call.rs
+++ b/crates/azuregate/src/cli/call.rs
@@ -12,15 +12,15 @@
 
 use super::{
     Exit,
-    options::{CallArgs, ChangeArgs, Output},
+    options::{CallArgs, ChangeArgs, OutputFormat},
 };
 use crate::{cli::print_line, operators::FailureClass};
 
 /// Names the instances to ask when the command line does not.
-const AT_VARIABLE: &str = "AZUREGATE_AT";
+const ADDRESSES_VARIABLE: &str = "AZUREGATE_AT";
 
 /// The longest time that a command waits, in milliseconds.
-const TIMEOUT_LIMIT_MS: u64 = 600_000;
+const MAX_TIMEOUT_MS: u64 = 600_000;
 
 /// A command that did not end well.
 #[derive(Debug, Eq, PartialEq)]
@@ -39,10 +39,10 @@
     }
 
     /// Tells of the failure and gives its exit status.
-    pub(super) fn tell(&self, output: Output) -> Exit {
+    pub(super) fn report(&self, output: OutputFormat) -> Exit {
         eprintln!("{}", self.message);
         // A conflict has its own answer, which says who won.
-        if output == Output::Json && self.exit != Exit::Conflict {
+        if output == OutputFormat::Json && self.exit != Exit::Conflict {
             let class = self.exit.as_str();
             print_line(format_args!(
                 "{}",
@@ -54,17 +54,17 @@
 }
 
 type Client = OperatorsClient<Channel>;
-type Answer<'a, T> = BoxFuture<'a, Result<Response<T>, Status>>;
+type ResponseFuture<'a, T> = BoxFuture<'a, Result<Response<T>, Status>>;
 
 /// One call that may be sent to several instances.
 pub(super) struct Call<'a, Q, T> {
     pub(super) args: &'a CallArgs,
     pub(super) request: Q,
-    pub(super) send: for<'b> fn(&'b mut Client, Request<Q>) -> Answer<'b, T>,
+    pub(super) send: for<'b> fn(&'b mut Client, Request<Q>) -> ResponseFuture<'b, T>,
 }
 
 /// How one instance failed.
-enum Attempt {
+enum CallError {
     /// It was not reached, and the call did not leave.
     NotSent(String),
     /// The call left; an instance said how it failed, or nobody did.
@@ -77,11 +77,11 @@
         let mut messages = Vec::new();
         for addr in addresses(self.args)? {
             let (class, message) = match self.attempt(addr).await {
-                Ok(answer) => return Ok(answer),
-                Err(Attempt::NotSent(message)) => (None, message),
-                Err(Attempt::Sent(class, message)) => (class, message),
+                Ok(response) => return Ok(response),
+                Err(CallError::NotSent(message)) => (None, message),
+                Err(CallError::Sent(class, message)) => (class, message),
             };
-            match class.map(exit_of) {
+            match class.map(exit_for) {
                 Some(exit @ (Exit::Usage | Exit::Refused | Exit::Failed)) => {
                     return Err(Failure::new(exit, message));
                 }
@@ -91,25 +91,27 @@
         Err(Failure::new(Exit::Unreachable, messages.join("\n")))
     }
 
-    async fn attempt(&self, addr: SocketAddr) -> Result<T, Attempt> {
-        let limit = Duration::from_millis(self.args.timeout_ms);
-        let connected = time::timeout(limit, connect(addr, limit)).await;
+    async fn attempt(&self, addr: SocketAddr) -> Result<T, CallError> {
+        let timeout = Duration::from_millis(self.args.timeout_ms);
+        let connected = time::timeout(timeout, connect(addr, timeout)).await;
         let mut client = match connected {
             Ok(Ok(client)) => client,
-            Ok(Err(e)) => return Err(Attempt::NotSent(format!("{addr}: cannot be reached: {e}"))),
-            Err(_) => return Err(Attempt::NotSent(format!("{addr}: no connection in time"))),
+            Ok(Err(e)) => {
+                return Err(CallError::NotSent(format!("{addr}: cannot be reached: {e}")));
+            }
+            Err(_) => return Err(CallError::NotSent(format!("{addr}: no connection in time"))),
         };
         let mut request = Request::new(self.request.clone());
-        request.set_timeout(limit);
-        match time::timeout(limit, (self.send)(&mut client, request)).await {
-            Ok(Ok(answer)) => Ok(answer.into_inner()),
+        request.set_timeout(timeout);
+        match time::timeout(timeout, (self.send)(&mut client, request)).await {
+            Ok(Ok(response)) => Ok(response.into_inner()),
             Ok(Err(status)) => {
                 let message = format!("{addr}: {}", status.message());
-                Err(Attempt::Sent(FailureClass::from_status(&status), message))
+                Err(CallError::Sent(FailureClass::from_status(&status), message))
             }
             Err(_) => {
                 let message = format!("{addr}: no answer within {} ms", self.args.timeout_ms);
-                Err(Attempt::Sent(None, message))
+                Err(CallError::Sent(None, message))
             }
         }
     }
@@ -128,15 +130,15 @@
         let mut unknown = false;
         for addr in addresses(self.args)? {
             let (class, message) = match self.attempt(addr).await {
-                Ok(answer) if answer.accepted || !unknown => return Ok(answer),
+                Ok(response) if response.accepted || !unknown => return Ok(response),
                 Ok(_) => (None, format!("{addr}: another change came first")),
-                Err(Attempt::NotSent(message)) => {
+                Err(CallError::NotSent(message)) => {
                     messages.push(message);
                     continue;
                 }
-                Err(Attempt::Sent(class, message)) => (class, message),
+                Err(CallError::Sent(class, message)) => (class, message),
             };
-            match class.map_or(Exit::Unknown, exit_of) {
+            match class.map_or(Exit::Unknown, exit_for) {
                 Exit::Unknown => unknown = true,
                 Exit::Unreachable => {}
                 exit if !unknown => return Err(Failure::new(exit, message)),
@@ -149,7 +151,7 @@
     }
 }
 
-fn exit_of(class: FailureClass) -> Exit {
+fn exit_for(class: FailureClass) -> Exit {
     match class {
         FailureClass::Usage => Exit::Usage,
         FailureClass::Refused => Exit::Refused,
@@ -159,13 +161,13 @@
     }
 }
 
-async fn connect(addr: SocketAddr, limit: Duration) -> Result<Client, String> {
+async fn connect(addr: SocketAddr, timeout: Duration) -> Result<Client, String> {
     let endpoint = Endpoint::from_shared(format!("http://{addr}")).map_err(|e| e.to_string())?;
-    let channel = endpoint.connect_timeout(limit).connect().await.map_err(|e| chain(&e))?;
+    let channel = endpoint.connect_timeout(timeout).connect().await.map_err(|e| root_cause(&e))?;
     Ok(OperatorsClient::new(channel))
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+fn root_cause(error: &dyn std::error::Error) -> String {
     let mut source = error.source();
     let mut text = error.to_string();
     while let Some(error) = source {
@@ -176,24 +178,24 @@
 }
 
 fn addresses(args: &CallArgs) -> Result<Vec<SocketAddr>, Failure> {
-    if !(1..=TIMEOUT_LIMIT_MS).contains(&args.timeout_ms) {
-        return Err(Failure::usage(format!("--timeout-ms must be 1 to {TIMEOUT_LIMIT_MS}")));
+    if !(1..=MAX_TIMEOUT_MS).contains(&args.timeout_ms) {
+        return Err(Failure::usage(format!("--timeout-ms must be 1 to {MAX_TIMEOUT_MS}")));
     }
-    let mut texts = args.at.clone();
-    if texts.is_empty() {
-        let variable = std::env::var(AT_VARIABLE).unwrap_or_default();
-        texts = variable.split(',').map(|addr| addr.trim().to_owned()).collect();
-        texts.retain(|addr| !addr.is_empty());
+    let mut addrs = args.at.clone();
+    if addrs.is_empty() {
+        let variable = std::env::var(ADDRESSES_VARIABLE).unwrap_or_default();
+        addrs = variable.split(',').map(|addr| addr.trim().to_owned()).collect();
+        addrs.retain(|addr| !addr.is_empty());
     }
-    if texts.is_empty() {
-        return Err(Failure::usage(format!("say which instance by --at or {AT_VARIABLE}")));
+    if addrs.is_empty() {
+        return Err(Failure::usage(format!("say which instance by --at or {ADDRESSES_VARIABLE}")));
     }
     let parse = |text: &String| {
         text.parse().map_err(|_| {
             Failure::usage(format!("an address must be an IP number and a port, not {text:?}"))
         })
     };
-    texts.iter().map(parse).collect()
+    addrs.iter().map(parse).collect()
 }
 
 /// The operation id of a change. One that is made up is told, so that the call
--- a/crates/azuregate/src/cli/operator.rs
+++ b/crates/azuregate/src/cli/commands.rs
@@ -10,17 +10,17 @@
         ServiceArgs, ServiceChangeArgs, ServiceReadArgs, SetArgs, ShiftCommand, StartShiftArgs,
     },
     call::{Call, Failure, operation_id},
-    options::{CallArgs, Output},
+    options::{CallArgs, OutputFormat},
     policy_file, print, read_file, shares,
 };
 use crate::operators::convert;
 
-type Done = Result<(), Failure>;
+type CommandResult = Result<(), Failure>;
 
 /// Runs a command that calls an instance.
 pub(super) async fn run(command: Command) -> Exit {
-    let output = output_of(&command);
-    let done = match command {
+    let output = output_format(&command);
+    let result = match command {
         Command::Status(args) => status(args).await,
         Command::Policy(args) => match args.command {
             Some(PolicyCommand::Get(args)) => get_policy(args).await,
@@ -45,10 +45,10 @@
         Command::Histograms(args) => histograms(args).await,
         Command::Run(_) | Command::Serve(_) | Command::Check(_) => Ok(()),
     };
-    done.err().map_or(Exit::Done, |failure| failure.tell(output))
+    result.err().map_or(Exit::Done, |failure| failure.report(output))
 }
 
-fn output_of(command: &Command) -> Output {
+fn output_format(command: &Command) -> OutputFormat {
     let call = match command {
         Command::Status(args) => Some(args.call()),
         Command::Policy(args) => args.command.as_ref().map(|command| match command {
@@ -70,34 +70,38 @@
         Command::Histograms(args) => Some(args.call()),
         Command::Run(_) | Command::Serve(_) | Command::Check(_) => None,
     };
-    call.map_or_else(Output::default, |call| call.output)
+    call.map_or_else(OutputFormat::default, |call| call.output)
 }
 
-fn show<T: Serialize>(args: &CallArgs, answer: &T, human: fn(&T) -> String) -> Done {
-    print::answer(args.output, answer, human);
+fn print_response<T: Serialize>(
+    args: &CallArgs,
+    response: &T,
+    human: fn(&T) -> String,
+) -> CommandResult {
+    print::response(args.output, response, human);
     Ok(())
 }
 
-async fn status(args: ReadArgs) -> Done {
+async fn status(args: ReadArgs) -> CommandResult {
     let args = args.call();
     let request = v1::StatusRequest {};
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.status(q)) };
-    show(&args, &call.read().await?, print::status)
+    print_response(&args, &call.read().await?, print::status)
 }
 
-async fn get_policy(args: ServiceArgs) -> Done {
+async fn get_policy(args: ServiceArgs) -> CommandResult {
     let request = v1::GetPolicyRequest { service: args.service.clone() };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.get_policy(q)) };
-    show(&args, &call.read().await?.policy.unwrap_or_default(), policy_text)
+    print_response(&args, &call.read().await?.policy.unwrap_or_default(), policy_text)
 }
 
-async fn list_policies(args: ReadArgs) -> Done {
+async fn list_policies(args: ReadArgs) -> CommandResult {
     let args = args.call();
     let request = v1::ListPoliciesRequest {};
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.list_policies(q)) };
-    show(&args, &call.read().await?, |answer| {
-        answer.policies.iter().map(|policy| policy_text(policy) + "\n").collect()
+    print_response(&args, &call.read().await?, |response| {
+        response.policies.iter().map(|policy| policy_text(policy) + "\n").collect()
     })
 }
 
@@ -109,14 +113,14 @@
     }
 }
 
-async fn history(args: HistoryArgs) -> Done {
+async fn history(args: HistoryArgs) -> CommandResult {
     let request = v1::PolicyHistoryRequest { service: args.service.clone(), limit: args.limit };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.policy_history(q)) };
-    show(&args, &call.read().await?, print::history)
+    print_response(&args, &call.read().await?, print::history)
 }
 
-async fn set_policy(args: SetArgs) -> Done {
+async fn set_policy(args: SetArgs) -> CommandResult {
     let text = read_file(&args.file).map_err(Failure::usage)?;
     let policy = policy_file::parse(&args.file, &text).map_err(Failure::usage)?;
     let args = args.change();
@@ -133,10 +137,10 @@
         dry_run: args.dry_run,
     };
     let call = Call { args: &args.call, request, send: |c, q| Box::pin(c.set_policy(q)) };
-    changed(&args.call, call.change().await?)
+    print_change(&args.call, call.change().await?)
 }
 
-async fn start_shift(args: StartShiftArgs) -> Done {
+async fn start_shift(args: StartShiftArgs) -> CommandResult {
     let to_share_ppm = shares::parse(&args.to_share_ppm).map_err(Failure::usage)?;
     let cap = match (args.cap_ppm, args.window_ms) {
         (Some(share_ppm), Some(window_ms)) => Some(v1::Cap { share_ppm, window_ms }),
@@ -154,10 +158,10 @@
         dry_run: args.dry_run,
     };
     let call = Call { args: &args.call, request, send: |c, q| Box::pin(c.start_shift(q)) };
-    changed(&args.call, call.change().await?)
+    print_change(&args.call, call.change().await?)
 }
 
-async fn stop_shift(args: ServiceChangeArgs) -> Done {
+async fn stop_shift(args: ServiceChangeArgs) -> CommandResult {
     let service = args.service.clone();
     let args = args.change();
     let request = v1::StopShiftRequest {
@@ -167,14 +171,14 @@
         dry_run: args.dry_run,
     };
     let call = Call { args: &args.call, request, send: |c, q| Box::pin(c.stop_shift(q)) };
-    changed(&args.call, call.change().await?)
+    print_change(&args.call, call.change().await?)
 }
 
-async fn show_shift(args: ServiceArgs) -> Done {
+async fn show_shift(args: ServiceArgs) -> CommandResult {
     let request = v1::GetShiftRequest { service: args.service.clone() };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.get_shift(q)) };
-    show(&args, &call.read().await?, print::shift)
+    print_response(&args, &call.read().await?, print::shift)
 }
 
 fn drain_request(args: &BackendsArgs) -> v1::DrainRequest {
@@ -188,49 +192,51 @@
     }
 }
 
-async fn start_drain(args: BackendsArgs) -> Done {
+async fn start_drain(args: BackendsArgs) -> CommandResult {
     let request = drain_request(&args);
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.start_drain(q)) };
-    changed(&args, call.change().await?)
+    print_change(&args, call.change().await?)
 }
 
-async fn stop_drain(args: BackendsArgs) -> Done {
+async fn stop_drain(args: BackendsArgs) -> CommandResult {
     let request = drain_request(&args);
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.stop_drain(q)) };
-    changed(&args, call.change().await?)
+    print_change(&args, call.change().await?)
 }
 
-async fn show_drains(args: ServiceReadArgs) -> Done {
+async fn show_drains(args: ServiceReadArgs) -> CommandResult {
     let request = v1::ListDrainsRequest { service: args.service.clone() };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.list_drains(q)) };
-    show(&args, &call.read().await?, |answer| print::leaving(&answer.backends))
+    print_response(&args, &call.read().await?, |response| {
+        print::closed_backends(&response.backends)
+    })
 }
 
-async fn entries(args: EntriesArgs) -> Done {
+async fn entries(args: EntriesArgs) -> CommandResult {
     let request = v1::EntriesRequest { service: args.service.clone(), caller: args.caller.clone() };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.entries(q)) };
-    show(&args, &call.read().await?, print::entries)
+    print_response(&args, &call.read().await?, print::entries)
 }
 
-async fn histograms(args: ServiceReadArgs) -> Done {
+async fn histograms(args: ServiceReadArgs) -> CommandResult {
     let request = v1::HistogramsRequest { service: args.service.clone() };
     let args = args.call();
     let call = Call { args: &args, request, send: |c, q| Box::pin(c.histograms(q)) };
-    show(&args, &call.read().await?, |answer| {
-        let dropped = match answer.dropped {
+    print_response(&args, &call.read().await?, |response| {
+        let dropped = match response.dropped {
             0 => String::new(),
             count => format!("{count} samples were dropped, because the recorder was behind\n"),
         };
-        print::histograms(&answer.histograms) + &dropped
+        print::histograms(&response.histograms) + &dropped
     })
 }
 
-fn changed(args: &CallArgs, response: ChangeResponse) -> Done {
-    print::answer(args.output, &response, print::change);
+fn print_change(args: &CallArgs, response: ChangeResponse) -> CommandResult {
+    print::response(args.output, &response, print::change);
     if response.conflict {
         let message = "another change came first; nothing was changed: read the policy again";
         return Err(Failure::new(Exit::Conflict, message));
--- a/crates/azuregate/src/cli/mod.rs
+++ b/crates/azuregate/src/cli/mod.rs
@@ -1,24 +1,24 @@
 /*!
 The command line.
 
-`args` and `options` hold the options, `operator` the commands that call an instance, `call`
+`args` and `options` hold the options, `commands` the commands that call an instance, `call`
 what such a call does when an instance does not answer.
 */
 
 mod args;
 mod call;
+mod commands;
 mod help;
-mod line;
-mod operator;
 mod options;
 mod policy_file;
 mod print;
 mod shares;
+mod stdout;
 
 use std::{env, fs, path::Path, process::ExitCode};
 
 use azuregate_platform::settings::{
-    Settings as PlatformSettings, SettingsError as SettingsFileError,
+    Settings as PlatformSettings, SettingsError as PlatformSettingsError,
 };
 use error_stack::{AttachmentKind, FrameKind, Report};
 use gumdrop::Options;
@@ -26,7 +26,7 @@
 
 use self::{
     args::{Args, CheckArgs, Command, ServeArgs, SettingsArgs},
-    options::Output,
+    options::OutputFormat,
 };
 use crate::{
     jsonc::Problem,
@@ -35,7 +35,7 @@
     stop::{self, Stop},
 };
 
-pub use line::print_line;
+pub use stdout::print_line;
 
 /// How a command ended, for scripts.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -79,8 +79,8 @@
 
 /// Runs the command line of this process.
 pub fn main() -> ExitCode {
-    let texts: Vec<String> = env::args().skip(1).collect();
-    let args = match Args::parse_args_default(&texts) {
+    let raw_args: Vec<String> = env::args().skip(1).collect();
+    let args = match Args::parse_args_default(&raw_args) {
         Ok(args) => args,
         Err(e) => {
             eprintln!("azuregate: {e}; --help says more");
@@ -95,7 +95,7 @@
         Some(Command::Run(args)) => run_instance(&args),
         Some(Command::Serve(args)) => serve_on_platform(&args),
         Some(Command::Check(args)) => check(&args),
-        Some(command) => block_on(operator::run(command)),
+        Some(command) => block_on(commands::run(command)),
         None => {
             eprintln!("{}", help::text(&args));
             Exit::Usage
@@ -116,36 +116,36 @@
 
 /// The answer of `check` as JSON.
 #[derive(Serialize)]
-struct Checked<'a> {
+struct CheckResult<'a> {
     class: &'static str,
     problems: &'a [Problem],
     warnings: &'a [String],
 }
 
 fn check(args: &CheckArgs) -> Exit {
-    let checked = Settings::load(&args.settings);
-    let warnings = checked.as_ref().map(Settings::warnings).unwrap_or_default();
-    let exit = match &checked {
+    let loaded = Settings::load(&args.settings);
+    let warnings = loaded.as_ref().map(Settings::warnings).unwrap_or_default();
+    let exit = match &loaded {
         Ok(_) => Exit::Done,
-        Err(e) => usage(e),
+        Err(e) => report_settings_error(e),
     };
-    tell_warnings(&args.settings, &warnings);
-    let problems = checked.as_ref().err().map_or(&[][..], |e| e.current_context().problems());
-    let answer = Checked { class: exit.as_str(), problems, warnings: &warnings };
-    if args.output == Output::Json || exit == Exit::Done {
+    print_warnings(&args.settings, &warnings);
+    let problems = loaded.as_ref().err().map_or(&[][..], |e| e.current_context().problems());
+    let result = CheckResult { class: exit.as_str(), problems, warnings: &warnings };
+    if args.output == OutputFormat::Json || exit == Exit::Done {
         let file = args.settings.display();
-        print::answer(args.output, &answer, |_| format!("{file}: the settings can be used"));
+        print::response(args.output, &result, |_| format!("{file}: the settings can be used"));
     }
     exit
 }
 
-fn tell_warnings(file: &Path, warnings: &[String]) {
+fn print_warnings(file: &Path, warnings: &[String]) {
     for warning in warnings {
         eprintln!("{}: warning: {warning}", file.display());
     }
 }
 
-fn usage(e: &Report<SettingsError>) -> Exit {
+fn report_settings_error(e: &Report<SettingsError>) -> Exit {
     eprintln!("{}", e.current_context());
     // The cause is only there when the file could not be read.
     for cause in e.frames().filter_map(|frame| frame.downcast_ref::<std::io::Error>()) {
@@ -168,14 +168,14 @@
         let settings = match serve::load_settings(&path) {
             Ok(settings) => settings,
             Err(e) => {
-                log_report(&e);
+                log_startup_error(&e);
                 return Exit::Usage;
             }
         };
         match serve::run(settings, Some(path), stop).await {
             Ok(()) => Exit::Done,
             Err(e) => {
-                log_report(&e);
+                log_startup_error(&e);
                 Exit::Failed
             }
         }
@@ -188,10 +188,10 @@
         print_line(format_args!("{}: the settings can be used", path.display()));
         return Exit::Done;
     };
-    let wrong = e.frames().find_map(|frame| frame.downcast_ref::<SettingsFileError>());
-    match wrong {
-        Some(wrong) => {
-            for problem in wrong.problems() {
+    let settings_error = e.frames().find_map(|frame| frame.downcast_ref::<PlatformSettingsError>());
+    match settings_error {
+        Some(settings_error) => {
+            for problem in settings_error.problems() {
                 eprintln!("{}: {problem}", path.display());
             }
         }
@@ -203,9 +203,9 @@
 fn run_instance(args: &SettingsArgs) -> Exit {
     let settings = match Settings::load(&args.settings) {
         Ok(settings) => settings,
-        Err(e) => return usage(&e),
+        Err(e) => return report_settings_error(&e),
     };
-    tell_warnings(&args.settings, &settings.warnings());
+    print_warnings(&args.settings, &settings.warnings());
     logs::init(&settings.log_filter);
     logs::install_panic_hook();
     let runtime = match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
@@ -220,7 +220,7 @@
         match run::run(settings, stop).await {
             Ok(()) => Exit::Done,
             Err(e) => {
-                log_report(&e);
+                log_startup_error(&e);
                 Exit::Failed
             }
         }
@@ -229,7 +229,7 @@
 
 /// Makes a report one event of the log; its own form takes many lines, with a
 /// backtrace that says nothing to whoever reads the log.
-fn log_report<C>(e: &Report<C>) {
+fn log_startup_error<C>(e: &Report<C>) {
     let mut errors = Vec::new();
     let mut details = Vec::new();
     for frame in e.frames() {
--- a/crates/azuregate/src/cli/options.rs
+++ b/crates/azuregate/src/cli/options.rs
@@ -7,7 +7,7 @@
 
 /// The form of what goes to standard output.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub(super) enum Output {
+pub(super) enum OutputFormat {
     /// Tables for people.
     #[default]
     Human,
@@ -15,13 +15,13 @@
     Json,
 }
 
-impl FromStr for Output {
+impl FromStr for OutputFormat {
     type Err = String;
 
-    fn from_str(text: &str) -> Result<Output, String> {
+    fn from_str(text: &str) -> Result<OutputFormat, String> {
         match text {
-            "human" => Ok(Output::Human),
-            "json" => Ok(Output::Json),
+            "human" => Ok(OutputFormat::Human),
+            "json" => Ok(OutputFormat::Json),
             _ => Err(format!("must be human or json, not {text:?}")),
         }
     }
@@ -45,7 +45,7 @@
 pub(super) struct CallArgs {
     pub(super) at: Vec<String>,
     pub(super) timeout_ms: u64,
-    pub(super) output: Output,
+    pub(super) output: OutputFormat,
 }
 
 /// How a change is made.
@@ -73,7 +73,7 @@
             #[options(no_short, help = "how long to wait for each instance", meta = "N", default = "10000")]
             timeout_ms: u64,
             #[options(no_short, help = "human or json", meta = "FORM", default = "human")]
-            output: Output,
+            output: OutputFormat,
             $($field)*
         }
 
@@ -126,7 +126,7 @@
 }
 
 /// A command that only has subcommands.
-macro_rules! group {
+macro_rules! command_group {
     ($name:ident, $command:ident) => {
         #[derive(Debug, Options)]
         pub(super) struct $name {
@@ -138,4 +138,4 @@
     };
 }
 
-pub(super) use {call_options, change_options, group};
+pub(super) use {call_options, change_options, command_group};
--- a/crates/azuregate/src/cli/policy_file.rs
+++ b/crates/azuregate/src/cli/policy_file.rs
@@ -17,54 +17,54 @@
 /// A policy as operators write it, with what `policy get` says of it.
 const POLICY: Schema = Schema::Object(&[
     field("service", Required, Schema::String(service)),
-    field("version", Optional, ANY),
-    field("operation_id", Optional, Schema::String(any)),
+    field("version", Optional, ANY_INTEGER),
+    field("operation_id", Optional, Schema::String(any_string)),
     field("zone_share_ppm", Optional, SHARES),
     field("cap", Required, CAP),
     field("shift", Nullable, SHIFT),
-    field("shift_delay_ms", Optional, ANY),
+    field("shift_delay_ms", Optional, ANY_INTEGER),
     field("drains", Optional, Schema::Array(&NAME)),
-    field("timeout_ms", Required, POSITIVE),
-    field("queue_ms", Required, ANY),
+    field("timeout_ms", Required, POSITIVE_INTEGER),
+    field("queue_ms", Required, ANY_INTEGER),
 ]);
 
 const CAP: Schema = Schema::Object(&[
     field("share_ppm", Required, Schema::Integer { min: 1, max: WHOLE_PPM as u64 }),
-    field("window_ms", Required, POSITIVE),
+    field("window_ms", Required, POSITIVE_INTEGER),
 ]);
 
 const SHIFT: Schema = Schema::Object(&[
     field("from_share_ppm", Required, SHARES),
     field("to_share_ppm", Required, SHARES),
-    field("start_at_ms", Required, ANY),
+    field("start_at_ms", Required, ANY_INTEGER),
     field("cap", Required, CAP),
 ]);
 
 const SHARES: Schema = Schema::Map(&Schema::Integer { min: 0, max: WHOLE_PPM as u64 });
 const NAME: Schema = Schema::String(name);
-const ANY: Schema = Schema::Integer { min: 0, max: u64::MAX };
-const POSITIVE: Schema = Schema::Integer { min: 1, max: u64::MAX };
+const ANY_INTEGER: Schema = Schema::Integer { min: 0, max: u64::MAX };
+const POSITIVE_INTEGER: Schema = Schema::Integer { min: 1, max: u64::MAX };
 
 const fn field(key: &'static str, presence: Presence, schema: Schema) -> Field {
     Field { key, presence, schema }
 }
 
 fn service(text: &str) -> Result<(), String> {
-    convert::service_name(text).map(|_| ()).map_err(|e| shorten(&e.to_string()))
+    convert::service_name(text).map(|_| ()).map_err(|e| strip_field_and_value(&e.to_string()))
 }
 
 fn name(text: &str) -> Result<(), String> {
-    convert::check_name("", text).map_err(|e| shorten(&e.to_string()))
+    convert::check_name("", text).map_err(|e| strip_field_and_value(&e.to_string()))
 }
 
 /// The checks of calls name the field and the value, which the walk does too.
-fn shorten(message: &str) -> String {
+fn strip_field_and_value(message: &str) -> String {
     let start = message.find("must").unwrap_or(0);
     let end = message.rfind(", not").unwrap_or(message.len());
     message[start..end].to_owned()
 }
 
-fn any(_text: &str) -> Result<(), String> {
+fn any_string(_text: &str) -> Result<(), String> {
     Ok(())
 }
 
@@ -74,7 +74,7 @@
 ///
 /// All that is wrong, one line each, with line and column.
 pub(super) fn parse(file: &Path, text: &str) -> Result<Policy, String> {
-    let tell = |problems: &[Problem]| {
+    let format_problems = |problems: &[Problem]| {
         let mut lines = String::new();
         for problem in problems {
             // Writing to a text cannot fail.
@@ -82,8 +82,8 @@
         }
         lines.trim_end().to_owned()
     };
-    jsonc::check(text, &POLICY, |_, _| ()).map_err(|problems| tell(&problems))?;
-    let mut value: Value = jsonc::deserialize(text).map_err(|e| tell(&[e]))?;
+    jsonc::check(text, &POLICY, |_, _| ()).map_err(|problems| format_problems(&problems))?;
+    let mut value: Value = jsonc::deserialize(text).map_err(|e| format_problems(&[e]))?;
     if let Some(object) = value.as_object_mut() {
         object.entry("version").or_insert(Value::from(0));
         object.entry("operation_id").or_insert(Value::from(""));
--- a/crates/azuregate/src/cli/print.rs
+++ b/crates/azuregate/src/cli/print.rs
@@ -5,16 +5,20 @@
 use azuregate_schema::v1;
 use serde::Serialize;
 
-use super::{options::Output, print_line};
+use super::{options::OutputFormat, print_line};
 
 /// Prints a message as JSON under the schema's names, or by `human`.
-pub(super) fn answer<T: Serialize>(output: Output, message: &T, human: impl FnOnce(&T) -> String) {
+pub(super) fn response<T: Serialize>(
+    output: OutputFormat,
+    message: &T,
+    human: impl FnOnce(&T) -> String,
+) {
     match output {
-        Output::Json => print_line(format_args!(
+        OutputFormat::Json => print_line(format_args!(
             "{}",
             serde_json::to_string_pretty(message).unwrap_or_default()
         )),
-        Output::Human => print_line(format_args!("{}", human(message).trim_end())),
+        OutputFormat::Human => print_line(format_args!("{}", human(message).trim_end())),
     }
 }
 
@@ -69,7 +73,7 @@
         let state = if instance.live { "live" } else { &instance.reason };
         instances.push(row![instance.id, instance.zone, instance.traffic_addr, state]);
     }
-    for part in [table(&policies), table(&instances), leaving(&status.backends)] {
+    for part in [table(&policies), table(&instances), closed_backends(&status.backends)] {
         text.push('\n');
         text.push_str(&part);
     }
@@ -79,7 +83,7 @@
 }
 
 /// The backend servers that take no new work.
-pub(super) fn leaving(backends: &[v1::Backend]) -> String {
+pub(super) fn closed_backends(backends: &[v1::Backend]) -> String {
     let mut rows = vec![row!["backend server", "service", "zone", "no new work because"]];
     for backend in backends.iter().filter(|backend| !backend.open) {
         rows.push(row![backend.id, backend.service, backend.zone, backend.reasons.join(", ")]);
@@ -103,17 +107,17 @@
     table(&rows)
 }
 
-pub(super) fn entries(answer: &v1::EntriesResponse) -> String {
+pub(super) fn entries(response: &v1::EntriesResponse) -> String {
     let mut rows = vec![row!["instance", "zone", "traffic"]];
-    for entry in &answer.entries {
+    for entry in &response.entries {
         rows.push(row![entry.id, entry.zone, entry.addr]);
     }
-    format!("{}callers may keep this for {} s\n", table(&rows), answer.max_age_s)
+    format!("{}callers may keep this for {} s\n", table(&rows), response.max_age_s)
 }
 
-pub(super) fn history(answer: &v1::PolicyHistoryResponse) -> String {
+pub(super) fn history(response: &v1::PolicyHistoryResponse) -> String {
     let mut rows = vec![row!["version", "operation", "shift", "drains", "timeout ms", "queue ms"]];
-    for policy in &answer.policies {
+    for policy in &response.policies {
         let shift = if policy.shift.is_some() { "yes" } else { "-" };
         let drains =
             if policy.drains.is_empty() { "-".to_owned() } else { policy.drains.join(",") };
@@ -129,10 +133,10 @@
     table(&rows)
 }
 
-pub(super) fn shift(answer: &v1::GetShiftResponse) -> String {
+pub(super) fn shift(response: &v1::GetShiftResponse) -> String {
     let mut rows = vec![row!["zone", "share now", "share at the end"]];
-    let end = answer.shift.as_ref().map_or(&answer.share_ppm, |shift| &shift.to_share_ppm);
-    let mut zones: Vec<_> = answer.share_ppm.keys().chain(end.keys()).collect();
+    let end = response.shift.as_ref().map_or(&response.share_ppm, |shift| &shift.to_share_ppm);
+    let mut zones: Vec<_> = response.share_ppm.keys().chain(end.keys()).collect();
     zones.sort();
     zones.dedup();
     // An empty table leaves the choice to nearness.
@@ -141,14 +145,14 @@
         if shares.is_empty() { "by nearness".to_owned() } else { percent(ppm) }
     };
     for zone in zones {
-        rows.push(row![zone, share(&answer.share_ppm, zone), share(end, zone)]);
+        rows.push(row![zone, share(&response.share_ppm, zone), share(end, zone)]);
     }
-    let head = match &answer.shift {
+    let head = match &response.shift {
         Some(shift) => format!(
             "a shift has come {} of its way: starts in {}, ends in {}\n",
-            percent(answer.progress_ppm),
-            seconds(shift.start_at_ms.saturating_sub(answer.now_ms)),
-            seconds(answer.end_at_ms.saturating_sub(answer.now_ms))
+            percent(response.progress_ppm),
+            seconds(shift.start_at_ms.saturating_sub(response.now_ms)),
+            seconds(response.end_at_ms.saturating_sub(response.now_ms))
         ),
         None => "no shift is in progress\n".to_owned(),
     };
