--- a/crates/azuregate-core/src/route/slots.rs
+++ b/crates/azuregate-core/src/route/slots.rs
@@ -1,4 +1,4 @@
-//! The slots of one group of backend servers, counted exactly.
+//! Least-loaded selection by free slots.
 
 use std::{
     cmp::Reverse,
@@ -7,51 +7,52 @@
 
 use crate::{
     names::BackendId,
-    route::{Ending, LoadReport, Place, Room, RouteServer, Router, limit::Limit},
+    route::{
+        Capacity, Completion, LoadReport, Locality, Router, ServerStatus, limit::ConcurrencyLimit,
+    },
     time::Millis,
 };
 
-/// Servers with this many free slots or more are not told apart.
-const FREE_LIMIT: usize = 63;
-/// Weight of one answer in the mean latency of the group.
-const WEIGHT: f64 = 1.0 / 64.0;
+/// The last bucket, which holds all servers with at least this many free slots.
+const MAX_BUCKET: usize = 63;
+/// Weight of a new sample in the mean latency of the group.
+const EWMA_WEIGHT: f64 = 1.0 / 64.0;
 
-/// Chooses the server with the most free slots, any of them when several have.
+/// Selects the server with the most free slots; ties are broken at random.
 ///
-/// Servers are kept in buckets by free slots, with a bit for each bucket that
-/// is not empty: a choice costs the same for one server and for a thousand, and
-/// allocates nothing.
+/// Servers are kept in buckets by their number of free slots, with a bitmap of
+/// the nonempty buckets, so selection takes constant time and does not allocate.
 #[derive(Debug)]
 pub struct SlotTable {
     servers: Vec<Server>,
     by_id: HashMap<BackendId, usize>,
-    /// Keys of servers by free slots.
+    /// Keys of servers, indexed by free slots.
     buckets: Vec<Vec<usize>>,
-    /// Which buckets hold servers; bucket 0 is never marked.
-    filled: u64,
-    /// Servers with a limit of zero, by when they may be tried again.
-    resting: BinaryHeap<Reverse<(Millis, usize)>>,
-    usual_ms: f64,
-    room: Room,
+    /// Bitmap of nonempty buckets; the bit of bucket 0 is never set.
+    nonempty: u64,
+    /// Servers with a limit of zero, ordered by when they may be tried again.
+    closed: BinaryHeap<Reverse<(Millis, usize)>>,
+    mean_latency_ms: f64,
+    capacity: Capacity,
 }
 
 #[derive(Debug)]
 struct Server {
     id: BackendId,
-    limit: Limit,
-    open: bool,
+    limit: ConcurrencyLimit,
+    available: bool,
     in_use: u32,
     bucket: usize,
     position: usize,
 }
 
 impl Server {
-    fn free(&self) -> u32 {
-        if self.open { self.limit.get().saturating_sub(self.in_use) } else { 0 }
+    fn free_slots(&self) -> u32 {
+        if self.available { self.limit.get().saturating_sub(self.in_use) } else { 0 }
     }
 
-    fn slots(&self) -> u32 {
-        if self.open { self.limit.get() } else { 0 }
+    fn total_slots(&self) -> u32 {
+        if self.available { self.limit.get() } else { 0 }
     }
 }
 
@@ -60,124 +61,126 @@
         SlotTable {
             servers: Vec::new(),
             by_id: HashMap::new(),
-            buckets: vec![Vec::new(); FREE_LIMIT + 1],
-            filled: 0,
-            resting: BinaryHeap::new(),
-            usual_ms: 0.0,
-            room: Room::default(),
+            buckets: vec![Vec::new(); MAX_BUCKET + 1],
+            nonempty: 0,
+            closed: BinaryHeap::new(),
+            mean_latency_ms: 0.0,
+            capacity: Capacity::default(),
         }
     }
 }
 
 impl SlotTable {
-    /// Changes a server and keeps the buckets and the totals right.
+    /// Changes a server and updates its bucket and the capacity.
     fn update(&mut self, key: usize, change: impl FnOnce(&mut Server)) {
         let server = &mut self.servers[key];
-        let (free, slots) = (server.free(), server.slots());
+        let (free, total) = (server.free_slots(), server.total_slots());
         change(server);
-        self.room.free = self.room.free - free + server.free();
-        self.room.slots = self.room.slots - slots + server.slots();
-        let bucket = (server.free() as usize).min(FREE_LIMIT);
+        self.capacity.free = self.capacity.free - free + server.free_slots();
+        self.capacity.total = self.capacity.total - total + server.total_slots();
+        let bucket = (server.free_slots() as usize).min(MAX_BUCKET);
         if bucket != server.bucket {
-            self.take_out(key);
-            self.put_in(key, bucket);
+            self.remove_from_bucket(key);
+            self.insert_into_bucket(key, bucket);
         }
     }
 
-    fn take_out(&mut self, key: usize) {
+    fn remove_from_bucket(&mut self, key: usize) {
         let Server { bucket, position, .. } = self.servers[key];
         self.buckets[bucket].swap_remove(position);
         if let Some(&moved) = self.buckets[bucket].get(position) {
             self.servers[moved].position = position;
         }
         if self.buckets[bucket].is_empty() {
-            self.filled &= !(1 << bucket);
+            self.nonempty &= !(1 << bucket);
         }
     }
 
-    fn put_in(&mut self, key: usize, bucket: usize) {
+    fn insert_into_bucket(&mut self, key: usize, bucket: usize) {
         self.servers[key].bucket = bucket;
         self.servers[key].position = self.buckets[bucket].len();
         self.buckets[bucket].push(key);
         if bucket > 0 {
-            self.filled |= 1 << bucket;
+            self.nonempty |= 1 << bucket;
         }
     }
 
-    fn add(&mut self, id: &BackendId, limit: Limit) -> usize {
+    fn add(&mut self, id: &BackendId, limit: ConcurrencyLimit) -> usize {
         let key = self.servers.len();
         self.servers.push(Server {
             id: id.clone(),
             limit,
-            open: false,
+            available: false,
             in_use: 0,
             bucket: 0,
             position: 0,
         });
         self.by_id.insert(id.clone(), key);
-        self.put_in(key, 0);
-        // A push to any bucket must find the room there: the choice is not to
-        // allocate.
+        self.insert_into_bucket(key, 0);
+        // Any bucket may hold all servers; reserved here, so that selection does
+        // not allocate.
         let count = self.servers.len();
         for bucket in &mut self.buckets {
             bucket.reserve(count - bucket.len());
         }
-        self.resting.reserve(count * 2);
+        self.closed.reserve(count * 2);
         key
     }
 
-    fn wake_rested(&mut self, now_ms: Millis) {
-        while let Some(&Reverse((at_ms, key))) = self.resting.peek() {
+    fn reopen_due(&mut self, now_ms: Millis) {
+        while let Some(&Reverse((at_ms, key))) = self.closed.peek() {
             if at_ms > now_ms {
                 return;
             }
-            self.resting.pop();
-            self.update(key, |server| server.limit.try_again(now_ms));
+            self.closed.pop();
+            self.update(key, |server| server.limit.reopen(now_ms));
         }
     }
 
-    /// The first answer sets what is usual: against nothing, all are slow.
-    fn learn_usual(&mut self, latency_ms: f64) {
-        let weight = if self.usual_ms == 0.0 { 1.0 } else { WEIGHT };
-        self.usual_ms += weight * (latency_ms - self.usual_ms);
+    /// Updates the mean latency of the group. The first sample sets it, since
+    /// any latency would be slow compared with zero.
+    fn record_latency(&mut self, latency_ms: f64) {
+        let weight = if self.mean_latency_ms == 0.0 { 1.0 } else { EWMA_WEIGHT };
+        self.mean_latency_ms += weight * (latency_ms - self.mean_latency_ms);
     }
 
-    fn rest_if_closed(&mut self, key: usize) {
+    fn schedule_reopen(&mut self, key: usize) {
         let limit = &self.servers[key].limit;
         if limit.get() == 0 {
-            self.resting.push(Reverse((limit.raise_at_ms(), key)));
+            self.closed.push(Reverse((limit.next_increase_at_ms(), key)));
         }
     }
 }
 
 impl Router for SlotTable {
-    fn set_servers(&mut self, _place: Place<'_>, servers: &[RouteServer]) {
+    fn set_servers(&mut self, _locality: Locality<'_>, servers: &[ServerStatus]) {
         for key in 0..self.servers.len() {
-            self.update(key, |server| server.open = false);
+            self.update(key, |server| server.available = false);
         }
-        // Servers of the first list served before this instance looked: a new
-        // dispatcher that took them for cold would refuse what they can take.
-        let first = self.servers.is_empty();
-        for RouteServer { server, open } in servers {
-            let make = if first { Limit::warm } else { Limit::cold };
+        // Servers of the first list were in service before this instance
+        // started. Treating them as cold would refuse requests that they can take.
+        let first_list = self.servers.is_empty();
+        for ServerStatus { server, available } in servers {
+            let new_limit =
+                if first_list { ConcurrencyLimit::warm } else { ConcurrencyLimit::cold };
             let known = self.by_id.get(&server.id).copied();
-            let key =
-                known.unwrap_or_else(|| self.add(&server.id, make(server.start, server.slots)));
+            let key = known
+                .unwrap_or_else(|| self.add(&server.id, new_limit(server.start, server.slots)));
             self.update(key, |known| {
-                known.limit.set_server(server.start, server.slots);
-                known.open = *open;
+                known.limit.update_server(server.start, server.slots);
+                known.available = *available;
             });
         }
     }
 
-    fn choose(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
-        self.wake_rested(now_ms);
-        let bucket = self.filled.checked_ilog2()? as usize;
+    fn acquire(&mut self, now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
+        self.reopen_due(now_ms);
+        let bucket = self.nonempty.checked_ilog2()? as usize;
         let nth = rng.usize(..self.buckets[bucket].len());
         let key = self.buckets[bucket][nth];
         self.update(key, |server| {
             if server.in_use == 0 {
-                server.limit.wake(now_ms);
+                server.limit.reset_if_idle(now_ms);
             }
             server.in_use += 1;
         });
@@ -188,31 +191,32 @@
         &self.servers[key].id
     }
 
-    fn finish(&mut self, key: usize, ending: Ending, now_ms: Millis) {
-        if let Ending::Answered { latency_ms } = ending {
-            self.learn_usual(latency_ms as f64);
+    fn release(&mut self, key: usize, completion: Completion, now_ms: Millis) {
+        if let Completion::Responded { latency_ms } = completion {
+            self.record_latency(latency_ms as f64);
         }
-        let usual_ms = self.usual_ms;
+        let mean_latency_ms = self.mean_latency_ms;
         self.update(key, |server| {
-            debug_assert!(server.in_use > 0, "a slot is given back once");
+            debug_assert!(server.in_use > 0, "slot released twice");
             server.in_use = server.in_use.saturating_sub(1);
-            match ending {
-                Ending::Answered { latency_ms } => {
-                    server.limit.answered(latency_ms, usual_ms, now_ms);
+            match completion {
+                Completion::Responded { latency_ms } => {
+                    server.limit.record_response(latency_ms, mean_latency_ms, now_ms);
                 }
-                Ending::Refused | Ending::Failed => server.limit.refused(server.in_use, now_ms),
-                Ending::Abandoned => {}
+                Completion::Refused | Completion::Failed => {
+                    server.limit.record_refusal(server.in_use, now_ms)
+                }
+                Completion::Cancelled => {}
             }
         });
-        self.rest_if_closed(key);
+        self.schedule_reopen(key);
     }
 
-    /// Changes nothing: the slots taken here are counted exactly, and a report
-    /// that lags by a second says "full" of servers that have long been free.
-    /// Requests that others sent show in refusals at once.
-    fn report(&mut self, _key: usize, _report: LoadReport) {}
+    /// Ignores the report: slots in use are counted exactly here, while reports
+    /// lag. Requests from other instances show up as refusals.
+    fn record_load(&mut self, _key: usize, _report: LoadReport) {}
 
-    fn room(&self) -> Room {
-        self.room
+    fn capacity(&self) -> Capacity {
+        self.capacity
     }
 }
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -13,8 +13,8 @@
     error::Error,
     names::{InstanceId, ServiceName, ZoneName},
     route::{
-        Ending,
-        dispatch::{Ask, Dispatch, Refusal, Step},
+        Completion,
+        dispatch::{Decision, Dispatch, DispatchRequest, Refusal},
     },
     snapshot::Snapshot,
     steer::Steer,
@@ -124,23 +124,23 @@
         match message {
             Message::Acquire { ticket, want, reply } => self.acquire(ticket, &want, reply),
             Message::GiveUp { ticket } => {
-                if let Some(refusal) = self.dispatch.give_up(ticket) {
+                if let Some(refusal) = self.dispatch.cancel_waiting(ticket) {
                     self.refuse(ticket, refusal);
                 }
             }
             Message::Finish { held: Held::Slot(slot), ending } => {
-                self.dispatch.finish(&slot, ending, now_ms);
+                self.dispatch.release(&slot, ending, now_ms);
                 self.serve_waiting(slot.group);
             }
             Message::Finish { held: Held::HandOver { hand_over, ticket }, ending } => {
                 self.out.remove(&ticket);
                 self.dispatch.finish_hand_over(&hand_over, ending, now_ms);
             }
-            Message::Report { slot, report } => self.dispatch.report(&slot, report),
+            Message::Report { slot, report } => self.dispatch.record_load(&slot, report),
             Message::Hear { hand_over, load } => {
                 let from = self.dispatch.dispatcher_id(&hand_over).clone();
                 let group = self.dispatch.group_id(hand_over.group).clone();
-                self.dispatch.hear(&from, &group, load, false, now_ms);
+                self.dispatch.receive_load(&from, &group, load, false, now_ms);
             }
             Message::LoadFor { to, group, reply } => {
                 let _ = reply.send(self.dispatch.load_for(&to, &group, now_ms));
@@ -151,7 +151,7 @@
     fn hear(&mut self, update: &LoadUpdate) {
         if update.service == self.service {
             let now_ms = self.clock.now();
-            self.dispatch.hear(&update.peer, &update.group, update.load, true, now_ms);
+            self.dispatch.receive_load(&update.peer, &update.group, update.load, true, now_ms);
         }
     }
 
@@ -159,7 +159,7 @@
         let now_ms = self.clock.now();
         for (&link, meter) in &self.meters {
             let (up_bytes, down_bytes) = meter.read();
-            self.dispatch.passed(link, up_bytes, down_bytes, now_ms);
+            self.dispatch.record_link_bytes(link, up_bytes, down_bytes, now_ms);
         }
         let (updates, silent) = self.dispatch.tick(now_ms);
         for update in updates {
@@ -209,7 +209,7 @@
         if let Some(steer) = &mut self.steer {
             steer.set_snapshot(&snapshot);
         }
-        for peer in self.dispatch.away(&snapshot) {
+        for peer in self.dispatch.away_peers_with_requests(&snapshot) {
             self.lose(peer);
         }
         for (waiting, refusal) in self.dispatch.set_snapshot(&snapshot) {
@@ -223,55 +223,69 @@
             None => self.place(ticket, want),
             Some(handed) => {
                 let wait_ms = want.wait_ms.min(handed.wait_ms);
-                let ask = Ask {
+                let ask = DispatchRequest {
                     ticket,
-                    plan: &[],
-                    wait_ms,
-                    left_ms: want.left_ms,
-                    up_bytes: want.up_bytes,
+                    zones: &[],
+                    max_wait_ms: wait_ms,
+                    remaining_ms: want.left_ms,
+                    body_bytes: want.up_bytes,
                     idempotent: want.idempotent,
                 };
                 let (from, group) = (&handed.from, &handed.group);
                 let now_ms = self.clock.now();
-                self.dispatch.place_handed(from, group, &ask, now_ms, &mut self.rng)
+                self.dispatch.place_handed_over(from, group, &ask, now_ms, &mut self.rng)
             }
         };
         match step {
-            Step::Serve(slot) => self.reply_slot(reply, slot),
-            Step::HandOver(hand_over) => self.reply_hand_over(reply, ticket, hand_over, want),
-            Step::Wait { group } => {
+            Decision::Serve(slot) => self.reply_slot(reply, slot),
+            Decision::HandOver(hand_over) => self.reply_hand_over(reply, ticket, hand_over, want),
+            Decision::Wait { group } => {
                 self.waiting.insert(ticket, reply);
                 self.serve_waiting(group);
             }
-            Step::Refuse(refusal) => {
+            Decision::Refuse(refusal) => {
                 let _ = reply.send(Err(refusal_error(refusal)));
             }
         }
     }
 
-    fn place(&mut self, ticket: u64, want: &Want) -> Step {
+    fn place(&mut self, ticket: u64, want: &Want) -> Decision {
         let now_ms = self.clock.now();
         let Want { wait_ms, left_ms, up_bytes, idempotent, .. } = *want;
         let Some(steer) = &mut self.steer else {
             let plan = std::slice::from_ref(&self.zone);
-            let ask = Ask { ticket, plan, wait_ms, left_ms, up_bytes, idempotent };
+            let ask = DispatchRequest {
+                ticket,
+                zones: plan,
+                max_wait_ms: wait_ms,
+                remaining_ms: left_ms,
+                body_bytes: up_bytes,
+                idempotent,
+            };
             return self.dispatch.place(&ask, now_ms, &mut self.rng);
         };
         let plan = steer.plan(self.clock.epoch(), now_ms);
         if plan.cap_reached {
-            steer.went(&plan, None, now_ms);
-            return Step::Refuse(Refusal::cap_reached());
+            steer.record_placement(&plan, None, now_ms);
+            return Decision::Refuse(Refusal::cap_reached());
         }
-        let ask = Ask { ticket, plan: &plan.zones, wait_ms, left_ms, up_bytes, idempotent };
+        let ask = DispatchRequest {
+            ticket,
+            zones: &plan.zones,
+            max_wait_ms: wait_ms,
+            remaining_ms: left_ms,
+            body_bytes: up_bytes,
+            idempotent,
+        };
         let step = self.dispatch.place(&ask, now_ms, &mut self.rng);
         let group = match step {
-            Step::Serve(slot) => Some(slot.group),
-            Step::HandOver(hand_over) => Some(hand_over.group),
-            Step::Wait { group } => Some(group),
-            Step::Refuse(_) => None,
+            Decision::Serve(slot) => Some(slot.group),
+            Decision::HandOver(hand_over) => Some(hand_over.group),
+            Decision::Wait { group } => Some(group),
+            Decision::Refuse(_) => None,
         };
         let zone = group.map(|group| &self.dispatch.group_id(group).zone);
-        steer.went(&plan, zone, now_ms);
+        steer.record_placement(&plan, zone, now_ms);
         step
     }
 
@@ -283,7 +297,7 @@
                 // A caller that left meanwhile drops the lease, which gives it
                 // back.
                 Some(reply) => self.reply_slot(reply, slot),
-                None => self.dispatch.finish(&slot, Ending::Abandoned, now_ms),
+                None => self.dispatch.release(&slot, Completion::Cancelled, now_ms),
             }
         }
     }
