--- a/crates/azuregate/src/operators/convert.rs
+++ b/crates/azuregate/src/operators/convert.rs
@@ -1,4 +1,4 @@
-//! Policies between their own type and that of the operators' calls.
+//! Conversions between policies and their protobuf messages.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -9,10 +9,10 @@
 };
 use azuregate_schema::v1;
 
-/// The longest name, in bytes.
+/// Maximum length of a name.
 const MAX_NAME_BYTES: usize = 63;
 
-/// A policy that operators may not set.
+/// An invalid policy.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PolicyError {
     detail: String,
@@ -26,7 +26,7 @@
 
 impl std::error::Error for PolicyError {}
 
-/// The policy as operators see it.
+/// Converts a policy to its protobuf message.
 pub fn to_proto(policy: &Policy) -> v1::Policy {
     v1::Policy {
         service: policy.service.to_string(),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The policy that operators want.
+/// Converts a protobuf message to a policy.
 ///
 /// # Errors
 ///
@@ -70,12 +70,12 @@
     Ok(policy)
 }
 
-/// The name of a service that operators may set a policy for.
+/// Parses the name of a service.
 ///
 /// # Errors
 ///
-/// When the name is empty, too long, or holds what has a meaning in the keys of
-/// rows or cannot stand in a Host header.
+/// When the name is empty, too long, not in lower case, or has a character that
+/// [`check_name`] does not allow.
 pub fn service_name(text: &str) -> Result<ServiceName, PolicyError> {
     check_name("service", text)?;
     if text.chars().any(|c| c.is_ascii_uppercase()) {
@@ -84,12 +84,13 @@
     Ok(ServiceName::new(text))
 }
 
-/// Checks the text of a name.
+/// Checks the syntax of a name; `field` names it in the error.
 ///
 /// # Errors
 ///
-/// When it is empty, too long, or holds anything but letters, digits, dots,
-/// hyphens and underscores.
+/// When the name is empty, too long, or has a character other than ASCII letters,
+/// digits, dots, hyphens and underscores. Other characters could be delimiters in
+/// the keys of rows or invalid in a Host header.
 pub fn check_name(field: &str, text: &str) -> Result<(), PolicyError> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     if (1..=MAX_NAME_BYTES).contains(&text.len()) && text.chars().all(is_allowed) {
@@ -134,7 +135,7 @@
     shares.iter().map(|(zone, &ppm)| (zone.to_string(), ppm)).collect()
 }
 
-/// Shares as operators give them; what they add up to is not looked at.
+/// Converts zone shares without checking their sum.
 pub(crate) fn shares_from_proto(
     field: &str,
     shares: &BTreeMap<String, u32>,
--- a/crates/azuregate/src/operators/describe.rs
+++ b/crates/azuregate/src/operators/describe.rs
@@ -1,4 +1,4 @@
-//! What an instance knows and does, as operators see it.
+//! Views of an instance's state in the operators' responses.
 
 use azuregate_core::{
     names::ServiceName,
@@ -9,7 +9,7 @@
 use super::effect::closed_reasons;
 use crate::metrics::{HistogramSummary, Histograms};
 
-/// Whether an instance is ready, and why.
+/// Returns whether the instance is ready, and the reason.
 pub(super) fn readiness(snapshot: &Snapshot, stopping: bool) -> (bool, String) {
     if stopping {
         return (false, "a planned stop is in progress".to_owned());
@@ -41,7 +41,7 @@
     }
 }
 
-/// The backend servers of one service, or of all.
+/// Returns the backend servers of one service, or of all services.
 pub(super) fn backends(snapshot: &Snapshot, service: Option<&ServiceName>) -> Vec<v1::Backend> {
     let is_selected = |name: &ServiceName| service.is_none_or(|service| service == name);
     let services = snapshot.backends.iter().filter(|(name, _)| is_selected(name));
@@ -62,7 +62,7 @@
     }
 }
 
-/// The histograms of one service, or of all.
+/// Returns the histograms of one service, or of all services.
 pub(super) fn histograms(
     histograms: Histograms,
     service: Option<&ServiceName>,
--- a/crates/azuregate/src/operators/difference.rs
+++ b/crates/azuregate/src/operators/difference.rs
@@ -1,4 +1,4 @@
-//! Where two policies differ, field by field.
+//! Field-by-field comparison of two policies.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use azuregate_schema::v1;
 use serde_json::Value;
 
-/// Fields that differ between any two versions.
+/// Fields that differ between any two versions, and are left out.
 const IGNORED_FIELDS: [&str; 2] = ["version", "operation_id"];
 
-/// The fields that differ, ordered by name.
+/// Returns the fields that differ, ordered by name.
 pub(super) fn between(before: Option<&Policy>, after: &Policy) -> Vec<v1::Difference> {
     let (before, after) = (before.map_or_else(BTreeMap::new, fields), fields(after));
     let mut names: Vec<&String> = before.keys().chain(after.keys()).collect();
@@ -45,7 +45,7 @@
         fields.insert(path.to_owned(), value);
         return;
     };
-    // A field that is null is not there.
+    // A null field counts as absent.
     for (key, value) in object.into_iter().filter(|(_, value)| !value.is_null()) {
         let path = if path.is_empty() { key } else { format!("{path}.{key}") };
         flatten(&path, value, fields);
--- a/crates/azuregate/src/operators/edit.rs
+++ b/crates/azuregate/src/operators/edit.rs
@@ -1,4 +1,4 @@
-//! What an operator wants changed, and the policy that results.
+//! Requested changes and their application to a policy.
 
 use azuregate_core::{
     names::{BackendId, ServiceName},
@@ -11,36 +11,36 @@
 
 use super::failure::{change_error, refused};
 
-/// A change that an operator asked for.
+/// A change requested by an operator.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeRequest {
     pub(crate) service: ServiceName,
-    /// Names the change in the platform.
+    /// Identifies the change, so that a retry is not applied twice.
     pub(crate) operation_id: String,
-    /// The version that it is based on; `None` for whichever there is.
+    /// The expected current version; `None` accepts any.
     pub(crate) based_on_version: Option<u64>,
     pub(crate) edit: Edit,
 }
 
-/// What is to be done to a policy.
+/// A modification of a policy.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum Edit {
-    /// Replace it as a whole.
+    /// Replaces the whole policy.
     Set(Box<Policy>),
-    /// Move traffic to other shares.
+    /// Starts to shift traffic to other zone shares.
     StartShift { to_share_ppm: Shares, cap: Option<Cap> },
-    /// Stop the movement.
+    /// Stops the shift in progress.
     StopShift,
-    /// Take backend servers out of service.
+    /// Drains backend servers.
     Drain(Vec<BackendId>),
-    /// Take backend servers back into service.
+    /// Returns drained backend servers to service.
     Undrain(Vec<BackendId>),
 }
 
 impl ChangeRequest {
-    /// Tells this change from any other that is sent under the same
-    /// operation id by mistake.
+    /// Returns a hash of the change. It detects an operation id that is reused for
+    /// a different change.
     pub(crate) fn fingerprint(&self) -> String {
         let edit = serde_json::to_string(&self.edit).unwrap_or_default();
         let based_on = self.based_on_version.map_or_else(String::new, |v| v.to_string());
@@ -49,12 +49,13 @@
 }
 
 impl Edit {
-    /// Whether the change means the same on whichever version it is made.
+    /// Returns whether the change commutes with concurrent changes, and so can be
+    /// applied to any version.
     pub(crate) fn commutes(&self) -> bool {
         matches!(self, Edit::Drain(_) | Edit::Undrain(_))
     }
 
-    /// The policy that results.
+    /// Applies the change and returns the next version of the policy.
     ///
     /// # Errors
     ///
@@ -84,7 +85,7 @@
             }
         };
         let next = next.map_err(|e| change_error(&e))?;
-        // Several backend servers are one change.
+        // Draining several backend servers increments the version only once.
         Ok(Policy { version: stored.version + 1, ..next })
     }
 
--- a/crates/azuregate/src/operators/effect.rs
+++ b/crates/azuregate/src/operators/effect.rs
@@ -1,4 +1,4 @@
-//! What a change moves, told before and after it is made.
+//! The effect of a change on traffic and backend servers.
 
 use std::collections::BTreeSet;
 
@@ -10,12 +10,12 @@
 };
 use azuregate_schema::v1;
 
-/// A policy before and after a change, in the world that the instance knows.
+/// A policy before and after a change, evaluated against a configuration snapshot.
 pub(super) struct Comparison<'a> {
     pub(super) before: Option<&'a Policy>,
     pub(super) after: &'a Policy,
     pub(super) snapshot: &'a Snapshot,
-    /// Since the Unix epoch.
+    /// Current time since the Unix epoch.
     pub(super) now_ms: Millis,
 }
 
@@ -78,7 +78,8 @@
             .filter(move |server| closed_reasons(self.snapshot, server, policy).is_empty())
     }
 
-    /// A shift moves shares; a drain moves what the closed servers had.
+    /// Returns the share of traffic that moves: for a shift the distance between
+    /// the zone shares, for a drain the share of open slots that it closes.
     fn moved_ppm(&self) -> u32 {
         if let Some(shift) = self.new_shift() {
             return u32::try_from(shift.distance_ppm()).unwrap_or(WHOLE_PPM);
@@ -112,8 +113,8 @@
     u32::try_from(items.count()).unwrap_or(u32::MAX)
 }
 
-/// The shares in force at `now_ms` since the Unix epoch; `None` where nearness
-/// decides.
+/// Returns the zone shares in force at `now_ms` since the Unix epoch, or `None` if
+/// the policy has none and zones are chosen by distance.
 pub(super) fn shares_now(policy: &Policy, now_ms: Millis) -> Option<Shares> {
     let policy = policy.settled(now_ms);
     match policy.shift {
@@ -127,7 +128,8 @@
     Some(shares.clone()).filter(|shares| !shares.is_empty())
 }
 
-/// Why a backend server gets no new work under `policy`; empty if it does.
+/// Returns the reasons why a backend server gets no new requests under `policy`;
+/// empty if it is open.
 pub(super) fn closed_reasons(
     snapshot: &Snapshot,
     server: &BackendServer,
--- a/crates/azuregate/src/operators/execute.rs
+++ b/crates/azuregate/src/operators/execute.rs
@@ -1,11 +1,11 @@
 /*!
-Makes a change once at the most, and finds out whether it was made.
+At-most-once execution of changes, with detection of their outcome.
 
-An answer of the platform can be lost after the write took effect, and another
-operator can change the same policy at any moment, also in between. Each attempt
-therefore first reads whether the operation has been applied, then writes under
-the condition that nothing has changed since. A second write of the same change
-is safe: the operation's row can be inserted only once.
+A response of the platform can be lost after the write took effect, and another
+operator can change the same policy concurrently. Each attempt therefore first reads
+whether the operation has been applied, and then writes on condition that the policy
+is unchanged. Repeating the write is safe, because the operation's row can be
+inserted only once.
 */
 
 use std::time::Duration;
@@ -26,52 +26,52 @@
     platform::{Commit, Effect, PlatformError},
 };
 
-/// How often a change is tried, or asked after, at the most.
+/// Maximum number of attempts to apply a change or to detect its outcome.
 const MAX_ATTEMPTS: u32 = 4;
-/// Pause before the second attempt, in milliseconds; it doubles each time.
+/// Base of the exponential backoff: retry `n` waits this time multiplied by `2^n`.
 const BACKOFF_BASE_MS: u64 = 20;
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug)]
 pub(crate) enum ChangeOutcome {
-    /// The platform holds it.
+    /// The change was committed.
     Accepted {
-        /// The policy before; `None` if there was none.
+        /// The previous policy; `None` if there was none.
         before: Option<Policy>,
         policy: Policy,
     },
-    /// The platform was found to hold it already.
+    /// The change was found to have been committed before.
     AlreadyApplied {
         policy: Policy,
-        /// Whether an earlier call made the change, and not this one.
+        /// Whether an earlier call committed the change, and not this one.
         repeated: bool,
     },
-    /// Another change came first; `None` if the policy is not there at all.
+    /// The policy has another version than expected; `None` if there is no policy.
     Conflict(Option<Policy>),
-    /// It was only tried out.
+    /// The request was a dry run; nothing was written.
     DryRun { before: Option<Policy>, policy: Policy },
 }
 
-/// Makes changes.
+/// Executes changes.
 #[derive(Clone)]
 pub(crate) struct ChangeExecutor {
     pub(crate) store: PolicyStore,
     pub(crate) clock: SharedClock,
-    /// Tells which zones and backend servers there are.
+    /// The known zones and backend servers.
     pub(crate) snapshots: Snapshots,
 }
 
-/// A write that may have taken effect, or may still do so.
+/// A write whose response was lost: it may have taken effect, or may still do so.
 struct UnconfirmedWrite {
-    /// The version that the row had; 0 if it was absent.
+    /// The expected version of the policy's row; 0 if it was absent.
     row_version: u64,
     error: PlatformError,
 }
 
-/// How one attempt ended; `None` to try again.
+/// The result of one attempt; `None` to retry.
 type AttemptResult = Option<Result<ChangeOutcome, Status>>;
 
-/// One change in the making.
+/// The state of one change across its attempts.
 struct Execution<'a> {
     executor: &'a ChangeExecutor,
     request: &'a ChangeRequest,
@@ -81,12 +81,12 @@
 }
 
 impl ChangeExecutor {
-    /// Makes a change, or only tries it out.
+    /// Executes a change, or plans it if `dry_run` is set.
     ///
     /// # Errors
     ///
-    /// When it is refused, when the platform does not serve, or when it stays
-    /// unknown whether the change was made. The status says which.
+    /// When the change is refused, when the platform is unavailable, or when the
+    /// outcome stays unknown. The status has the failure class.
     pub(crate) async fn execute(
         &self,
         request: &ChangeRequest,
@@ -104,7 +104,7 @@
             }
         }
         let Some(UnconfirmedWrite { error, .. }) = execution.unconfirmed else {
-            return Err(failure::refused("other changes kept coming first; nothing was changed"));
+            return Err(failure::refused("too many concurrent changes; nothing was changed"));
         };
         Err(unknown_outcome(&error))
     }
@@ -120,14 +120,15 @@
             return Some(self.already_applied(&operation).await);
         }
         let row_version = stored.as_ref().map_or(0, |stored| stored.row_version);
-        // A write under the condition of an older row can no longer take effect.
+        // A write that expects an older version of the row can no longer take effect.
         self.unconfirmed.take_if(|unconfirmed| unconfirmed.row_version != row_version);
         let version = stored.as_ref().map_or(0, |stored| stored.policy.version);
         if self.based_on_version.is_some_and(|based_on| based_on != version) {
             return Some(Ok(ChangeOutcome::Conflict(stored.map(|stored| stored.policy))));
         }
         if !self.request.edit.commutes() {
-            // Whatever comes after the first look, the operator cannot have seen.
+            // The operator cannot have seen a version newer than that of the first
+            // attempt, so retries must not apply the change to it.
             self.based_on_version = Some(version);
         }
         let next = match self.next_policy(stored.as_ref()) {
@@ -142,11 +143,11 @@
         self.commit(stored, next).await
     }
 
-    /// The policy that the change leads to.
+    /// Returns the policy that the change results in.
     ///
-    /// Names are checked here, and not when the call comes in: what a change that
-    /// was made before names may be gone since, and a refusal would tell that
-    /// nothing was changed.
+    /// Names are checked here and not on receipt of the request: the names in a
+    /// change that was applied earlier may have been removed since, and a refusal
+    /// would wrongly report that nothing was changed.
     fn next_policy(&self, stored: Option<&StoredPolicy>) -> Result<Policy, Status> {
         validate::check_names(self.request, &self.executor.snapshots.current())?;
         let policy = stored.map(|stored| &stored.policy);
@@ -156,8 +157,8 @@
     }
 
     async fn read_state(&self) -> Result<(Option<Operation>, Option<StoredPolicy>), ReadError> {
-        // In this order: a policy that is read last could be of this very
-        // operation, taking effect in between, and look like a rival's.
+        // The policy must be read first. Otherwise this operation could take effect
+        // between the reads, and its own version would look like a conflict.
         let stored = self.executor.store.policy(&self.request.service).await?;
         let operation = self.executor.store.operation(self.request).await?;
         Ok((operation, stored))
@@ -169,7 +170,8 @@
                 let before = stored.map(|stored| stored.policy);
                 Some(Ok(ChangeOutcome::Accepted { before, policy: next }))
             }
-            // The next look tells whether a rival or an own write came first.
+            // The next attempt detects whether another change or an earlier write of
+            // this one caused the conflict.
             Ok(Commit::Conflict { .. }) => None,
             Err(error) if error.effect() == Effect::Unknown => {
                 let row_version = stored.map_or(0, |stored| stored.row_version);
@@ -185,7 +187,7 @@
         if operation.fingerprint != self.request.fingerprint() {
             let id = &self.request.operation_id;
             return Err(failure::refused(format!(
-                "the operation id {id:?} named another change before; nothing was changed"
+                "operation id {id:?} was already used for another change; nothing was changed"
             )));
         }
         let version = operation.version;
@@ -195,7 +197,7 @@
                 Ok(ChangeOutcome::AlreadyApplied { policy, repeated })
             }
             Ok(None) => {
-                Err(failure::failed(format!("the change led to version {version}, which is gone")))
+                Err(failure::failed(format!("version {version} is missing from the history")))
             }
             Err(ReadError::Malformed(detail)) => Err(failure::failed(detail)),
             Err(ReadError::Platform(e)) => Err(unknown_outcome(&e)),
@@ -212,8 +214,7 @@
 }
 
 fn unknown_outcome(e: &PlatformError) -> Status {
-    let detail = format!(
-        "it is not known whether the change was made; repeat it with the same operation id: {e}"
-    );
+    let detail =
+        format!("the outcome of the change is unknown; retry with the same operation id: {e}");
     failure::status(FailureClass::Unknown, detail)
 }
--- a/crates/azuregate/src/operators/failure.rs
+++ b/crates/azuregate/src/operators/failure.rs
@@ -1,30 +1,30 @@
-//! How calls fail: the class that scripts branch on, beside gRPC's own code.
+//! Statuses of failed calls, with a failure class for scripts in the metadata.
 
 use azuregate_core::policy::{ChangeError, ChangeErrorKind};
 use tonic::{Code, Status, metadata::MetadataValue};
 
 use crate::platform::PlatformError;
 
-/// The metadata that carries the class.
+/// The metadata key of the failure class.
 pub(crate) const CLASS_METADATA_KEY: &str = "azuregate-class";
 
-/// How a call failed.
+/// The class of a failed call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FailureClass {
     /// The request is malformed; nothing was changed.
     Usage,
-    /// The request is sound, but not allowed now; nothing was changed.
+    /// The request is valid, but not allowed in the current state; nothing was changed.
     Refused,
-    /// The platform did not serve; nothing was changed.
+    /// The platform is unavailable; nothing was changed.
     Unreachable,
-    /// The change may have been made, or may still be.
+    /// The change may have been applied, or may still be applied.
     Unknown,
-    /// A defect, or a row that is not understood; nothing was changed.
+    /// An internal error or a malformed row; nothing was changed.
     Failed,
 }
 
 impl FailureClass {
-    /// The class's name in the metadata.
+    /// Returns the class's name in the metadata.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureClass::Usage => "usage",
@@ -35,10 +35,10 @@
         }
     }
 
-    /// The class of a failed call.
+    /// Returns the failure class in a status's metadata.
     ///
-    /// `None` when the failure did not come from an instance: the call was lost
-    /// on its way, and nothing is known of its effect.
+    /// `None` if the status was not created by an instance, for example by a broken
+    /// connection. The effect of the call is then unknown.
     pub fn from_status(status: &Status) -> Option<FailureClass> {
         let all = [
             FailureClass::Usage,
@@ -62,7 +62,7 @@
     }
 }
 
-/// A failed call of `class`.
+/// Creates the status of a failed call.
 pub(super) fn status(class: FailureClass, detail: impl Into<String>) -> Status {
     let mut status = Status::new(class.code(), detail);
     status.metadata_mut().insert(CLASS_METADATA_KEY, MetadataValue::from_static(class.as_str()));
@@ -81,7 +81,7 @@
     status(FailureClass::Failed, detail)
 }
 
-/// For calls that changed nothing so far.
+/// Creates the status of a call that failed before it could have changed anything.
 pub(super) fn unreachable(e: &PlatformError) -> Status {
     status(FailureClass::Unreachable, format!("nothing was changed: {e}"))
 }
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -1,15 +1,17 @@
 /*!
-The operators' remote procedure calls.
+The gRPC service for operators.
 
-Every instance answers for the whole deployment: changes go through the platform,
-are in force at once on the instance that made them, and spread from there.
+Any instance can serve a call for the whole deployment. A change is committed to
+the platform, applied on the serving instance before the call returns, and then
+propagated to the other instances.
 
 # Design
 
-* `edit` turns what an operator asked for into the next version of a policy.
-* `store` keeps that version, its history and the operation, in one transaction.
-* `execute` makes a change once at the most, whatever answers are lost.
-* `validate` refuses names that nobody knows, `effect` tells what a change moves.
+* `edit` applies a requested change to a policy and returns the next version.
+* `store` writes that version, its history entry and the operation in one transaction.
+* `execute` applies a change at most once, even if responses are lost.
+* `validate` rejects unknown names.
+* `effect` describes which traffic a change moves.
 */
 
 pub mod convert;
@@ -51,15 +53,15 @@
     stop::Stop,
 };
 
-/// How many versions a history holds unless the operator says otherwise.
+/// Number of versions in a history when the request sets no limit.
 const DEFAULT_HISTORY_LIMIT: u32 = 20;
-/// How many versions a history holds at the most: each is a read.
+/// Upper bound on the versions in a history, because each one is a separate read.
 const MAX_HISTORY_LIMIT: u32 = 100;
 
-/// How long an answer waits for the change to be in force here.
+/// How long a call waits for its change to take effect on this instance.
 const APPLY_TIMEOUT_MS: u64 = 1_000;
 
-/// What the operators' service works with.
+/// Dependencies of the [`OperatorsService`].
 pub struct Dependencies {
     /// The name of this instance.
     pub instance: InstanceId,
@@ -67,21 +69,21 @@
     pub zone: ZoneName,
     /// Its start number.
     pub start: StartNumber,
-    /// Takes in accepted policies.
+    /// Receives accepted policies.
     pub config: Config,
     /// The configuration in force.
     pub snapshots: Snapshots,
-    /// Keeps the policies.
+    /// Stores the policies.
     pub platform: SharedPlatform,
-    /// The clock.
+    /// Source of the current time.
     pub clock: SharedClock,
-    /// The histograms.
+    /// Holds the latency histograms.
     pub recorder: Recorder,
-    /// Whether the instance is stopping.
+    /// Signals a planned stop.
     pub stop: Stop,
 }
 
-/// Answers operators; cheap to clone.
+/// Implements the operators' gRPC service. Cheap to clone.
 #[derive(Clone)]
 pub struct OperatorsService {
     deps: Arc<Dependencies>,
@@ -90,7 +92,7 @@
 }
 
 impl OperatorsService {
-    /// A service that works with `deps`.
+    /// Creates a service.
     pub fn new(deps: Dependencies) -> OperatorsService {
         let store = PolicyStore::new(Arc::clone(&deps.platform));
         let executor = ChangeExecutor {
@@ -101,7 +103,7 @@
         OperatorsService { deps: Arc::new(deps), store, executor }
     }
 
-    /// Makes a change and brings it into force on this instance.
+    /// Commits a change and applies it on this instance.
     async fn change(
         &self,
         request: ChangeRequest,
@@ -109,9 +111,9 @@
     ) -> Result<v1::ChangeResponse, Status> {
         convert::check_name("operation_id", &request.operation_id)
             .map_err(|e| failure::usage(e.to_string()))?;
-        // An operator who goes away, or whose deadline passes, drops the call's
-        // future. A task of its own goes on: otherwise a write might be left
-        // unsettled, and be in force everywhere but here.
+        // The call's future is dropped when the client disconnects or its deadline
+        // passes. A separate task always completes: otherwise a committed change
+        // might never be applied on this instance.
         let service = self.clone();
         let task = tokio::spawn(async move { service.execute_change(&request, dry_run).await });
         task.await.map_err(|e| failure::failed(e.to_string()))?
@@ -158,8 +160,8 @@
         );
     }
 
-    /// Brings a policy into force here, before the operator has the answer: a
-    /// script that reads what it set would else see the version before.
+    /// Applies a policy on this instance and waits up to [`APPLY_TIMEOUT_MS`] for it to
+    /// be in force, so that a client reads its own write.
     async fn apply_locally(&self, policy: &Policy) {
         self.deps.config.change(Change::Policy(Box::new(policy.clone()), Source::Platform));
         let mut snapshots = self.deps.snapshots.watch();
@@ -198,7 +200,7 @@
         self.apply_locally(&winner).await;
         let base = match (&request.edit, request.based_on_version) {
             (Edit::Set(policy), _) => Some(Policy::clone(policy)),
-            // The differences are an extra; the conflict is told without them.
+            // The differences are optional: a failed read does not fail the call.
             (_, Some(version)) => {
                 self.store.version(&request.service, version).await.ok().flatten()
             }
--- a/crates/azuregate/src/operators/service.rs
+++ b/crates/azuregate/src/operators/service.rs
@@ -1,4 +1,4 @@
-//! The calls of the schema, one by one.
+//! Implementation of the gRPC methods.
 
 use azuregate_core::{
     entries::{self, MAX_AGE_S},
@@ -16,7 +16,7 @@
 
 type Answer<T> = Result<Response<T>, Status>;
 
-/// The change that a request for a drain stands for.
+/// Converts a drain request to a change.
 fn drain_change(
     request: &v1::DrainRequest,
     edit: fn(Vec<BackendId>) -> Edit,
@@ -94,7 +94,7 @@
         let request = request.into_inner();
         let mut policy = convert::from_proto(request.policy.unwrap_or_default())
             .map_err(|e| failure::usage(e.to_string()))?;
-        // What the file says of these is of the version that it was read from.
+        // These fields describe the version that the client edited, not the new one.
         policy.version = 0;
         policy.operation_id.clear();
         let change = ChangeRequest {
--- a/crates/azuregate/src/operators/store.rs
+++ b/crates/azuregate/src/operators/store.rs
@@ -1,10 +1,9 @@
 /*!
-The rows behind a policy.
+Storage of policies in the platform's tables.
 
-One transaction writes three rows: the policy, the version in its history, and
-the operation. The last must be absent before, so that the platform itself keeps
-an operation from being applied twice, whichever instance it is sent to and
-whatever happened to the policy since.
+One transaction writes three rows: the policy, its version in the history, and the
+operation. The operation's row must not exist yet. This guarantees that an operation
+is applied at most once, whichever instances it is sent to.
 */
 
 use azuregate_core::{names::ServiceName, policy::Policy};
@@ -15,35 +14,35 @@
     self, Commit, Effect, Expect, PlatformError, Row, SharedPlatform, Table, Write,
 };
 
-/// A policy's rows in the platform; cheap to clone.
+/// Reads and writes the rows of policies. Cheap to clone.
 #[derive(Clone)]
 pub(crate) struct PolicyStore {
     platform: SharedPlatform,
 }
 
-/// What the platform holds for a policy.
+/// A policy with the version of its row, for conditional writes.
 #[derive(Clone, Debug)]
 pub(crate) struct StoredPolicy {
     pub(crate) row_version: u64,
     pub(crate) policy: Policy,
 }
 
-/// An operation that was applied.
+/// The record of an applied operation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub(crate) struct Operation {
-    /// The version that it led to.
+    /// The version of the policy that it created.
     pub(crate) version: u64,
     /// See [`ChangeRequest::fingerprint`].
     pub(crate) fingerprint: String,
 }
 
-/// Why rows could not be read.
+/// An error reading a row.
 #[derive(Debug)]
 pub(crate) enum ReadError {
-    /// The platform did not serve.
+    /// The platform call failed.
     Platform(PlatformError),
-    /// A row is not understood.
+    /// The row's content cannot be deserialized.
     Malformed(String),
 }
 
@@ -52,7 +51,7 @@
         PolicyStore { platform }
     }
 
-    /// The policy of a service.
+    /// Reads the current policy of a service.
     pub(crate) async fn policy(
         &self,
         service: &ServiceName,
@@ -64,7 +63,7 @@
         Ok(Some(StoredPolicy { row_version, policy: parse(row)? }))
     }
 
-    /// A version of a policy that was accepted.
+    /// Reads an accepted version of a policy from its history.
     pub(crate) async fn version(
         &self,
         service: &ServiceName,
@@ -74,7 +73,7 @@
         row.map(parse).transpose()
     }
 
-    /// An operation that was applied.
+    /// Reads the record of a request's operation, if it was applied.
     pub(crate) async fn operation(
         &self,
         request: &ChangeRequest,
@@ -83,7 +82,8 @@
         row.map(parse).transpose()
     }
 
-    /// Writes the next version of a policy, if nobody else did.
+    /// Writes the next version of a policy, on condition that the policy's row is
+    /// unchanged and the operation has not been applied.
     pub(crate) async fn commit(
         &self,
         request: &ChangeRequest,
@@ -130,5 +130,5 @@
 
 fn parse<T: DeserializeOwned>(row: Row) -> Result<T, ReadError> {
     serde_json::from_value(row.value)
-        .map_err(|e| ReadError::Malformed(format!("the row {:?} is not understood: {e}", row.key)))
+        .map_err(|e| ReadError::Malformed(format!("malformed row {:?}: {e}", row.key)))
 }
--- a/crates/azuregate/src/operators/validate.rs
+++ b/crates/azuregate/src/operators/validate.rs
@@ -1,5 +1,5 @@
-//! Checks a change against the availability zones and backend servers that the
-//! instance knows of.
+//! Validation of the names in a change against the known availability zones and
+//! backend servers.
 
 use azuregate_core::{
     names::{BackendId, ServiceName},
@@ -14,12 +14,12 @@
 };
 use crate::jsonc::closest_match;
 
-/// Refuses names that nobody knows: a misspelt zone would get no traffic, and a
-/// misspelt backend server would go on serving, both without a word.
+/// Rejects unknown names. A misspelt zone would silently get no traffic, and a
+/// misspelt backend server would silently stay in service.
 ///
 /// # Errors
 ///
-/// All unknown names at once.
+/// When names are unknown; the status lists all of them.
 pub(super) fn check_names(request: &ChangeRequest, snapshot: &Snapshot) -> Result<(), Status> {
     let mut unknown = Vec::new();
     match &request.edit {
@@ -29,7 +29,7 @@
         }
         Edit::StartShift { to_share_ppm, .. } => check_zones(to_share_ppm, snapshot, &mut unknown),
         Edit::Drain(ids) => check_backends(&request.service, ids.iter(), snapshot, &mut unknown),
-        // What is drained may be gone from the list, and is known by the policy.
+        // A drained server may have been removed from the instance list.
         Edit::StopShift | Edit::Undrain(_) => {}
     }
     if unknown.is_empty() {
@@ -46,7 +46,8 @@
     }
 }
 
-/// A server that is drained already may be gone from the list.
+/// Checks drains that are not yet in force. A server that is already drained may
+/// have been removed from the instance list.
 fn check_new_drains(policy: &Policy, snapshot: &Snapshot, unknown: &mut Vec<String>) {
     let in_force = snapshot.policies.get(&policy.service).map(|policy| &policy.drains);
     let is_new = |id: &&BackendId| !in_force.is_some_and(|drains| drains.contains(*id));
