--- a/crates/azuregate/tests/operators/conversions.rs
+++ b/crates/azuregate/tests/operators/conversions.rs
@@ -1,4 +1,4 @@
-//! Policies between their own type and that of the calls.
+//! Conversions between policies and their protobuf messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/azuregate/tests/operators/fake.rs
+++ b/crates/azuregate/tests/operators/fake.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that fails as it is told, and a service that uses it.
+//! An in-memory platform with fault injection, and an operators' service on it.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -29,24 +29,24 @@
 
 pub(crate) const SERVICE: &str = "starter-desk";
 
-/// What goes wrong with one transaction.
+/// A fault injected into one transaction.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
-    /// Refused, without effect.
+    /// The transaction is refused and has no effect.
     Refused,
-    /// Takes effect; the answer is lost.
+    /// The transaction takes effect, but the response is lost.
     ResponseLost,
-    /// The call is lost on its way; no effect.
+    /// The request is lost; the transaction has no effect.
     RequestLost,
-    /// Takes effect, the answer is lost, and a rival changes the policy.
+    /// The response is lost, and then another operator changes the policy.
     ResponseLostThenConflict,
-    /// The call is lost on its way, and a rival changes the policy.
+    /// The request is lost, and then another operator changes the policy.
     RequestLostThenConflict,
-    /// The answer is lost, and the effect comes with the next transaction.
+    /// The response is lost, and the transaction takes effect just before the next one.
     AppliedLate,
-    /// Takes effect; the answer is lost, and the platform goes down.
+    /// The response is lost, and then the platform becomes unavailable.
     ResponseLostThenDown,
-    /// A rival changes the policy just before.
+    /// Another operator changes the policy just before the transaction.
     ConflictFirst,
 }
 
@@ -108,7 +108,7 @@
         Commit::Done(versions)
     }
 
-    /// Another operator makes the timeout a millisecond longer.
+    /// Changes the policy as another operator would.
     fn apply_concurrent_change(&mut self) {
         let row = self.rows.get_mut(&(Table::Policy, SERVICE.to_owned())).unwrap();
         let mut policy: Policy = serde_json::from_value(row.value.clone()).unwrap();
@@ -131,7 +131,7 @@
 #[async_trait]
 impl Platform for FakePlatform {
     async fn read(&self, table: Table, key: &str) -> Result<Option<Row>> {
-        // Lets calls that run at once overtake each other.
+        // Lets concurrent calls interleave.
         tokio::task::yield_now().await;
         let state = self.state.lock().unwrap();
         if state.down {
@@ -191,7 +191,7 @@
     }
 }
 
-/// A clock that stands.
+/// A clock that always returns the same time.
 #[derive(Debug)]
 struct FixedClock;
 
@@ -205,7 +205,7 @@
     }
 }
 
-/// A service on a platform that holds version 1 of one policy.
+/// A service whose platform stores version 1 of one policy.
 pub(crate) struct Fixture {
     pub(crate) platform: Arc<FakePlatform>,
     pub(crate) service: OperatorsService,
@@ -243,7 +243,7 @@
         Fixture { platform, service, snapshots, recorder, config, _stopper: stopper }
     }
 
-    /// The version in force on this instance.
+    /// Returns the policy version in force on this instance.
     pub(crate) fn version_in_force(&self) -> u64 {
         self.snapshots.current().policies[SERVICE].version
     }
@@ -266,7 +266,8 @@
     }
 }
 
-/// The platform's list: two backend servers in each of three zones, and two entry instances.
+/// Returns an instance list of two entry instances, and two backend servers in each of
+/// three zones.
 pub(crate) fn instance_list() -> InstanceList {
     let zones = ["sofia-a", "plovdiv-a", "varna-a"];
     let backends = (0_u16..6).map(|index| BackendServer {
@@ -289,7 +290,8 @@
     InstanceList { instances: instances.into(), backends: backends.collect() }
 }
 
-/// How a call ended, in a word and the version that it speaks of.
+/// Summarises the result of a call as an outcome and a policy version, or as the
+/// failure class.
 pub(crate) fn outcome(result: &std::result::Result<Response<ChangeResponse>, Status>) -> String {
     let response = match result {
         Ok(response) => response.get_ref(),
--- a/crates/azuregate/tests/operators/faults.rs
+++ b/crates/azuregate/tests/operators/faults.rs
@@ -1,4 +1,4 @@
-//! Changes while the platform fails and other operators change the same policy.
+//! Changes under platform faults and concurrent changes by other operators.
 
 use std::time::Duration;
 
@@ -34,8 +34,7 @@
     fixture.service.set_policy(Request::new(request)).await
 }
 
-// Two operators create the same policy. The second, who says that there is none,
-// is told of the first's.
+// Guards against a second creation that overwrites the first.
 #[tokio::test(start_paused = true)]
 async fn a_policy_is_created_once() {
     let fixture = Fixture::new().await;
@@ -72,8 +71,8 @@
     fixture.service.start_shift(Request::new(request)).await
 }
 
-/// What goes wrong, then how a replacement and a drain end, each with the
-/// version that the platform holds afterwards.
+/// Faults, then the outcome of a replacement and of a drain, each with the stored
+/// version afterwards.
 const FAULTS: &[(&[Fault], &str, u64, &str, u64)] = &[
     (&[], "accepted 2", 2, "accepted 2", 2),
     (&[Refused], "unreachable", 1, "unreachable", 1),
@@ -100,10 +99,8 @@
     ),
 ];
 
-// The operator sends one change. Its write, or the answer to it, is lost, comes
-// late, or meets a rival's. Whatever is told, "accepted" is told only of a change
-// that the platform holds, "conflict", "refused" and "unreachable" only of one
-// that it does not hold and never will.
+// Guards against a wrong outcome: "accepted" means that the change is stored;
+// "conflict", "refused" and "unreachable" mean that it is not and never will be.
 #[tokio::test(start_paused = true)]
 async fn one_change_under_each_fault() {
     for (faults, set_outcome, set_version, drain_outcome, drain_version) in FAULTS {
@@ -121,9 +118,8 @@
     }
 }
 
-// The answer is lost and the platform goes down, so that the first call cannot
-// tell. A rival changes the policy. The operator repeats the call with the same
-// operation id: it is told of its own version, and nothing is made twice.
+// A change has an unknown outcome, and another one follows it. A retry with the same
+// operation id must report the first change's version and not apply it again.
 #[tokio::test(start_paused = true)]
 async fn a_retry_resolves_an_unknown_outcome() {
     let fixture = Fixture::new().await;
@@ -137,9 +133,8 @@
     assert_eq!(fixture.version_in_force(), 3);
 }
 
-// The answer to a drain is lost. The server finishes and is taken off the list
-// before the operator repeats the call. To refuse it as a server that nobody
-// knows would tell that nothing was changed.
+// A drained server is removed from the list before the drain is retried. Refusing the
+// retry as an unknown server would wrongly report that nothing was changed.
 #[tokio::test(start_paused = true)]
 async fn a_drain_is_repeated_after_its_server_is_removed() {
     let fixture = Fixture::new().await;
@@ -153,8 +148,8 @@
     assert_eq!(outcome(&drain(&fixture, "op-2", "starter-desk-01").await), "refused");
 }
 
-// The same operation id comes with another change, by a mistake in a script.
-// Taking it for a repeat would report a change that nobody made.
+// An operation id that is reused for another change must not be taken for a retry:
+// that would report a change that was never applied.
 #[tokio::test(start_paused = true)]
 async fn an_operation_id_names_one_change() {
     let fixture = Fixture::new().await;
@@ -169,8 +164,8 @@
     assert_eq!(fixture.platform.policy().version, 2);
 }
 
-// Two operators start from version 1 at the same moment, on two instances or
-// on one. One wins. The other is told who won and where the winner differs.
+// Two operators replace the same version concurrently. The losing call must return the
+// winning policy and the differences.
 #[tokio::test(start_paused = true)]
 async fn concurrent_replacements_conflict() {
     let fixture = Fixture::new().await;
@@ -189,9 +184,8 @@
     assert_eq!(difference.after, winner.queue_ms.to_string());
 }
 
-// Drains of different backend servers do not contradict each other, so that
-// neither operator has to start again. Shifts do: the second is not made on top
-// of one that its operator never saw.
+// Concurrent drains of different backend servers must both succeed. Of two concurrent
+// shifts, the second must not be applied to a version that its operator never saw.
 #[tokio::test(start_paused = true)]
 async fn concurrent_drains_commute_and_shifts_conflict() {
     let fixture = Fixture::new().await;
@@ -231,14 +225,14 @@
     assert_eq!(fixture.platform.policy().shift, None);
 }
 
-// The operator's connection breaks while the platform is at work. The change
-// goes on, and is in force on this instance though nobody waits for the answer.
+// A client that disconnects during a call must not leave a committed change
+// unapplied on this instance.
 #[tokio::test(start_paused = true)]
 async fn a_cancelled_call_completes_the_change() {
     let fixture = Fixture::new().await;
     fixture.platform.script(&[RequestLost]);
     let call = set(&fixture, "op-1", 1, 300);
-    // Let it start, and no more.
+    // Cancels the call after it has started.
     let cancelled = tokio::time::timeout(Duration::from_millis(1), call).await;
     assert!(cancelled.is_err());
     let mut snapshots = fixture.snapshots.watch();
@@ -248,8 +242,8 @@
     assert_eq!(fixture.platform.policy().queue_ms, 300);
 }
 
-// A script sets a policy and reads it back. Were the change only on its way to
-// the task that brings it into force, now and then it would read the old one.
+// Guards against a response that arrives before the change is in force, so that a
+// client would read the previous version.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_accepted_change_is_in_force_on_the_serving_instance() {
     let fixture = Fixture::new().await;
--- a/crates/azuregate/tests/operators/main.rs
+++ b/crates/azuregate/tests/operators/main.rs
@@ -1,4 +1,4 @@
-//! The operators' service against a small fake platform.
+//! Tests of the operators' service with an in-memory platform.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
--- a/crates/azuregate/tests/operators/recorder.rs
+++ b/crates/azuregate/tests/operators/recorder.rs
@@ -1,4 +1,4 @@
-//! Histograms: what callers send must not decide what they cost.
+//! Latency histograms: callers must not be able to grow memory without bound.
 
 use azuregate::metrics::{ANSWERED, RequestClass, Sample};
 use azuregate_core::names::{ServiceName, TenantName};
@@ -32,8 +32,8 @@
     assert_eq!((bakers.p50_ms, bakers.p99_ms, bakers.max_ms), (50, 99, 100));
 }
 
-// Someone sends requests with a new Host and a new tenant each. A series for
-// each would fill the memory, here and at the metrics' receiver.
+// Requests with ever new Host and tenant names must not create a series each: that would
+// exhaust the memory of the instance and of the metrics receiver.
 #[tokio::test]
 async fn names_from_callers_are_aggregated() {
     let fixture = Fixture::new().await;
@@ -48,8 +48,8 @@
     assert_eq!(histograms.iter().map(|histogram| histogram.count).sum::<u64>(), 3_000);
 }
 
-// The task cannot run while this one does not wait, as under overload: samples
-// beyond the bound are dropped and counted, and the request path goes on.
+// The recorder's task cannot run while this one does not yield, as under overload.
+// Samples beyond the queue's bound must be dropped without blocking requests.
 #[tokio::test]
 async fn samples_beyond_the_bound_are_dropped_and_counted() {
     let fixture = Fixture::new().await;
--- a/crates/azuregate/tests/operators/refusals.rs
+++ b/crates/azuregate/tests/operators/refusals.rs
@@ -1,5 +1,4 @@
-//! Requests that operators may not make: nothing is changed, and the answer
-//! says what to write instead.
+//! Invalid requests: nothing is changed, and the error says what is valid.
 
 use std::fmt::Write;
 
--- a/crates/azuregate/tests/operators/views.rs
+++ b/crates/azuregate/tests/operators/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown.
+//! Read calls and dry runs.
 
 use azuregate_schema::v1::{
     DrainRequest, EntriesRequest, GetShiftRequest, ListDrainsRequest, PolicyHistoryRequest,
@@ -52,7 +52,7 @@
     assert_eq!(none.share_ppm["sofia-a"], 600_000);
     assert_eq!(outcome(&fixture.service.start_shift(shift(false)).await), "accepted 2");
     let some = show().await.unwrap().into_inner();
-    // It starts when the change is in force everywhere.
+    // The shift starts once all instances have the change.
     assert_eq!(some.shift.unwrap().start_at_ms, 1_013_000);
     assert_eq!((some.progress_ppm, some.version), (0, 2));
 }
