--- a/crates/azuregate/src/cli/args.rs
+++ b/crates/azuregate/src/cli/args.rs
@@ -1,4 +1,4 @@
-//! The options of each command.
+//! Commands and their options.
 
 use std::path::PathBuf;
 
@@ -23,9 +23,9 @@
     Run(SettingsArgs),
     #[options(help = "run an entry instance on the users' platform")]
     Serve(ServeArgs),
-    #[options(help = "check settings and do nothing else")]
+    #[options(help = "validate a settings file")]
     Check(CheckArgs),
-    #[options(help = "show what an entry instance knows and does")]
+    #[options(help = "show the state of an entry instance")]
     Status(ReadArgs),
     #[options(help = "read and change policies")]
     Policy(PolicyArgs),
@@ -33,7 +33,7 @@
     Shift(ShiftArgs),
     #[options(help = "take backend servers out of service and back")]
     Drain(DrainArgs),
-    #[options(help = "show which entry instances callers are told to use")]
+    #[options(help = "show the entry instances returned to callers")]
     Entries(EntriesArgs),
     #[options(help = "show latencies for each service, tenant and class")]
     Histograms(ServiceReadArgs),
@@ -51,9 +51,9 @@
 pub(super) struct ServeArgs {
     #[options(help = "print this text")]
     help: bool,
-    #[options(help = "the settings file; the platform's if left out", meta = "FILE")]
+    #[options(help = "the settings file (default: the platform's)", meta = "FILE")]
     pub(super) settings: Option<PathBuf>,
-    #[options(no_short, help = "check the settings and do nothing else")]
+    #[options(no_short, help = "validate the settings and exit")]
     pub(super) check: bool,
     #[options(
         no_short,
@@ -94,7 +94,7 @@
     EntriesArgs {
         #[options(no_short, required, help = "the service", meta = "NAME")]
         pub(super) service: String,
-        #[options(no_short, help = "a caller's IP number; yours if left out", meta = "IP")]
+        #[options(no_short, help = "the caller's IP address (default: yours)", meta = "IP")]
         pub(super) caller: String,
     }
 }
@@ -138,11 +138,11 @@
 
 #[derive(Debug, Options)]
 pub(super) enum ShiftCommand {
-    #[options(help = "start to move traffic to other shares")]
+    #[options(help = "start a shift to other zone shares")]
     Start(StartShiftArgs),
-    #[options(help = "stop the movement where it stands")]
+    #[options(help = "stop the shift at its current shares")]
     Stop(ServiceChangeArgs),
-    #[options(help = "show how far the movement has come")]
+    #[options(help = "show the progress of the shift")]
     Show(ServiceArgs),
 }
 
@@ -152,11 +152,11 @@
         pub(super) service: String,
         #[options(
             no_short,
-            help = "share at the end; repeat it, all add up to 1000000; none for nearness",
+            help = "target share; repeatable, sum 1000000; none to choose zones by distance",
             meta = "ZONE=PPM"
         )]
         pub(super) to_share_ppm: Vec<String>,
-        #[options(no_short, help = "most that may move in a window", meta = "PPM")]
+        #[options(no_short, help = "maximum share that moves within a window", meta = "PPM")]
         pub(super) cap_ppm: Option<u32>,
         #[options(no_short, help = "length of the window of --cap-ppm", meta = "N")]
         pub(super) window_ms: Option<u64>,
--- a/crates/azuregate/src/cli/call.rs
+++ b/crates/azuregate/src/cli/call.rs
@@ -1,4 +1,4 @@
-//! Calls to instances: several are tried, and what a failure means is told.
+//! Calls to instances, with failover and classification of failures.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -16,13 +16,13 @@
 };
 use crate::{cli::print_line, operators::FailureClass};
 
-/// Names the instances to ask when the command line does not.
+/// The environment variable with the instances to call if `--at` is not given.
 const ADDRESSES_VARIABLE: &str = "AZUREGATE_AT";
 
-/// The longest time that a command waits, in milliseconds.
+/// Upper bound of `--timeout-ms`.
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
-/// A command that did not end well.
+/// A failed command.
 #[derive(Debug, Eq, PartialEq)]
 pub(super) struct Failure {
     pub(super) exit: Exit,
@@ -38,10 +38,10 @@
         Failure::new(Exit::Usage, message)
     }
 
-    /// Tells of the failure and gives its exit status.
+    /// Prints the failure and returns its exit status.
     pub(super) fn report(&self, output: OutputFormat) -> Exit {
         eprintln!("{}", self.message);
-        // A conflict has its own answer, which says who won.
+        // For a conflict, the response with the winning version was printed already.
         if output == OutputFormat::Json && self.exit != Exit::Conflict {
             let class = self.exit.as_str();
             print_line(format_args!(
@@ -56,23 +56,23 @@
 type Client = OperatorsClient<Channel>;
 type ResponseFuture<'a, T> = BoxFuture<'a, Result<Response<T>, Status>>;
 
-/// One call that may be sent to several instances.
+/// A call that can be sent to several instances in turn.
 pub(super) struct Call<'a, Q, T> {
     pub(super) args: &'a CallArgs,
     pub(super) request: Q,
     pub(super) send: for<'b> fn(&'b mut Client, Request<Q>) -> ResponseFuture<'b, T>,
 }
 
-/// How one instance failed.
+/// A failed call to one instance.
 enum CallError {
-    /// It was not reached, and the call did not leave.
+    /// Connecting failed, so the request was not sent.
     NotSent(String),
-    /// The call left; an instance said how it failed, or nobody did.
+    /// The request was sent. The class is `None` if no instance reported one.
     Sent(Option<FailureClass>, String),
 }
 
 impl<Q: Clone, T> Call<'_, Q, T> {
-    /// Reads something from the first instance that answers.
+    /// Sends a read call to each instance in turn, until one answers.
     pub(super) async fn read(self) -> Result<T, Failure> {
         let mut messages = Vec::new();
         for addr in addresses(self.args)? {
@@ -118,13 +118,12 @@
 }
 
 impl<Q: Clone> Call<'_, Q, ChangeResponse> {
-    /// Changes something through the first instance that can tell how it ended.
+    /// Sends a change to each instance in turn, until one reports a definite outcome.
     ///
-    /// The request carries an operation id, so that it is safe to send it to
-    /// another instance after an answer was lost: the change is made once at the
-    /// most. Only what the other then says for certain is believed: while the
-    /// first may still be at work, its refusal does not mean that nothing was
-    /// changed.
+    /// The request has an operation id, so it can safely be sent to another instance
+    /// after a lost response: the change is applied at most once. After a lost response
+    /// only an acceptance is definite. A refusal or a conflict is not, because the
+    /// earlier instance may still apply the change.
     pub(super) async fn change(self) -> Result<ChangeResponse, Failure> {
         let mut messages = Vec::new();
         let mut unknown = false;
@@ -198,8 +197,8 @@
     addrs.iter().map(parse).collect()
 }
 
-/// The operation id of a change. One that is made up is told, so that the call
-/// can be repeated when its answer is lost.
+/// Returns the operation id of a change. A generated id is printed, so that the call
+/// can be retried if its response is lost.
 pub(super) fn operation_id(args: &ChangeArgs) -> String {
     args.operation_id.clone().unwrap_or_else(|| {
         let id = format!("{:016x}", fastrand::u64(..));
--- a/crates/azuregate/src/cli/commands.rs
+++ b/crates/azuregate/src/cli/commands.rs
@@ -1,4 +1,4 @@
-//! The operators' commands.
+//! Commands that call an instance.
 
 use azuregate_schema::v1::{self, ChangeResponse};
 use serde::Serialize;
@@ -105,7 +105,7 @@
     })
 }
 
-/// A policy as `policy set` takes it.
+/// Formats a policy as input for `policy set`.
 fn policy_text(policy: &v1::Policy) -> String {
     match convert::from_proto(policy.clone()) {
         Ok(policy) => serde_json::to_string_pretty(&policy).unwrap_or_default(),
--- a/crates/azuregate/src/cli/help.rs
+++ b/crates/azuregate/src/cli/help.rs
@@ -1,10 +1,10 @@
-//! The text of `--help`, which gumdrop gives but for the examples.
+//! The text of `--help`: gumdrop's usage text, with examples added.
 
 use gumdrop::Options;
 
 use super::args::Args;
 
-/// What every command's help ends with.
+/// The exit statuses, printed at the end of every help text.
 const EXIT_STATUS: &str = "\
 Exit status:
   0  done
@@ -15,7 +15,7 @@
   5  unreachable: no instance, or not the platform; nothing was changed
   6  unknown: the change may have been made; repeat it with its operation id";
 
-/// Where instances are looked for when `--at` is left out.
+/// The environment variables of commands that call an instance.
 const ENVIRONMENT: &str = "\
 Environment:
   AZUREGATE_AT  operators' addresses, separated by commas, if --at is left out";
@@ -64,7 +64,7 @@
     (" histograms", "azuregate histograms --at 127.0.10.1:8082 --service starter-desk"),
 ];
 
-/// The help of the command that was given.
+/// Returns the help text of the command in `args`.
 pub(super) fn text(args: &Args) -> String {
     let mut command = args as &dyn Options;
     let mut path = String::new();
--- a/crates/azuregate/src/cli/mod.rs
+++ b/crates/azuregate/src/cli/mod.rs
@@ -1,8 +1,8 @@
 /*!
-The command line.
+The command-line interface.
 
-`args` and `options` hold the options, `commands` the commands that call an instance, `call`
-what such a call does when an instance does not answer.
+`args` and `options` define the options, `commands` implements the commands that call
+an instance, and `call` retries such calls on other instances.
 */
 
 mod args;
@@ -37,27 +37,27 @@
 
 pub use stdout::print_line;
 
-/// How a command ended, for scripts.
+/// The exit status of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// It did what was asked.
+    /// The command succeeded.
     Done = 0,
-    /// Something else went wrong.
+    /// The command failed for another reason than those below.
     Failed = 1,
-    /// The command line or the settings are wrong.
+    /// The command line or the settings are invalid.
     Usage = 2,
-    /// The instance refused.
+    /// The instance refused the request; nothing was changed.
     Refused = 3,
-    /// Another change came first.
+    /// A concurrent change took precedence; nothing was changed.
     Conflict = 4,
-    /// The instance could not be reached.
+    /// No instance could be reached, or the platform could not; nothing was changed.
     Unreachable = 5,
-    /// It is not known whether the change was made.
+    /// The change may or may not have been applied.
     Unknown = 6,
 }
 
 impl Exit {
-    /// The name of the class, as scripts read it.
+    /// Returns the class's name in JSON output.
     pub fn as_str(self) -> &'static str {
         match self {
             Exit::Done => "done",
@@ -114,7 +114,7 @@
     }
 }
 
-/// The answer of `check` as JSON.
+/// The JSON output of `check`.
 #[derive(Serialize)]
 struct CheckResult<'a> {
     class: &'static str,
@@ -147,15 +147,15 @@
 
 fn report_settings_error(e: &Report<SettingsError>) -> Exit {
     eprintln!("{}", e.current_context());
-    // The cause is only there when the file could not be read.
+    // Only a file that could not be read has an I/O error as its cause.
     for cause in e.frames().filter_map(|frame| frame.downcast_ref::<std::io::Error>()) {
         eprintln!("{cause}");
     }
     Exit::Usage
 }
 
-/// Runs an entry instance on the users' platform, on one thread: the machines
-/// there have a part of one core.
+/// Runs an entry instance on the users' platform. A single-threaded runtime is enough
+/// there, because an instance has a fraction of one CPU core.
 fn serve_on_platform(args: &ServeArgs) -> Exit {
     let path = args.settings.clone().unwrap_or_else(PlatformSettings::path);
     if args.check {
@@ -182,7 +182,7 @@
     })
 }
 
-/// Tells what is wrong with a settings file of the platform, a line for each field.
+/// Prints the errors in a settings file of the platform, one line for each field.
 fn check_platform_settings(path: &Path, e: Option<Report<serve::ServeError>>) -> Exit {
     let Some(e) = e else {
         print_line(format_args!("{}: the settings can be used", path.display()));
@@ -227,8 +227,8 @@
     })
 }
 
-/// Makes a report one event of the log; its own form takes many lines, with a
-/// backtrace that says nothing to whoever reads the log.
+/// Logs a report as one event. The report's own format takes several lines and has a
+/// backtrace.
 fn log_startup_error<C>(e: &Report<C>) {
     let mut errors = Vec::new();
     let mut details = Vec::new();
@@ -244,11 +244,11 @@
     log::error!(error = errors.join(": "), detail = details.join("; "); "cannot start");
 }
 
-/// Watches for signals from now on: the first SIGTERM or SIGINT starts a planned stop,
-/// the second ends the process at once.
+/// Installs signal handlers: the first SIGTERM or SIGINT starts a planned stop, the
+/// second one exits at once.
 ///
-/// To be called before ports are opened. A signal that comes earlier ends the process
-/// by itself, and with it connections that it was about to accept.
+/// Must be called before ports are opened. An earlier signal would kill the process,
+/// and with it connections that wait to be accepted.
 fn stop_on_signal() -> Stop {
     use tokio::signal::unix::{SignalKind, signal};
 
@@ -275,7 +275,7 @@
     stop
 }
 
-/// Reads a file that a command names.
+/// Reads a file; the error names it.
 fn read_file(path: &Path) -> Result<String, String> {
     fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))
 }
--- a/crates/azuregate/src/cli/options.rs
+++ b/crates/azuregate/src/cli/options.rs
@@ -1,17 +1,17 @@
 //! Options that several commands share.
 //!
-//! gumdrop cannot take one set of options into another, so that macros write them
-//! out for each command.
+//! gumdrop cannot flatten one set of options into another, so macros repeat them for
+//! each command.
 
 use std::{convert::Infallible, str::FromStr};
 
-/// The form of what goes to standard output.
+/// The format of standard output.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(super) enum OutputFormat {
-    /// Tables for people.
+    /// Human-readable tables.
     #[default]
     Human,
-    /// One JSON value for scripts.
+    /// One JSON value.
     Json,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Operators' addresses, separated by commas.
+/// A comma-separated list of operators' addresses.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub(super) struct Addresses(pub(super) Vec<String>);
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// How an instance is reached, and what is printed.
+/// Options of every call: the instances, the timeout and the output format.
 #[derive(Clone, Debug)]
 pub(super) struct CallArgs {
     pub(super) at: Vec<String>,
@@ -48,7 +48,7 @@
     pub(super) output: OutputFormat,
 }
 
-/// How a change is made.
+/// Options of every change.
 #[derive(Clone, Debug)]
 pub(super) struct ChangeArgs {
     pub(super) call: CallArgs,
@@ -57,7 +57,7 @@
     pub(super) dry_run: bool,
 }
 
-/// Options of a command that calls an instance.
+/// Defines the options of a command that calls an instance.
 macro_rules! call_options {
     ($name:ident { $($field:tt)* }) => {
         #[derive(Debug, Options)]
@@ -66,7 +66,7 @@
             help: bool,
             #[options(
                 no_short,
-                help = "operators' address of an instance; repeat it to name others to try",
+                help = "operators' address of an instance; repeatable, tried in order",
                 meta = "IP:PORT"
             )]
             at: Vec<Addresses>,
@@ -89,14 +89,14 @@
     };
 }
 
-/// Options of a command that changes something.
+/// Defines the options of a command that changes a policy.
 macro_rules! change_options {
     ($name:ident { $($field:tt)* }) => {
         call_options! {
             $name {
                 #[options(
                     no_short,
-                    help = "names the change, so that it can be repeated safely",
+                    help = "identifies the change, so that it can be retried safely",
                     meta = "ID"
                 )]
                 operation_id: Option<String>,
@@ -106,7 +106,7 @@
                     meta = "N"
                 )]
                 based_on: Option<u64>,
-                #[options(no_short, help = "show what would move, and change nothing")]
+                #[options(no_short, help = "show the effect without applying the change")]
                 dry_run: bool,
                 $($field)*
             }
@@ -125,7 +125,7 @@
     };
 }
 
-/// A command that only has subcommands.
+/// Defines a command that only has subcommands.
 macro_rules! command_group {
     ($name:ident, $command:ident) => {
         #[derive(Debug, Options)]
--- a/crates/azuregate/src/cli/policy_file.rs
+++ b/crates/azuregate/src/cli/policy_file.rs
@@ -1,4 +1,4 @@
-//! Policies in files: JSON with comments.
+//! Policy files: JSON with comments.
 
 use std::{fmt::Write, path::Path};
 
@@ -14,7 +14,7 @@
     operators::convert,
 };
 
-/// A policy as operators write it, with what `policy get` says of it.
+/// The schema of a policy file, including the fields that `policy get` adds.
 const POLICY: Schema = Schema::Object(&[
     field("service", Required, Schema::String(service)),
     field("version", Optional, ANY_INTEGER),
@@ -57,7 +57,8 @@
     convert::check_name("", text).map_err(|e| strip_field_and_value(&e.to_string()))
 }
 
-/// The checks of calls name the field and the value, which the walk does too.
+/// Strips the field and the value from an error, because the validation against the
+/// schema adds them too.
 fn strip_field_and_value(message: &str) -> String {
     let start = message.find("must").unwrap_or(0);
     let end = message.rfind(", not").unwrap_or(message.len());
@@ -68,16 +69,17 @@
     Ok(())
 }
 
-/// Reads a policy. A version or operation id that is left out is 0 or empty.
+/// Parses a policy. The default of the version is 0, and that of the operation id is
+/// empty.
 ///
 /// # Errors
 ///
-/// All that is wrong, one line each, with line and column.
+/// All errors in the file, one line each, with line and column.
 pub(super) fn parse(file: &Path, text: &str) -> Result<Policy, String> {
     let format_problems = |problems: &[Problem]| {
         let mut lines = String::new();
         for problem in problems {
-            // Writing to a text cannot fail.
+            // Writing to a `String` cannot fail.
             let _ = writeln!(lines, "{}:{problem}", file.display());
         }
         lines.trim_end().to_owned()
--- a/crates/azuregate/src/cli/print.rs
+++ b/crates/azuregate/src/cli/print.rs
@@ -1,4 +1,4 @@
-//! What commands print: tables for people, one JSON value for scripts.
+//! Output of commands: human-readable tables, or one JSON value.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use super::{options::OutputFormat, print_line};
 
-/// Prints a message as JSON under the schema's names, or by `human`.
+/// Prints a response as JSON with the schema's field names, or formatted by `human`.
 pub(super) fn response<T: Serialize>(
     output: OutputFormat,
     message: &T,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Lines up columns; the first row holds their names.
+/// Formats rows with aligned columns; the first row is the header.
 pub(super) fn table(rows: &[Vec<String>]) -> String {
     let columns = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
@@ -38,12 +38,12 @@
     text
 }
 
-/// A row of a table.
+/// Builds a row of a table.
 macro_rules! row {
     ($($cell:expr),* $(,)?) => { vec![$($cell.to_string()),*] };
 }
 
-/// A share as people read it.
+/// Formats parts per million as a percentage.
 pub(super) fn percent(ppm: u32) -> String {
     format!("{:.1}%", f64::from(ppm) / 10_000.0)
 }
@@ -82,7 +82,7 @@
     text
 }
 
-/// The backend servers that take no new work.
+/// Formats the backend servers that are not open.
 pub(super) fn closed_backends(backends: &[v1::Backend]) -> String {
     let mut rows = vec![row!["backend server", "service", "zone", "no new work because"]];
     for backend in backends.iter().filter(|backend| !backend.open) {
@@ -139,7 +139,7 @@
     let mut zones: Vec<_> = response.share_ppm.keys().chain(end.keys()).collect();
     zones.sort();
     zones.dedup();
-    // An empty table leaves the choice to nearness.
+    // Without shares, zones are chosen by distance.
     let share = |shares: &BTreeMap<String, u32>, zone: &String| {
         let ppm = shares.get(zone).copied().unwrap_or(0);
         if shares.is_empty() { "by nearness".to_owned() } else { percent(ppm) }
--- a/crates/azuregate/src/cli/shares.rs
+++ b/crates/azuregate/src/cli/shares.rs
@@ -1,12 +1,12 @@
-//! Shares on the command line: `ZONE=PPM`, separated by commas.
+//! Zone shares on the command line: `ZONE=PPM`, separated by commas.
 
 use std::collections::BTreeMap;
 
-/// Reads shares; several texts are taken together.
+/// Parses zone shares, merging all arguments.
 ///
 /// # Errors
 ///
-/// When a text is no `ZONE=PPM`, or a zone comes twice.
+/// When a share is not of the form `ZONE=PPM`, or a zone is repeated.
 pub(super) fn parse(texts: &[String]) -> Result<BTreeMap<String, u32>, String> {
     let mut shares = BTreeMap::new();
     let parts = texts.iter().flat_map(|text| text.split(',')).map(str::trim);
--- a/crates/azuregate/src/cli/stdout.rs
+++ b/crates/azuregate/src/cli/stdout.rs
@@ -1,14 +1,14 @@
-//! Printing to standard output.
+//! Standard output.
 
 use std::{
     fmt,
     io::{self, Write},
 };
 
-/// Prints a line to standard output.
+/// Prints a line to standard output, and ignores write errors.
 ///
-/// A reader that has left (`| head -1`) is no failure of the command, whose
-/// change may have been made; `println!` would panic there.
+/// A closed pipe (`| head -1`) must not fail a command whose change may have been
+/// applied; `println!` would panic.
 pub fn print_line(line: fmt::Arguments<'_>) {
     let _ = writeln!(io::stdout().lock(), "{line}");
 }
