--- a/crates/azuregate/src/settings/check.rs
+++ b/crates/azuregate/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! What must hold between several settings.
+//! Constraints between several settings.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,11 +9,11 @@
 
 use crate::jsonc::{Problems, closest_match};
 
-/// The ports that an instance opens on its IP number.
+/// The keys of the ports that an instance opens.
 const PORT_KEYS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
 
-/// Reports what does not fit together. Values of the wrong shape are passed
-/// over, since they are reported elsewhere.
+/// Reports settings that contradict each other. Values that do not match the schema are
+/// skipped, because they are already reported.
 pub(super) fn cross_checks(root: &Value<'_>, problems: &mut Problems<'_>) {
     check_ports(root, problems);
     check_platform(root, problems);
@@ -21,7 +21,7 @@
     check_zone(root, problems);
 }
 
-/// The second listener on a port would fail, and the instance not start.
+/// Reports ports that are used twice: the instance could not start.
 fn check_ports(root: &Value<'_>, problems: &mut Problems<'_>) {
     let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
     for key in PORT_KEYS {
@@ -35,8 +35,8 @@
     }
 }
 
-/// An instance that takes itself for the platform waits for a configuration
-/// for ever.
+/// Reports a platform address that is one of the instance's own ports: the instance
+/// would wait for its configuration for ever.
 fn check_platform(root: &Value<'_>, problems: &mut Problems<'_>) {
     let (Some(ip), Some(addr)) = (text(root, &["ip"]), text(root, &["platform", "addr"])) else {
         return;
@@ -54,7 +54,8 @@
     }
 }
 
-/// A zone's region must be plain, since distance and failing over follow it.
+/// Reports repeated regions and zones: each zone must belong to exactly one region, which
+/// determines distances and failover.
 fn check_topology(root: &Value<'_>, problems: &mut Problems<'_>) {
     let mut regions = BTreeMap::new();
     let mut zones = BTreeMap::new();
--- a/crates/azuregate/src/settings/errors.rs
+++ b/crates/azuregate/src/settings/errors.rs
@@ -1,4 +1,4 @@
-//! Settings that cannot be used.
+//! The error type of the settings.
 
 use std::{
     fmt,
@@ -7,9 +7,9 @@
 
 use crate::jsonc::Problem;
 
-/// Settings that cannot be used: everything that is wrong with them.
+/// All problems of an invalid settings file.
 ///
-/// Its text has one line for each problem, as `FILE:LINE:COLUMN: MESSAGE`.
+/// Displayed as one line for each problem, in the form `FILE:LINE:COLUMN: MESSAGE`.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct SettingsError {
     file: Option<PathBuf>,
@@ -26,8 +26,8 @@
         self
     }
 
-    /// The problems, ordered by line and column. Empty when the file could not
-    /// be read at all.
+    /// Returns the problems, ordered by line and column. Empty if the file could not be
+    /// read.
     pub fn problems(&self) -> &[Problem] {
         &self.problems
     }
--- a/crates/azuregate/src/settings/fields.rs
+++ b/crates/azuregate/src/settings/fields.rs
@@ -1,4 +1,4 @@
-//! What each setting may be, taken alone.
+//! The schema of the settings.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -10,29 +10,24 @@
     Schema,
 };
 
-/// The longest name of an instance, region or availability zone, in bytes.
+/// Maximum length of the name of an instance, region or availability zone.
 const MAX_NAME_BYTES: usize = 63;
-/// The longest planned stop, in milliseconds.
 const MAX_STOP_DELAY_MS: u64 = 3_600_000;
-/// The longest delay of a link, in milliseconds.
 const MAX_LINK_DELAY_MS: u64 = 60_000;
-/// The widest link, in megabits a second.
 const MAX_LINK_MBIT_PER_S: u64 = 10_000_000;
-/// The shortest and the longest time between two reads of the platform: more
-/// often is more than the platform serves to many instances, and more seldom
-/// leaves an accepted change out of force for too long.
+/// Bounds of the polling interval. Shorter intervals overload the platform if there are
+/// many instances, and longer ones delay accepted changes too much.
 const POLL_RANGE_MS: (u64, u64) = (50, 60_000);
-/// The longest that a call to the platform may take, in milliseconds.
 const MAX_PLATFORM_TIMEOUT_MS: u64 = 60_000;
 
-/// The levels of the log, from the least to the most.
+/// The log levels in increasing verbosity.
 const LEVELS: [&str; 6] = ["off", "error", "warn", "info", "debug", "trace"];
 
 const PORT: Schema = Schema::Integer { min: 1, max: 65_535 };
 const NAME: Schema = Schema::String(name);
 const LINK_DELAY: Schema = Schema::Integer { min: 0, max: MAX_LINK_DELAY_MS };
 
-/// The whole settings file.
+/// The schema of the settings file.
 pub(super) const SETTINGS: Schema = Schema::Object(&[
     field("instance", Required, NAME),
     field("zone", Required, NAME),
@@ -92,7 +87,8 @@
     check_host_ip(addr.ip())
 }
 
-/// The others are told this number, and cannot reach one that stands for many.
+/// Rejects unspecified and multicast addresses: other instances connect to the address,
+/// so it must belong to one host.
 fn check_host_ip(ip: IpAddr) -> Result<(), String> {
     if ip.is_unspecified() || ip.is_multicast() {
         return Err("must be the IP number of one machine".to_owned());
@@ -101,8 +97,8 @@
 }
 
 fn log_filter(text: &str) -> Result<(), String> {
-    // The library takes a lone word that is no level for the name of a module,
-    // and then logs nothing else: a misspelt level would silence the instance.
+    // The library takes a single word that is not a level for the name of a module, so
+    // a misspelt level would disable all other logging.
     let is_valid_directive = |part: &str| part.contains('=') || LEVELS.contains(&part.trim());
     let parses = RustLogFilterBuilder::try_from_spec(text).is_ok();
     if parses && text.split(',').all(is_valid_directive) {
--- a/crates/azuregate/src/settings/mod.rs
+++ b/crates/azuregate/src/settings/mod.rs
@@ -1,8 +1,8 @@
 /*!
 The settings of an entry instance: JSON with comments.
 
-`fields` says what each setting may be, `check` what must hold between several.
-A file is checked as a whole, so that one look mends all of it.
+`fields` defines the schema, and `check` the constraints between several settings. All
+errors in a file are reported at once.
 */
 
 mod check;
@@ -27,8 +27,10 @@
 
 pub use errors::SettingsError;
 
-/// The settings of an entry instance. What operators may change at run time is
-/// not here: it is policy, and lives in the platform's tables.
+/// The settings of an entry instance.
+///
+/// Everything that operators can change at run time is part of a policy instead, and
+/// is stored in the platform's tables.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
@@ -36,41 +38,42 @@
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The IP number that all its ports are opened on.
+    /// The IP address on which all its ports are opened.
     pub ip: IpAddr,
-    /// Where callers reach it.
+    /// The port for callers.
     pub traffic_port: u16,
-    /// Where the other instances reach it.
+    /// The port for the other instances.
     pub peer_port: u16,
-    /// Where operators reach it by gRPC.
+    /// The port of the operators' gRPC service.
     pub operators_port: u16,
-    /// Where health, readiness and histograms are read by HTTP.
+    /// The HTTP port for health, readiness and histograms.
     pub status_port: u16,
     /// The platform.
     pub platform: PlatformSettings,
     /// Regions, availability zones and the links between them.
     pub topology: Topology,
-    /// Where metrics go in the statsd format; nowhere if left out.
+    /// The statsd receiver of metrics; `None` disables them.
     #[serde(default)]
     pub statsd_addr: Option<SocketAddr>,
-    /// What is logged: a level, or a list of `module=level`.
+    /// The log filter: a level, or a list of `module=level`.
     #[serde(default = "default_log_filter")]
     pub log_filter: String,
-    /// How long a planned stop goes on serving callers that cached this entry.
+    /// How long a planned stop keeps serving callers that have cached this instance's
+    /// address.
     #[serde(default = "default_stop_delay_ms")]
     pub stop_delay_ms: u64,
 }
 
-/// How the platform is reached.
+/// The settings of the connection to the platform.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
     /// Its address.
     pub addr: SocketAddr,
-    /// How often tables and the instance list are read.
+    /// The polling interval for tables and the instance list.
     #[serde(default = "default_poll_ms")]
     pub poll_ms: u64,
-    /// How long a call may take.
+    /// The timeout of one call.
     #[serde(default = "default_platform_timeout_ms")]
     pub timeout_ms: u64,
 }
@@ -96,8 +99,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or says something that cannot be used; all
-    /// that is wrong is told at once.
+    /// When the file cannot be read, or with all errors in it if it is invalid.
     pub fn load(path: &Path) -> Result<Settings, Report<SettingsError>> {
         let text = fs::read_to_string(path)
             .map_err(Report::new)
@@ -105,7 +107,7 @@
         parse(&text).map_err(|e| Report::new(e.in_file(path)))
     }
 
-    /// What can be used and is probably not meant.
+    /// Returns warnings about settings that are valid but probably unintended.
     pub fn warnings(&self) -> Vec<String> {
         let mut warnings = Vec::new();
         let max_age_ms = MAX_AGE_S * 1_000;
@@ -119,12 +121,11 @@
         warnings
     }
 
-    /// Reads settings from text.
+    /// Parses settings.
     ///
     /// # Errors
     ///
-    /// When the text says something that cannot be used; all that is wrong is
-    /// told at once.
+    /// With all errors in the text if it is invalid.
     pub fn parse(text: &str) -> Result<Settings, Report<SettingsError>> {
         parse(text).map_err(Report::new)
     }
