--- a/crates/azuregate/src/jsonc/mod.rs
+++ b/crates/azuregate/src/jsonc/mod.rs
@@ -1,8 +1,8 @@
 /*!
-JSON with comments that is checked as a whole.
+Validation of JSON with comments.
 
-A table of [`Schema`]s says what a file may hold. [`check`] walks the file along
-the table and reports every [`Problem`] at once, each with its line and column:
+[`check`] validates a document against a [`Schema`] and reports every [`Problem`] at
+once, each with its line and column:
 
 ```
 use azuregate::jsonc::{Field, Presence, Schema, check};
@@ -20,9 +20,9 @@
 
 # Design
 
-Deserializing stops at the first error and knows no place in the text once the
-value is built. The validation works on the syntax tree, which keeps the place of each
-value; deserializing comes after it and should find nothing more.
+Deserialization stops at the first error, and a deserialized value no longer has its
+position in the text. The validation therefore works on the syntax tree. Deserialization
+follows it and should not find further errors.
 */
 
 mod problem;
@@ -35,7 +35,8 @@
 pub use schema::{Field, Presence, Schema};
 pub use suggestion::closest_match;
 
-/// JSON with comments and trailing commas, and nothing else beyond JSON.
+/// Returns the parser options: JSON with comments and trailing commas, and no other
+/// extensions.
 pub fn parse_options() -> ParseOptions {
     ParseOptions {
         allow_comments: true,
@@ -51,13 +52,13 @@
     }
 }
 
-/// Checks a text against a schema, and then by `cross_checks`, which looks at
-/// several values together.
+/// Validates a document against a schema, and then by `cross_checks`, which checks
+/// constraints between several values.
 ///
 /// # Errors
 ///
-/// All problems, ordered by their place in the text. A text that is no JSON has
-/// just one, since nothing can be said of what follows it.
+/// All problems, ordered by their position. A syntax error is reported alone, because
+/// the rest of the document cannot be parsed.
 pub fn check(
     text: &str,
     schema: &Schema,
@@ -79,11 +80,11 @@
     problems.finish()
 }
 
-/// Deserializes a text that [`check`] found nothing wrong with.
+/// Deserializes a document that [`check`] has accepted.
 ///
 /// # Errors
 ///
-/// What the check did not know of.
+/// When the document does not match `T` in a way that the schema does not express.
 pub fn deserialize<T: serde::de::DeserializeOwned>(text: &str) -> Result<T, Problem> {
     jsonc_parser::parse_to_serde_value(text, &parse_options()).map_err(|e| Problem::syntax(&e))
 }
--- a/crates/azuregate/src/jsonc/problem.rs
+++ b/crates/azuregate/src/jsonc/problem.rs
@@ -1,18 +1,18 @@
-//! What is wrong with a text, and where.
+//! Problems in a document, with their positions.
 
 use std::fmt;
 
 use jsonc_parser::errors::ParseError;
 use serde::Serialize;
 
-/// One thing that is wrong with a text.
+/// An error in a document.
 #[derive(Clone, Debug, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct Problem {
-    /// The line, from 1.
+    /// The 1-based line.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The 1-based column in characters.
     pub column: usize,
-    /// What is wrong and what to write instead.
+    /// The error and, where possible, its correction.
     pub message: String,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Collects the problems of one text.
+/// Collects the problems of one document.
 #[derive(Debug)]
 pub struct Problems<'a> {
     text: &'a str,
@@ -44,8 +44,8 @@
         Problems { text, found: Vec::new() }
     }
 
-    /// Adds a problem at a byte offset of the text; `path` names the value, such
-    /// as `platform.addr`, and is empty for the whole.
+    /// Adds a problem at a byte offset. `path` is the path of the value, such as
+    /// `platform.addr`, and is empty for the whole document.
     pub fn add(&mut self, offset: usize, path: &str, message: impl fmt::Display) {
         let (line, column) = self.position(offset);
         let message =
@@ -53,7 +53,7 @@
         self.found.push(Problem { line, column, message });
     }
 
-    /// The line of a byte offset, from 1.
+    /// Returns the 1-based line of a byte offset.
     pub fn line(&self, offset: usize) -> usize {
         self.position(offset).0
     }
--- a/crates/azuregate/src/jsonc/schema.rs
+++ b/crates/azuregate/src/jsonc/schema.rs
@@ -1,4 +1,4 @@
-//! Tables that say what a text may hold, and the validation against them.
+//! Schemas and the validation against them.
 
 use std::collections::BTreeMap;
 
@@ -9,51 +9,51 @@
 
 use super::{Problems, suggestion};
 
-/// What a value may be.
+/// The schema of a value.
 #[derive(Clone, Copy, Debug)]
 pub enum Schema {
     /// An object with these keys and no others.
     Object(&'static [Field]),
-    /// A list with at least one element.
+    /// An array with at least one element.
     NonEmptyArray(&'static Schema),
-    /// A list that may be empty.
+    /// An array that may be empty.
     Array(&'static Schema),
     /// An object with any keys.
     Map(&'static Schema),
-    /// A text that the function takes; its error says what the text must be.
+    /// A string that the function accepts; its error says what the string must be.
     String(fn(&str) -> Result<(), String>),
-    /// A whole number within bounds, both included.
+    /// An integer within inclusive bounds.
     Integer {
-        /// The least.
+        /// The lower bound.
         min: u64,
-        /// The greatest.
+        /// The upper bound.
         max: u64,
     },
 }
 
-/// One key of an object.
+/// A field of an object.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
     /// The key.
     pub key: &'static str,
-    /// Whether it may be left out.
+    /// Whether it is required.
     pub presence: Presence,
-    /// What its value may be.
+    /// The schema of its value.
     pub schema: Schema,
 }
 
-/// Whether a key may be left out.
+/// Whether a field is required.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Presence {
-    /// It must be there.
+    /// The field must be present.
     Required,
-    /// It has a default.
+    /// The field may be absent.
     Optional,
-    /// It may be left out or be null.
+    /// The field may be absent or null.
     Nullable,
 }
 
-/// Checks one value; `path` names it.
+/// Validates a value at `path`.
 pub(super) fn validate(
     value: &Value<'_>,
     schema: &Schema,
@@ -131,14 +131,14 @@
         validate(&prop.value, &field.schema, &path, problems);
     }
     for field in missing {
-        // A key that was misspelt is one mistake, and is reported as one.
+        // A misspelt key is not reported again as a missing one.
         if field.presence == Presence::Required && !suggested.contains(&field.key) {
             problems.add(object.range.start, &join(path, field.key), "missing key");
         }
     }
 }
 
-/// Readers disagree on which of two equal keys counts.
+/// Reports duplicate keys, which parsers treat differently.
 fn report_duplicates(object: &Object<'_>, path: &str, problems: &mut Problems<'_>) {
     let mut first = BTreeMap::new();
     for prop in &object.properties {
--- a/crates/azuregate/src/jsonc/suggestion.rs
+++ b/crates/azuregate/src/jsonc/suggestion.rs
@@ -1,6 +1,6 @@
-//! Suggestions for keys and names that are not known.
+//! Suggestions for unknown keys and names.
 
-/// Suffixes that give a unit, with the unit's name.
+/// Unit suffixes and the names of the units.
 const UNITS: &[(&str, &str)] = &[
     ("_mbit_per_s", "megabits a second"),
     ("_percent", "percent"),
@@ -18,14 +18,14 @@
     ("_h", "hours"),
 ];
 
-/// A key that was probably meant, and why.
+/// A suggested key, with a message.
 #[derive(Debug, Eq, PartialEq)]
 pub(crate) struct Suggestion<'a> {
     pub(crate) key: &'a str,
     pub(crate) message: String,
 }
 
-/// What an unknown key was probably meant to be.
+/// Returns the known key that was probably intended.
 pub(crate) fn suggest_key<'a>(
     unknown: &str,
     known: impl Iterator<Item = &'a str> + Clone,
@@ -55,8 +55,8 @@
     }
 }
 
-/// The known name that is nearest to `unknown`, if any is near enough to be
-/// what was meant.
+/// Returns the known name with the least edit distance to `unknown`, unless the distance
+/// is too large for a typo.
 pub fn closest_match<'a>(unknown: &str, known: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     let unknown = normalize(unknown);
     let (distance, name) =
@@ -64,13 +64,13 @@
     (distance <= unknown.len().div_ceil(3).min(3)).then_some(name)
 }
 
-/// Lower case, without what separates words: `timeoutMs` is `timeout_ms`.
+/// Normalizes a name to lower case without separators, so that `timeoutMs` matches
+/// `timeout_ms`.
 fn normalize(name: &str) -> Vec<char> {
     name.chars().filter(|c| c.is_alphanumeric()).flat_map(char::to_lowercase).collect()
 }
 
-/// The least number of insertions, deletions and replacements that turn `a`
-/// into `b` (Levenshtein's distance).
+/// Returns the Levenshtein distance of `a` and `b`.
 fn edit_distance(a: &[char], b: &[char]) -> usize {
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, from) in a.iter().enumerate() {
