--- a/crates/azuregate/tests/cli/calls.rs
+++ b/crates/azuregate/tests/cli/calls.rs
@@ -1,4 +1,4 @@
-//! Commands that call an instance: what they print, and their exit status.
+//! Commands that call an instance: output and exit statuses.
 
 use std::{fs, process::Command};
 
@@ -19,7 +19,7 @@
     path
 }
 
-/// An address that nobody listens on.
+/// Returns an address without a listener.
 async fn nobody() -> std::net::SocketAddr {
     TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
@@ -60,7 +60,7 @@
         insta::assert_snapshot!(name, human.told(&[at]));
         assert_eq!(human.exit, 0, "{name}");
         let json = azuregate(&format!("{line} --at {at} --output json")).await;
-        // What changes something has done so by the first call.
+        // The second call of a change reports the change that the first one made.
         assert_eq!(json.exit, 0, "{name}: {}", json.stderr);
         let value: serde_json::Value = serde_json::from_str(&json.stdout).unwrap();
         insta::assert_json_snapshot!(format!("{name}-json"), value);
@@ -74,7 +74,7 @@
     let got = azuregate(&format!("policy get --service {SERVICE} --at {at}")).await;
     let edited = got.stdout.replace("\"queue_ms\": 200", "\"queue_ms\": 300 // longer");
     let edited = file("edited.jsonc", &edited);
-    // The file's version is what the change is based on.
+    // The change is based on the version in the file.
     let first = azuregate(&format!("policy set --file {edited} --at {at} --operation-id a")).await;
     assert_eq!(first.exit, 0, "{}", first.stderr);
     assert_eq!(fixture.platform.policy().queue_ms, 300);
@@ -149,14 +149,13 @@
     assert_eq!(server::run(command).await.exit, 0);
 }
 
-// The first instance takes the call and never answers; nobody knows whether it
-// made the change. The second is asked with the same operation id and makes it,
-// once. Alone, the first leaves the outcome unknown.
+// An instance that accepts the call and never answers leaves the outcome unknown. A second
+// instance must then apply the change, and only once.
 #[tokio::test]
 async fn an_instance_that_goes_silent_leaves_a_change_unknown() {
     let fixture = Fixture::new().await;
     let at = server::serve(&fixture).await;
-    // Connections to it are opened, and nothing is ever read.
+    // Connections are accepted by the kernel, but nothing is read.
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = silent.local_addr().unwrap();
     let line = format!("{DRAIN} --operation-id op-1 --timeout-ms 300 --at {addr}");
@@ -167,8 +166,8 @@
     assert_eq!(fixture.platform.policy().version, 2);
 }
 
-// The first instance may still be at work on the change when the second refuses
-// it. To tell that nothing was changed would be a guess.
+// The first instance may still apply the change when the second one refuses it, so the
+// outcome must stay unknown.
 #[tokio::test]
 async fn a_refusal_after_an_unknown_outcome_is_not_believed() {
     let fixture = Fixture::new().await;
--- a/crates/azuregate/tests/cli/help.rs
+++ b/crates/azuregate/tests/cli/help.rs
@@ -1,4 +1,4 @@
-//! The help of each command.
+//! Help texts, and errors in settings and command lines.
 
 use std::fmt::Write;
 
--- a/crates/azuregate/tests/cli/main.rs
+++ b/crates/azuregate/tests/cli/main.rs
@@ -1,4 +1,4 @@
-//! The command line, run as the real binary.
+//! Tests of the command-line interface, which run the binary.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
--- a/crates/azuregate/tests/cli/pipes.rs
+++ b/crates/azuregate/tests/cli/pipes.rs
@@ -1,10 +1,8 @@
-//! Output that is piped to another command.
+//! Output to a pipe.
 
 use std::{io, process::Command};
 
-// The operator pipes the output to a command that reads one line and leaves.
-// The next line has no reader; the exit status still tells what became of the
-// call, and no panic is printed.
+// A closed pipe must neither panic nor change the exit status.
 #[test]
 fn a_reader_that_leaves_is_no_failure() {
     let (reader, writer) = io::pipe().unwrap();
--- a/crates/azuregate/tests/cli/server.rs
+++ b/crates/azuregate/tests/cli/server.rs
@@ -1,4 +1,4 @@
-//! A served operators' service, and the binary that calls it.
+//! An operators' service on loopback, and the binary that calls it.
 
 use std::{
     net::SocketAddr,
@@ -22,14 +22,14 @@
     addr
 }
 
-/// How a run of the binary ended.
+/// The result of a run of the binary.
 pub(crate) struct Run {
     pub(crate) exit: i32,
     pub(crate) stdout: String,
     pub(crate) stderr: String,
 }
 
-/// Runs the binary with arguments that are separated by blanks.
+/// Runs the binary with arguments that are separated by whitespace.
 pub(crate) async fn azuregate(line: &str) -> Run {
     let mut command = Command::new(env!("CARGO_BIN_EXE_azuregate"));
     command.args(line.split_whitespace()).env_remove("AZUREGATE_AT");
@@ -46,7 +46,8 @@
 }
 
 impl Run {
-    /// All that the run told, for a snapshot; ports differ from run to run.
+    /// Returns the output for a snapshot, with placeholders for addresses, since ports
+    /// differ between runs.
     pub(crate) fn told(&self, ports: &[SocketAddr]) -> String {
         let mut text = format!("exit {}\n--- stdout\n{}", self.exit, self.stdout);
         if !self.stderr.is_empty() {
--- a/crates/azuregate/tests/cli/shares.rs
+++ b/crates/azuregate/tests/cli/shares.rs
@@ -1,4 +1,4 @@
-//! Shares on the command line and policies in files never crash the binary.
+//! Property tests of zone shares on the command line and of policy files.
 
 use std::fs;
 
@@ -13,13 +13,13 @@
 }
 
 proptest! {
-    // Each case is a process.
+    // Few cases, because each one starts a process.
     #![proptest_config(Config::with_cases(24))]
 
     #[test]
     fn any_shares_are_taken_or_refused(shares in "[a-z=,0-9 -]{0,16}") {
         let shares = shares.replace(' ', "");
-        // Nobody listens there: what is taken cannot be reached.
+        // The address has no listener, so valid shares fail as unreachable.
         let line = format!("shift start --service s --at 127.0.0.1:1 --to-share-ppm={shares}");
         let (exit, stderr) = run(&line);
         prop_assert!(exit == 2 || exit == 5, "{exit}: {stderr}");
