--- a/crates/azuregate/tests/docs.rs
+++ b/crates/azuregate/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages for people: their links lead somewhere, and nothing is left out.
+//! Checks of the documentation: links, error kinds and the index of design pages.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// The targets of `[text](target)`, without their anchors.
+/// Returns the targets of Markdown links, without their anchors.
 fn links(text: &str) -> impl Iterator<Item = &str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     targets.filter_map(|target| target.split('#').next()).filter(|target| !target.is_empty())
@@ -45,7 +45,6 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// The row of each error kind on the page for whoever is on call.
 #[test]
 fn every_error_kind_is_explained() {
     let page = fs::read_to_string(format!("{ROOT}/docs/OPERATING.md")).unwrap();
--- a/crates/azuregate/tests/settings.rs
+++ b/crates/azuregate/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is taken, and what is said of those that are not.
+//! Parsing and validation of settings files.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -9,7 +9,7 @@
 
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/entry.jsonc");
 
-/// What is replaced in the example to make it bad, and by what.
+/// Invalid settings, as replacements in the example file.
 const BAD: &[(&str, &[(&str, &str)])] = &[
     ("unknown key", &[(r#""instance":"#, r#""instanse":"#)]),
     ("missing unit", &[(r#""timeout_ms":"#, r#""timeout":"#)]),
@@ -79,7 +79,7 @@
     assert_eq!(Settings::parse(&text).unwrap(), full);
 }
 
-// What the program writes itself must be taken by it.
+// Serialized settings must be valid settings.
 #[test]
 fn settings_survive_a_round_trip() {
     let mut settings = Settings::parse(&example()).unwrap();
@@ -138,7 +138,7 @@
         let _ = Settings::parse(&String::from_iter(text));
     }
 
-    // Half-sound files reach deeper than garbage does.
+    // Partly valid files reach more of the validation than random text.
     #[test]
     fn a_mangled_example_never_panics(
         at in any::<prop::sample::Index>(),
