--- a/crates/azuregate/tests/cli/calls.rs
+++ b/crates/azuregate/tests/cli/calls.rs
@@ -20,12 +20,12 @@
 }
 
 /// Returns an address without a listener.
-async fn nobody() -> std::net::SocketAddr {
+async fn unused_addr() -> std::net::SocketAddr {
     TcpListener::bind("127.0.0.1:0").await.unwrap().local_addr().unwrap()
 }
 
 #[tokio::test]
-async fn what_commands_show() {
+async fn output_of_read_and_change_commands() {
     let fixture = Fixture::new().await;
     let at = server::serve(&fixture).await;
     for (tenant, latency_ms) in [(Some("bakers"), 20), (Some("bakers"), 30), (None, 5)] {
@@ -57,7 +57,7 @@
     for (name, line) in lines {
         let line = line.replace("--dry-run", "--dry-run --operation-id op-0");
         let human = azuregate(&format!("{line} --at {at}")).await;
-        insta::assert_snapshot!(name, human.told(&[at]));
+        insta::assert_snapshot!(name, human.transcript(&[at]));
         assert_eq!(human.exit, 0, "{name}");
         let json = azuregate(&format!("{line} --at {at} --output json")).await;
         // The second call of a change reports the change that the first one made.
@@ -81,7 +81,7 @@
     let rival = got.stdout.replace("\"timeout_ms\": 10000", "\"timeout_ms\": 9000");
     let rival = file("rival.jsonc", &rival);
     let second = azuregate(&format!("policy set --file {rival} --at {at} --operation-id b")).await;
-    insta::assert_snapshot!("set-conflict", second.told(&[at]));
+    insta::assert_snapshot!("set-conflict", second.transcript(&[at]));
     let line = format!("policy set --file {rival} --at {at} --operation-id b --output json");
     let json = azuregate(&line).await;
     assert_eq!(json.exit, 4);
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test]
-async fn an_operation_id_that_is_made_up_is_told() {
+async fn a_generated_operation_id_is_printed() {
     let fixture = Fixture::new().await;
     let at = server::serve(&fixture).await;
     let run = azuregate(&format!("{DRAIN} --at {at}")).await;
@@ -126,33 +126,33 @@
     assert_eq!(azuregate(&format!("{drain} --at {at}")).await.exit, 1);
 }
 
-fn told(run: &Run) -> (i32, &str) {
+fn exit_and_stderr(run: &Run) -> (i32, &str) {
     (run.exit, run.stderr.trim())
 }
 
 #[tokio::test]
 async fn instances_are_tried_in_turn() {
     let fixture = Fixture::new().await;
-    let (dead, at) = (nobody().await, server::serve(&fixture).await);
+    let (unreachable, at) = (unused_addr().await, server::serve(&fixture).await);
     for line in [
-        format!("status --at {dead} --at {at}"),
-        format!("status --at {dead},{at}"),
-        format!("{DRAIN} --operation-id op-1 --at {dead},{at}"),
+        format!("status --at {unreachable} --at {at}"),
+        format!("status --at {unreachable},{at}"),
+        format!("{DRAIN} --operation-id op-1 --at {unreachable},{at}"),
     ] {
-        assert_eq!(told(&azuregate(&line).await), (0, ""), "{line}");
+        assert_eq!(exit_and_stderr(&azuregate(&line).await), (0, ""), "{line}");
     }
-    assert_eq!(azuregate(&format!("status --at {dead}")).await.exit, 5);
-    assert_eq!(azuregate(&format!("{DRAIN} --operation-id x --at {dead}")).await.exit, 5);
+    assert_eq!(azuregate(&format!("status --at {unreachable}")).await.exit, 5);
+    assert_eq!(azuregate(&format!("{DRAIN} --operation-id x --at {unreachable}")).await.exit, 5);
 
     let mut command = Command::new(env!("CARGO_BIN_EXE_azuregate"));
-    command.arg("status").env("AZUREGATE_AT", format!("{dead},{at}"));
+    command.arg("status").env("AZUREGATE_AT", format!("{unreachable},{at}"));
     assert_eq!(server::run(command).await.exit, 0);
 }
 
 // An instance that accepts the call and never answers leaves the outcome unknown. A second
 // instance must then apply the change, and only once.
 #[tokio::test]
-async fn an_instance_that_goes_silent_leaves_a_change_unknown() {
+async fn a_change_without_a_response_is_unknown() {
     let fixture = Fixture::new().await;
     let at = server::serve(&fixture).await;
     // Connections are accepted by the kernel, but nothing is read.
@@ -169,7 +169,7 @@
 // The first instance may still apply the change when the second one refuses it, so the
 // outcome must stay unknown.
 #[tokio::test]
-async fn a_refusal_after_an_unknown_outcome_is_not_believed() {
+async fn a_refusal_after_an_unknown_outcome_stays_unknown() {
     let fixture = Fixture::new().await;
     let at = server::serve(&fixture).await;
     let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/azuregate/tests/cli/help.rs
+++ b/crates/azuregate/tests/cli/help.rs
@@ -42,25 +42,25 @@
 }
 
 #[tokio::test]
-async fn check_answers_in_json() {
+async fn check_prints_json() {
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/entry.jsonc");
     let text = std::fs::read_to_string(example).unwrap();
     let bad = text.replace("\"instance\"", "\"instanse\"").replace(": 8082", ": 8080");
-    let hasty = text.replace("\"stop_delay_ms\": 6000", "\"stop_delay_ms\": 200");
+    let warning = text.replace("\"stop_delay_ms\": 6000", "\"stop_delay_ms\": 200");
     let mut seen = String::new();
-    for (name, text, exit) in [("good", &text, 0), ("bad", &bad, 2), ("hasty", &hasty, 0)] {
+    for (name, text, exit) in [("good", &text, 0), ("bad", &bad, 2), ("warning", &warning, 0)] {
         let file = format!("{}/check-{name}.jsonc", env!("CARGO_TARGET_TMPDIR"));
         std::fs::write(&file, text).unwrap();
         let run = azuregate(&format!("check --settings {file} --output json")).await;
         assert_eq!(run.exit, exit, "{name}: {}", run.stderr);
-        let told = run.told(&[]).replace(env!("CARGO_TARGET_TMPDIR"), "[dir]");
-        writeln!(seen, "# {name}\n{told}").unwrap();
+        let output = run.transcript(&[]).replace(env!("CARGO_TARGET_TMPDIR"), "[dir]");
+        writeln!(seen, "# {name}\n{output}").unwrap();
     }
     insta::assert_snapshot!(seen);
 }
 
 #[tokio::test]
-async fn a_port_that_is_taken_is_one_line_of_the_log() {
+async fn a_port_in_use_is_logged_as_one_line() {
     let taken = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let port = taken.local_addr().unwrap().port();
     let example = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/entry.jsonc");
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn wrong_command_lines_say_what_is_wrong() {
+async fn invalid_command_lines_are_reported() {
     let lines = [
         "",
         "polish",
--- a/crates/azuregate/tests/cli/pipes.rs
+++ b/crates/azuregate/tests/cli/pipes.rs
@@ -4,7 +4,7 @@
 
 // A closed pipe must neither panic nor change the exit status.
 #[test]
-fn a_reader_that_leaves_is_no_failure() {
+fn a_closed_pipe_does_not_fail_the_command() {
     let (reader, writer) = io::pipe().unwrap();
     drop(reader);
     let output = Command::new(env!("CARGO_BIN_EXE_azuregate"))
--- a/crates/azuregate/tests/cli/server.rs
+++ b/crates/azuregate/tests/cli/server.rs
@@ -48,7 +48,7 @@
 impl Run {
     /// Returns the output for a snapshot, with placeholders for addresses, since ports
     /// differ between runs.
-    pub(crate) fn told(&self, ports: &[SocketAddr]) -> String {
+    pub(crate) fn transcript(&self, ports: &[SocketAddr]) -> String {
         let mut text = format!("exit {}\n--- stdout\n{}", self.exit, self.stdout);
         if !self.stderr.is_empty() {
             text.push_str(&format!("--- stderr\n{}", self.stderr));
--- a/crates/azuregate/tests/cli/shares.rs
+++ b/crates/azuregate/tests/cli/shares.rs
@@ -17,7 +17,7 @@
     #![proptest_config(Config::with_cases(24))]
 
     #[test]
-    fn any_shares_are_taken_or_refused(shares in "[a-z=,0-9 -]{0,16}") {
+    fn arbitrary_shares_are_accepted_or_rejected(shares in "[a-z=,0-9 -]{0,16}") {
         let shares = shares.replace(' ', "");
         // The address has no listener, so valid shares fail as unreachable.
         let line = format!("shift start --service s --at 127.0.0.1:1 --to-share-ppm={shares}");
@@ -26,7 +26,7 @@
     }
 
     #[test]
-    fn any_policy_file_is_taken_or_refused(
+    fn arbitrary_policy_files_are_rejected(
         key in "(service|cap|drains|shift|timeout_ms|[a-z_]{1,8})",
         value in r#"(null|7|-1|1.5|"x"|\[\]|\[7\]|\{\}|\{"a":1\}|\{"share_ppm":1,"window_ms":1\}|[a-z\{\}]{0,4})"#,
     ) {
--- a/crates/azuregate/tests/docs.rs
+++ b/crates/azuregate/tests/docs.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn links_lead_somewhere() {
+fn links_resolve() {
     let root = Path::new(ROOT);
     let mut found = vec![root.join("README.md"), root.join("CHANGELOG.md")];
     pages(&root.join("docs"), &mut found);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn every_error_kind_is_explained() {
+fn every_error_kind_is_documented() {
     let page = fs::read_to_string(format!("{ROOT}/docs/OPERATING.md")).unwrap();
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn every_decision_is_in_the_index() {
+fn every_design_page_is_indexed() {
     let dir = Path::new(ROOT).join("docs/design");
     let index = fs::read_to_string(dir.join("README.md")).unwrap();
     let mut found = Vec::new();
--- a/crates/azuregate/tests/settings.rs
+++ b/crates/azuregate/tests/settings.rs
@@ -10,12 +10,12 @@
 const EXAMPLE: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/entry.jsonc");
 
 /// Invalid settings, as replacements in the example file.
-const BAD: &[(&str, &[(&str, &str)])] = &[
+const INVALID: &[(&str, &[(&str, &str)])] = &[
     ("unknown key", &[(r#""instance":"#, r#""instanse":"#)]),
     ("missing unit", &[(r#""timeout_ms":"#, r#""timeout":"#)]),
     ("wrong unit", &[(r#""stop_delay_ms": 6000"#, r#""stop_delay_s": 6"#)]),
     ("camel case", &[(r#""poll_ms":"#, r#""pollMs":"#)]),
-    ("a key of no kin", &[(r#""log_filter": "info""#, r#""region": "sofia""#)]),
+    ("a key without a similar one", &[(r#""log_filter": "info""#, r#""region": "sofia""#)]),
     ("missing keys", &[(r#""ip": "127.0.10.1","#, ""), (r#""zone_delay_ms": 4,"#, "")]),
     (
         "wrong types",
@@ -53,26 +53,26 @@
     ("a key twice", &[(r#""instance": "entry-1","#, r#""instance": "a", "instance": "b","#)]),
     ("null", &[(": 8080", ": null"), (r#""127.0.10.100:8125""#, "null")]),
     ("not JSON", &[(r#""entry-1","#, r#""entry-1""#)]),
-    ("cut short", &[(r#""stop_delay_ms": 6000"#, r#""stop_delay_ms":"#)]),
+    ("truncated", &[(r#""stop_delay_ms": 6000"#, r#""stop_delay_ms":"#)]),
 ];
 
 fn example() -> String {
     std::fs::read_to_string(EXAMPLE).unwrap()
 }
 
-fn complaints(text: &str) -> String {
+fn errors(text: &str) -> String {
     Settings::parse(text).unwrap_err().current_context().to_string()
 }
 
 #[test]
-fn the_example_is_taken() {
+fn the_example_is_valid() {
     let settings = Settings::load(Path::new(EXAMPLE)).unwrap();
     assert_eq!(settings.platform.poll_ms, 500);
     assert_eq!(settings.topology.zones().count(), 6);
 }
 
 #[test]
-fn what_is_left_out_has_a_default() {
+fn optional_settings_have_defaults() {
     let full = Settings::parse(&example()).unwrap();
     let optional = [r#""poll_ms": 500,"#, r#""log_filter": "info","#, r#""timeout_ms": 1000"#];
     let text = optional.iter().fold(example(), |text, part| text.replace(part, ""));
@@ -91,34 +91,34 @@
 }
 
 #[test]
-fn bad_settings() {
+fn invalid_settings() {
     let mut seen = String::new();
-    for (name, replacements) in BAD {
+    for (name, replacements) in INVALID {
         let text = replacements.iter().fold(example(), |text, (old, new)| {
             assert!(text.contains(old), "{name}: the example has no {old}");
             text.replacen(old, new, 1)
         });
-        writeln!(seen, "# {name}\n{}\n", complaints(&text)).unwrap();
+        writeln!(seen, "# {name}\n{}\n", errors(&text)).unwrap();
     }
     insta::assert_snapshot!(seen);
 }
 
 #[test]
-fn all_that_is_wrong_is_told_at_once() {
+fn all_errors_are_reported_at_once() {
     let text = example()
         .replace("sofia-a\",\n", "nowhere\",\n")
         .replace("8082", "8080")
         .replace("\"timeout_ms\"", "\"timeout\"")
         .replace("\"instance\"", "\"name\"");
-    insta::assert_snapshot!(complaints(&text));
+    insta::assert_snapshot!(errors(&text));
 }
 
 #[test]
-fn texts_that_are_no_settings() {
+fn documents_that_are_not_settings() {
     let texts = ["", "// nothing", "[]", "7", "null", "{}", "{ \"platform\": [] }", "\u{feff}{"];
     let mut seen = String::new();
     for text in texts {
-        writeln!(seen, "# {text:?}\n{}\n", complaints(text)).unwrap();
+        writeln!(seen, "# {text:?}\n{}\n", errors(text)).unwrap();
     }
     insta::assert_snapshot!(seen);
 }
@@ -140,7 +140,7 @@
 
     // Partly valid files reach more of the validation than random text.
     #[test]
-    fn a_mangled_example_never_panics(
+    fn a_mutated_example_never_panics(
         at in any::<prop::sample::Index>(),
         len in 0_usize..40,
         new in r#"[\{\}\[\]",:0-9a-zé/\n ]{0,6}"#,
@@ -148,10 +148,10 @@
         let chars: Vec<char> = example().chars().collect();
         let start = at.index(chars.len());
         let end = (start + len).min(chars.len());
-        let mangled: String =
+        let mutated: String =
             chars[..start].iter().copied().chain(new.chars()).chain(chars[end..].iter().copied()).collect();
-        if let Err(error) = Settings::parse(&mangled) {
-            let lines = mangled.split('\n').count();
+        if let Err(error) = Settings::parse(&mutated) {
+            let lines = mutated.split('\n').count();
             for problem in error.current_context().problems() {
                 prop_assert!((1..=lines).contains(&problem.line), "{problem}");
             }
