--- a/crates/azuregate/tests/docs.rs
+++ b/crates/azuregate/tests/docs.rs
@@ -1,4 +1,4 @@
-//! The pages for people: their links lead somewhere, and nothing is left out.
+//! Checks of the documentation: links, error kinds and the index of design pages.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -22,14 +22,14 @@
     }
 }
 
-/// The targets of `[text](target)`, without their anchors.
+/// Returns the targets of Markdown links, without their anchors.
 fn links(text: &str) -> impl Iterator<Item = &str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     targets.filter_map(|target| target.split('#').next()).filter(|target| !target.is_empty())
 }
 
 #[test]
-fn links_lead_somewhere() {
+fn links_resolve() {
     let root = Path::new(ROOT);
     let mut found = vec![root.join("README.md"), root.join("CHANGELOG.md")];
     pages(&root.join("docs"), &mut found);
@@ -45,9 +45,8 @@
     assert!(broken.is_empty(), "{broken:#?}");
 }
 
-/// The row of each error kind on the page for whoever is on call.
 #[test]
-fn every_error_kind_is_explained() {
+fn every_error_kind_is_documented() {
     let page = fs::read_to_string(format!("{ROOT}/docs/OPERATING.md")).unwrap();
     for kind in ErrorKind::ALL {
         let answer = kind.response();
@@ -57,7 +56,7 @@
 }
 
 #[test]
-fn every_decision_is_in_the_index() {
+fn every_design_page_is_indexed() {
     let dir = Path::new(ROOT).join("docs/design");
     let index = fs::read_to_string(dir.join("README.md")).unwrap();
     let mut found = Vec::new();
