--- a/crates/azuregate-lab/src/platform/faults.rs
+++ b/crates/azuregate-lab/src/platform/faults.rs
@@ -25,7 +25,7 @@
 impl Faults {
     /// The capacity that users may count on: several hundred writes and two
     /// thousand reads a second.
-    pub fn capacity() -> Faults {
+    pub fn guaranteed_rates() -> Faults {
         Faults { reads_per_s: Some(2_000), writes_per_s: Some(500), ..Faults::default() }
     }
 }
--- a/crates/azuregate-lab/src/platform/mod.rs
+++ b/crates/azuregate-lab/src/platform/mod.rs
@@ -9,12 +9,12 @@
 */
 
 mod faults;
-mod list;
-mod rate;
+mod instance_list;
+mod rate_limiter;
 mod server;
 mod store;
 
 pub use faults::Faults;
-pub use list::LaggingList;
+pub use instance_list::DelayedInstanceList;
 pub use server::{Counts, Server, serve};
 pub use store::Store;
--- a/crates/azuregate-lab/src/platform/server.rs
+++ b/crates/azuregate-lab/src/platform/server.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     network::{self, Network},
-    platform::{Faults, Store, rate::Rate},
+    platform::{Faults, Store, rate_limiter::RateLimiter},
 };
 
 /// The stand-in's state, shared between its connections.
@@ -33,14 +33,14 @@
     store: Mutex<Store>,
     faults: Mutex<Faults>,
     counts: Mutex<Counts>,
-    rates: Mutex<Rates>,
-    place: Option<(Arc<Network>, ZoneName)>,
+    rate_limiters: Mutex<RateLimiters>,
+    location: Option<(Arc<Network>, ZoneName)>,
 }
 
 #[derive(Debug, Default)]
-struct Rates {
-    reads: Rate,
-    writes: Rate,
+struct RateLimiters {
+    reads: RateLimiter,
+    writes: RateLimiter,
 }
 
 /// How many calls there were, for measurements.
@@ -61,21 +61,21 @@
     writes: Vec<Write>,
 }
 
-struct Answer {
+struct Reply {
     status: StatusCode,
     bytes: Bytes,
     /// Names this state of what was read, where readers may ask whether it is
     /// still the same.
-    tag: Option<HeaderValue>,
+    etag: Option<HeaderValue>,
 }
 
-impl Answer {
-    fn json(status: StatusCode, value: &impl Serialize) -> Answer {
-        Answer { status, bytes: serde_json::to_vec(value).unwrap_or_default().into(), tag: None }
+impl Reply {
+    fn json(status: StatusCode, value: &impl Serialize) -> Reply {
+        Reply { status, bytes: serde_json::to_vec(value).unwrap_or_default().into(), etag: None }
     }
 
-    fn text(status: StatusCode, text: &str) -> Answer {
-        Answer { status, bytes: Bytes::copy_from_slice(text.as_bytes()), tag: None }
+    fn text(status: StatusCode, text: &str) -> Reply {
+        Reply { status, bytes: Bytes::copy_from_slice(text.as_bytes()), etag: None }
     }
 }
 
@@ -89,14 +89,14 @@
 
     /// Adds the delays of a network to every connection.
     pub fn with_network(mut self, network: Arc<Network>, zone: ZoneName) -> Server {
-        self.place = Some((network, zone));
+        self.location = Some((network, zone));
         self
     }
 
-    /// Replaces the list, which readers see when its lag is over.
+    /// Replaces the list, which readers see when its delay is over.
     pub fn set_list(&self, list: InstanceList) {
-        let lag = Duration::from_millis(self.faults().list_lag_ms);
-        self.store().list.set(list, lag);
+        let delay = Duration::from_millis(self.faults().list_lag_ms);
+        self.store().list.set(list, delay);
     }
 
     /// What it keeps.
@@ -117,14 +117,14 @@
     /// Counts a call, or its refusal.
     fn admit(&self, method: &Method, faults: &Faults) -> bool {
         let read = method == Method::GET;
-        let mut rates = self.rates.lock().unwrap_or_else(PoisonError::into_inner);
-        let in_rate = if read {
-            rates.reads.take(faults.reads_per_s, Instant::now())
+        let mut rate_limiters = self.rate_limiters.lock().unwrap_or_else(PoisonError::into_inner);
+        let within_rate = if read {
+            rate_limiters.reads.try_acquire(faults.reads_per_s, Instant::now())
         } else {
-            rates.writes.take(faults.writes_per_s, Instant::now())
+            rate_limiters.writes.try_acquire(faults.writes_per_s, Instant::now())
         };
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
-        if faults.down || !in_rate {
+        if faults.down || !within_rate {
             counts.refused += 1;
             return false;
         }
@@ -136,7 +136,7 @@
         true
     }
 
-    async fn answer(&self, request: Request<Incoming>) -> Option<Answer> {
+    async fn handle(&self, request: Request<Incoming>) -> Option<Reply> {
         let (head, body) = request.into_parts();
         let path = head.uri.path().to_owned();
         let query = head.uri.query().unwrap_or_default().to_owned();
@@ -153,15 +153,15 @@
             return std::future::pending().await;
         }
         if !self.admit(&head.method, &faults) {
-            return Some(Answer::text(StatusCode::SERVICE_UNAVAILABLE, "down or too many calls\n"));
+            return Some(Reply::text(StatusCode::SERVICE_UNAVAILABLE, "down or too many calls\n"));
         }
-        let answer = self.serve(&head.method, &path, &query, &body);
-        let answer = unless_known(answer, head.headers.get(header::IF_NONE_MATCH));
-        self.count_bytes(answer.bytes.len());
-        if head.method != Method::GET && self.loses_answer() {
+        let reply = self.serve(&head.method, &path, &query, &body);
+        let reply = apply_if_none_match(reply, head.headers.get(header::IF_NONE_MATCH));
+        self.count_bytes(reply.bytes.len());
+        if head.method != Method::GET && self.take_lost_reply() {
             return None;
         }
-        Some(answer)
+        Some(reply)
     }
 
     fn count_bytes(&self, bytes: usize) {
@@ -169,111 +169,112 @@
         counts.answer_bytes += bytes as u64;
     }
 
-    fn loses_answer(&self) -> bool {
+    fn take_lost_reply(&self) -> bool {
         let mut faults = self.faults();
         let lost = faults.lose_answers > 0;
         faults.lose_answers = faults.lose_answers.saturating_sub(1);
         lost
     }
 
-    fn control(&self, method: &Method, path: &str, body: &[u8]) -> Answer {
+    fn control(&self, method: &Method, path: &str, body: &[u8]) -> Reply {
         match (method, path) {
             (&Method::POST, "faults") => match serde_json::from_slice(body) {
                 Ok(faults) => {
                     *self.faults() = faults;
-                    Answer::text(StatusCode::OK, "set\n")
+                    Reply::text(StatusCode::OK, "set\n")
                 }
-                Err(e) => Answer::text(StatusCode::BAD_REQUEST, &e.to_string()),
+                Err(e) => Reply::text(StatusCode::BAD_REQUEST, &e.to_string()),
             },
             (&Method::POST, "instances") => match serde_json::from_slice(body) {
                 Ok(list) => {
                     self.set_list(list);
-                    Answer::text(StatusCode::OK, "set\n")
+                    Reply::text(StatusCode::OK, "set\n")
                 }
-                Err(e) => Answer::text(StatusCode::BAD_REQUEST, &e.to_string()),
+                Err(e) => Reply::text(StatusCode::BAD_REQUEST, &e.to_string()),
             },
-            (&Method::GET, "counts") => Answer::json(StatusCode::OK, &self.counts()),
-            _ => Answer::text(StatusCode::NOT_FOUND, "no such control\n"),
+            (&Method::GET, "counts") => Reply::json(StatusCode::OK, &self.counts()),
+            _ => Reply::text(StatusCode::NOT_FOUND, "no such control\n"),
         }
     }
 
-    fn serve(&self, method: &Method, path: &str, query: &str, body: &Bytes) -> Answer {
+    fn serve(&self, method: &Method, path: &str, query: &str, body: &Bytes) -> Reply {
         let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
         match (method, segments.as_slice()) {
             (&Method::GET, ["v1", "tables", table, "rows", key]) => {
-                match self.store().read(table, &decode(key)) {
-                    Some(row) => Answer::json(StatusCode::OK, &row),
-                    None => Answer::text(StatusCode::NOT_FOUND, "no such row\n"),
+                match self.store().read(table, &percent_decode(key)) {
+                    Some(row) => Reply::json(StatusCode::OK, &row),
+                    None => Reply::text(StatusCode::NOT_FOUND, "no such row\n"),
                 }
             }
             (&Method::GET, ["v1", "tables", table, "changes"]) => {
-                let mut changes = self.store().changes(table, number(query, "since").unwrap_or(0));
-                if let Some(limit) = number(query, "limit") {
+                let mut changes =
+                    self.store().changes(table, query_number(query, "since").unwrap_or(0));
+                if let Some(limit) = query_number(query, "limit") {
                     changes.rows.truncate(usize::try_from(limit).unwrap_or(usize::MAX));
                 }
-                Answer::json(StatusCode::OK, &changes)
+                Reply::json(StatusCode::OK, &changes)
             }
             (&Method::POST, ["v1", "transact"]) => self.transact(body),
             (&Method::PUT, ["v1", "objects", name]) => {
-                self.store().put_object(&decode(name), body.clone());
-                Answer::text(StatusCode::OK, "kept\n")
+                self.store().put_object(&percent_decode(name), body.clone());
+                Reply::text(StatusCode::OK, "kept\n")
             }
             (&Method::GET, ["v1", "objects", name]) => {
-                match self.store().get_object(&decode(name)) {
-                    Some(bytes) => Answer { status: StatusCode::OK, bytes, tag: None },
-                    None => Answer::text(StatusCode::NOT_FOUND, "no such object\n"),
+                match self.store().get_object(&percent_decode(name)) {
+                    Some(bytes) => Reply { status: StatusCode::OK, bytes, etag: None },
+                    None => Reply::text(StatusCode::NOT_FOUND, "no such object\n"),
                 }
             }
             (&Method::GET, ["v1", "instances"]) => {
-                tagged(Answer::json(StatusCode::OK, self.store().list.told()))
+                with_etag(Reply::json(StatusCode::OK, self.store().list.visible()))
             }
-            _ => Answer::text(StatusCode::BAD_REQUEST, "no such call\n"),
+            _ => Reply::text(StatusCode::BAD_REQUEST, "no such call\n"),
         }
     }
 
-    fn transact(&self, body: &[u8]) -> Answer {
+    fn transact(&self, body: &[u8]) -> Reply {
         match serde_json::from_slice::<Transaction>(body) {
             Ok(transaction) => {
                 let commit = self.store().transact(&transaction.writes);
-                Answer::json(StatusCode::OK, &commit)
+                Reply::json(StatusCode::OK, &commit)
             }
-            Err(e) => Answer::text(StatusCode::BAD_REQUEST, &e.to_string()),
+            Err(e) => Reply::text(StatusCode::BAD_REQUEST, &e.to_string()),
         }
     }
 }
 
-/// Names the state that an answer tells of, as an `ETag` (RFC 9110, section
+/// Names the state that a reply tells of, as an `ETag` (RFC 9110, section
 /// 8.8.3).
-fn tagged(mut answer: Answer) -> Answer {
+fn with_etag(mut reply: Reply) -> Reply {
     let mut hasher = DefaultHasher::new();
-    hasher.write(&answer.bytes);
-    answer.tag = HeaderValue::from_str(&format!("\"{:016x}\"", hasher.finish())).ok();
-    answer
+    hasher.write(&reply.bytes);
+    reply.etag = HeaderValue::from_str(&format!("\"{:016x}\"", hasher.finish())).ok();
+    reply
 }
 
 /// Leaves out what the reader has already.
-fn unless_known(answer: Answer, known: Option<&HeaderValue>) -> Answer {
-    if answer.tag.is_none() || answer.tag.as_ref() != known {
-        return answer;
+fn apply_if_none_match(reply: Reply, if_none_match: Option<&HeaderValue>) -> Reply {
+    if reply.etag.is_none() || reply.etag.as_ref() != if_none_match {
+        return reply;
     }
-    Answer { status: StatusCode::NOT_MODIFIED, bytes: Bytes::new(), tag: answer.tag }
+    Reply { status: StatusCode::NOT_MODIFIED, bytes: Bytes::new(), etag: reply.etag }
 }
 
-fn decode(segment: &str) -> String {
+fn percent_decode(segment: &str) -> String {
     percent_encoding::percent_decode_str(segment).decode_utf8_lossy().into_owned()
 }
 
-/// A call whose answer is lost: the connection closes without one.
+/// A call whose reply is lost: the connection closes without one.
 #[derive(Debug)]
-struct Lost;
+struct ReplyLost;
 
-impl std::fmt::Display for Lost {
+impl std::fmt::Display for ReplyLost {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer is lost on purpose")
     }
 }
 
-impl std::error::Error for Lost {}
+impl std::error::Error for ReplyLost {}
 
 /// Serves until the task is aborted.
 pub async fn serve(listener: TcpListener, server: Arc<Server>) -> Infallible {
@@ -284,7 +285,7 @@
         let _ = stream.set_nodelay(true);
         let server = Arc::clone(&server);
         tokio::spawn(async move {
-            let one_way = match &server.place {
+            let one_way = match &server.location {
                 Some((network, zone)) => network.one_way(caller.ip(), zone),
                 None => Duration::ZERO,
             };
@@ -294,14 +295,14 @@
                 async move {
                     // A task of its own: a write that is slow is made even if
                     // the caller has given up, and its row is there later.
-                    let answer = tokio::spawn(async move { server.answer(request).await });
-                    let answer = answer.await.ok().flatten().ok_or(Lost)?;
-                    let mut response = Response::new(Full::new(answer.bytes));
-                    *response.status_mut() = answer.status;
-                    if let Some(tag) = answer.tag {
-                        response.headers_mut().insert(header::ETAG, tag);
+                    let reply = tokio::spawn(async move { server.handle(request).await });
+                    let reply = reply.await.ok().flatten().ok_or(ReplyLost)?;
+                    let mut response = Response::new(Full::new(reply.bytes));
+                    *response.status_mut() = reply.status;
+                    if let Some(etag) = reply.etag {
+                        response.headers_mut().insert(header::ETAG, etag);
                     }
-                    Ok::<_, Lost>(response)
+                    Ok::<_, ReplyLost>(response)
                 }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
@@ -310,7 +311,7 @@
 }
 
 /// The value of a query such as `since=7&limit=200`.
-fn number(query: &str, name: &str) -> Option<u64> {
+fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|pair| pair.0 == name)?.1.parse().ok()
 }
--- a/crates/azuregate-lab/src/platform/store.rs
+++ b/crates/azuregate-lab/src/platform/store.rs
@@ -5,7 +5,7 @@
 use azuregate::platform::{Changes, Commit, Expect, Row, Write};
 use bytes::Bytes;
 
-use crate::platform::LaggingList;
+use crate::platform::DelayedInstanceList;
 
 /// Everything that the stand-in keeps.
 #[derive(Debug, Default)]
@@ -13,17 +13,17 @@
     tables: BTreeMap<String, Table>,
     objects: BTreeMap<String, Bytes>,
     /// The list of live and leaving instances.
-    pub list: LaggingList,
+    pub list: DelayedInstanceList,
 }
 
 #[derive(Debug, Default)]
 struct Table {
     sequence: u64,
-    rows: BTreeMap<String, Kept>,
+    rows: BTreeMap<String, StoredRow>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct StoredRow {
     sequence: u64,
     row: Row,
 }
@@ -39,10 +39,10 @@
         let Some(table) = self.tables.get(table) else {
             return Changes::default();
         };
-        let mut kept: Vec<_> =
-            table.rows.values().filter(|kept| kept.sequence > since_sequence).collect();
-        kept.sort_by_key(|kept| kept.sequence);
-        let rows = kept.into_iter().map(|kept| kept.row.clone()).collect();
+        let mut stored: Vec<_> =
+            table.rows.values().filter(|stored| stored.sequence > since_sequence).collect();
+        stored.sort_by_key(|stored| stored.sequence);
+        let rows = stored.into_iter().map(|stored| stored.row.clone()).collect();
         Changes { sequence: table.sequence, rows }
     }
 
@@ -68,9 +68,9 @@
             table.rows.remove(&write.key);
             return 0;
         };
-        let version = table.rows.get(&write.key).map_or(1, |kept| kept.row.version + 1);
+        let version = table.rows.get(&write.key).map_or(1, |stored| stored.row.version + 1);
         let row = Row { key: write.key.clone(), version, value };
-        table.rows.insert(write.key.clone(), Kept { sequence: table.sequence, row });
+        table.rows.insert(write.key.clone(), StoredRow { sequence: table.sequence, row });
         version
     }
 
--- a/crates/azuregate-lab/tests/lab/platform.rs
+++ b/crates/azuregate-lab/tests/lab/platform.rs
@@ -61,7 +61,7 @@
         ("lost", Faults { lose_answers: 1, ..faults() }, Err(Effect::Unknown), true),
         ("in rate", Faults { writes_per_s: Some(1), ..faults() }, done(), true),
         ("over rate", Faults { writes_per_s: Some(0), ..faults() }, Err(Effect::None), false),
-        ("capacity", Faults::capacity(), done(), true),
+        ("capacity", Faults::guaranteed_rates(), done(), true),
     ];
     for (case, faults, answer, is_there) in table {
         let bench = bench().await;
@@ -103,7 +103,7 @@
     client::post_json(bench.addr, "/lab/faults", &lagging).await.unwrap();
     client::post_json(bench.addr, "/lab/instances", &list).await.unwrap();
     assert_eq!(bench.platform.instances().await.unwrap(), InstanceList::default());
-    assert_eq!(*bench.server.store().list.newest(), list);
+    assert_eq!(*bench.server.store().list.latest(), list);
     tokio::time::sleep(Duration::from_millis(1_100)).await;
     assert_eq!(bench.platform.instances().await.unwrap(), list);
 }
