--- a/crates/azuregate-lab/src/platform/faults.rs
+++ b/crates/azuregate-lab/src/platform/faults.rs
@@ -1,30 +1,29 @@
-//! What the stand-in is told to do wrong.
+//! Faults that the simulated platform can inject.
 
 use serde::{Deserialize, Serialize};
 
-/// The faults in force.
+/// Faults injected into calls. The default injects none.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Refuses every call, without effect.
+    /// Rejects every call before it takes effect.
     pub down: bool,
-    /// Delays every call by this much before its effect.
+    /// Delay of every call before it takes effect.
     pub slow_ms: u64,
-    /// So many of the next writes take effect, but their answer is lost.
+    /// Number of upcoming writes that take effect but whose response is dropped.
     pub lose_answers: u32,
-    /// Accepts connections and never answers.
+    /// Accepts connections but never responds.
     pub silent: bool,
-    /// Refuses reads beyond this rate, without effect.
+    /// Rejects reads above this rate before they take effect.
     pub reads_per_s: Option<u32>,
-    /// Refuses writes beyond this rate, without effect.
+    /// Rejects writes above this rate before they take effect.
     pub writes_per_s: Option<u32>,
-    /// Changes of the instance list are told so much later.
+    /// Delay until readers see a change of the instance list.
     pub list_lag_ms: u64,
 }
 
 impl Faults {
-    /// The capacity that users may count on: several hundred writes and two
-    /// thousand reads a second.
+    /// Returns limits at the rates that the platform guarantees to its users.
     pub fn guaranteed_rates() -> Faults {
         Faults { reads_per_s: Some(2_000), writes_per_s: Some(500), ..Faults::default() }
     }
