--- a/crates/azuregate-lab/src/platform/instance_list.rs
+++ b/crates/azuregate-lab/src/platform/instance_list.rs
@@ -1,4 +1,4 @@
-//! The list of live and leaving instances, which lags.
+//! The list of live and leaving instances, visible to readers after a delay.
 
 use std::{
     collections::VecDeque,
@@ -7,7 +7,7 @@
 
 use azuregate_core::snapshot::InstanceList;
 
-/// What the list says, and what it will say once the delay is over.
+/// An instance list whose changes become visible after a delay.
 #[derive(Debug, Default)]
 pub struct DelayedInstanceList {
     visible: InstanceList,
@@ -15,19 +15,19 @@
 }
 
 impl DelayedInstanceList {
-    /// Replaces the list; readers see it when `delay` is over.
+    /// Replaces the list; readers see it after `delay`.
     pub fn set(&mut self, list: InstanceList, delay: Duration) {
         self.pending.push_back((Instant::now() + delay, list));
         self.apply_due();
     }
 
-    /// What readers see now.
+    /// Returns the list that readers see now.
     pub fn visible(&mut self) -> &InstanceList {
         self.apply_due();
         &self.visible
     }
 
-    /// What is true, seen or not.
+    /// Returns the most recently set list, whether or not it is visible yet.
     pub fn latest(&self) -> &InstanceList {
         self.pending.back().map_or(&self.visible, |(_, list)| list)
     }
