--- a/crates/azuregate-lab/src/platform/mod.rs
+++ b/crates/azuregate-lab/src/platform/mod.rs
@@ -1,11 +1,10 @@
 /*!
-A stand-in of the platform: tables with transactions, objects, and the list of
-live and leaving instances, in memory.
+An in-memory simulation of the platform: tables with transactions, objects, and
+the list of live and leaving instances.
 
-It speaks the protocol of docs/PLATFORM.md. `POST /lab/faults` makes it down,
-slow, silent, refuse by rate, or lose an answer after the effect;
-`POST /lab/instances` replaces the list; `GET /lab/counts` tells how many calls
-there were.
+It implements the protocol of docs/PLATFORM.md. `POST /lab/faults` replaces the
+injected [`Faults`], `POST /lab/instances` replaces the instance list, and
+`GET /lab/counts` returns the call [`Counts`].
 */
 
 mod faults;
