--- a/crates/azuregate-lab/src/platform/rate_limiter.rs
+++ b/crates/azuregate-lab/src/platform/rate_limiter.rs
@@ -1,8 +1,8 @@
-//! A bound on calls a second.
+//! A limit on calls per second.
 
 use std::time::{Duration, Instant};
 
-/// Counts the calls of the current second.
+/// A fixed-window rate limiter with a window of one second.
 #[derive(Debug, Default)]
 pub(crate) struct RateLimiter {
     window_start: Option<Instant>,
@@ -10,7 +10,7 @@
 }
 
 impl RateLimiter {
-    /// Whether one more call fits below `limit_per_s`.
+    /// Returns whether a call at `now` is within `limit_per_s`, and counts it.
     pub(crate) fn try_acquire(&mut self, limit_per_s: Option<u32>, now: Instant) -> bool {
         let Some(limit) = limit_per_s else {
             return true;
