--- a/crates/azuregate-lab/src/platform/store.rs
+++ b/crates/azuregate-lab/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The tables, objects and the list, in memory.
+//! In-memory storage of tables, objects and the instance list.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::platform::DelayedInstanceList;
 
-/// Everything that the stand-in keeps.
+/// The data of the simulated platform.
 #[derive(Debug, Default)]
 pub struct Store {
     tables: BTreeMap<String, Table>,
@@ -29,12 +29,13 @@
 }
 
 impl Store {
-    /// Reads one row.
+    /// Returns the row of `table` with this key.
     pub fn read(&self, table: &str, key: &str) -> Option<Row> {
         Some(self.tables.get(table)?.rows.get(key)?.row.clone())
     }
 
-    /// Reads the rows that changed after a point.
+    /// Returns the rows of `table` that changed after `since_sequence`, oldest
+    /// change first.
     pub fn changes(&self, table: &str, since_sequence: u64) -> Changes {
         let Some(table) = self.tables.get(table) else {
             return Changes::default();
@@ -46,7 +47,7 @@
         Changes { sequence: table.sequence, rows }
     }
 
-    /// Commits all of `writes` or none.
+    /// Commits all of `writes`, or none if the expectation of one is not met.
     pub fn transact(&mut self, writes: &[Write]) -> Commit {
         for (index, write) in writes.iter().enumerate() {
             let row = self.read(write.table.as_str(), &write.key);
@@ -74,12 +75,12 @@
         version
     }
 
-    /// Keeps an object.
+    /// Stores an object, replacing any of the same name.
     pub fn put_object(&mut self, name: &str, bytes: Bytes) {
         self.objects.insert(name.to_owned(), bytes);
     }
 
-    /// Reads an object.
+    /// Returns the object with this name.
     pub fn get_object(&self, name: &str) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
