--- a/crates/azuregate-lab/src/platform/server.rs
+++ b/crates/azuregate-lab/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The stand-in's HTTP server.
+//! The HTTP server of the simulated platform.
 
 use std::{
     convert::Infallible,
@@ -27,7 +27,7 @@
     platform::{Faults, Store, rate_limiter::RateLimiter},
 };
 
-/// The stand-in's state, shared between its connections.
+/// State shared between the connections of the simulated platform.
 #[derive(Debug, Default)]
 pub struct Server {
     store: Mutex<Store>,
@@ -43,16 +43,16 @@
     writes: RateLimiter,
 }
 
-/// How many calls there were, for measurements.
+/// Totals of the calls received.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Counts {
-    /// Reads of tables, objects and the list.
+    /// Accepted reads of tables, objects and the instance list.
     pub reads: u64,
-    /// Transactions and objects written.
+    /// Accepted transactions and object writes.
     pub writes: u64,
-    /// Calls refused without effect.
+    /// Calls rejected before they took effect.
     pub refused: u64,
-    /// Bytes of all answers, without their heads.
+    /// Total size of response bodies, in bytes.
     pub answer_bytes: u64,
 }
 
@@ -64,8 +64,7 @@
 struct Reply {
     status: StatusCode,
     bytes: Bytes,
-    /// Names this state of what was read, where readers may ask whether it is
-    /// still the same.
+    /// Entity tag, for resources that support conditional reads.
     etag: Option<HeaderValue>,
 }
 
@@ -80,41 +79,42 @@
 }
 
 impl Server {
-    /// A stand-in that lists `list`.
+    /// Returns a server whose instance list is `list`.
     pub fn new(list: InstanceList) -> Server {
         let server = Server::default();
         server.set_list(list);
         server
     }
 
-    /// Adds the delays of a network to every connection.
+    /// Delays every connection as `network` does for a server in `zone`.
     pub fn with_network(mut self, network: Arc<Network>, zone: ZoneName) -> Server {
         self.location = Some((network, zone));
         self
     }
 
-    /// Replaces the list, which readers see when its delay is over.
+    /// Replaces the instance list; readers see it after
+    /// [`Faults::list_lag_ms`].
     pub fn set_list(&self, list: InstanceList) {
         let delay = Duration::from_millis(self.faults().list_lag_ms);
         self.store().list.set(list, delay);
     }
 
-    /// What it keeps.
+    /// Locks and returns the stored data.
     pub fn store(&self) -> MutexGuard<'_, Store> {
         self.store.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The faults in force.
+    /// Locks and returns the injected faults.
     pub fn faults(&self) -> MutexGuard<'_, Faults> {
         self.faults.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// How many calls there were so far.
+    /// Returns the totals of the calls received so far.
     pub fn counts(&self) -> Counts {
         *self.counts.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Counts a call, or its refusal.
+    /// Counts a call and returns whether to accept it.
     fn admit(&self, method: &Method, faults: &Faults) -> bool {
         let read = method == Method::GET;
         let mut rate_limiters = self.rate_limiters.lock().unwrap_or_else(PoisonError::into_inner);
@@ -243,8 +243,7 @@
     }
 }
 
-/// Names the state that a reply tells of, as an `ETag` (RFC 9110, section
-/// 8.8.3).
+/// Adds an `ETag` (RFC 9110, section 8.8.3) derived from the body.
 fn with_etag(mut reply: Reply) -> Reply {
     let mut hasher = DefaultHasher::new();
     hasher.write(&reply.bytes);
@@ -252,7 +251,7 @@
     reply
 }
 
-/// Leaves out what the reader has already.
+/// Turns the reply into `304 Not Modified` if its entity tag is `if_none_match`.
 fn apply_if_none_match(reply: Reply, if_none_match: Option<&HeaderValue>) -> Reply {
     if reply.etag.is_none() || reply.etag.as_ref() != if_none_match {
         return reply;
@@ -264,19 +263,19 @@
     percent_encoding::percent_decode_str(segment).decode_utf8_lossy().into_owned()
 }
 
-/// A call whose reply is lost: the connection closes without one.
+/// Closes the connection without a response.
 #[derive(Debug)]
 struct ReplyLost;
 
 impl std::fmt::Display for ReplyLost {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer is lost on purpose")
+        f.write_str("response dropped by an injected fault")
     }
 }
 
 impl std::error::Error for ReplyLost {}
 
-/// Serves until the task is aborted.
+/// Accepts and serves connections until the task is aborted.
 pub async fn serve(listener: TcpListener, server: Arc<Server>) -> Infallible {
     loop {
         let Ok((stream, caller)) = listener.accept().await else {
@@ -293,8 +292,8 @@
             let service = service_fn(|request| {
                 let server = Arc::clone(&server);
                 async move {
-                    // A task of its own: a write that is slow is made even if
-                    // the caller has given up, and its row is there later.
+                    // Runs in its own task so that a slow write still takes effect
+                    // after the caller has closed the connection.
                     let reply = tokio::spawn(async move { server.handle(request).await });
                     let reply = reply.await.ok().flatten().ok_or(ReplyLost)?;
                     let mut response = Response::new(Full::new(reply.bytes));
@@ -310,7 +309,7 @@
     }
 }
 
-/// The value of a query such as `since=7&limit=200`.
+/// Returns a numeric parameter of a query such as `since=7&limit=200`.
 fn query_number(query: &str, name: &str) -> Option<u64> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.find(|pair| pair.0 == name)?.1.parse().ok()
