--- a/crates/azuregate-lab/src/backends/count.rs
+++ b/crates/azuregate-lab/src/backends/counts.rs
@@ -66,7 +66,7 @@
 
 impl Counts {
     /// Counts a request that arrived.
-    pub fn arrived(&mut self) {
+    pub fn record_arrival(&mut self) {
         self.stats.arrived += 1;
         self.bucket().arrived += 1;
     }
@@ -75,7 +75,7 @@
     ///
     /// It counts from its first byte: a server that has begun cannot say that
     /// nothing ran.
-    pub fn began(&mut self, name: &str, key: Option<&str>, in_use: u32) {
+    pub fn record_start(&mut self, name: &str, key: Option<&str>, in_use: u32) {
         self.stats.ran += 1;
         self.stats.peak_in_use = self.stats.peak_in_use.max(in_use);
         self.stats.last_ran_at_ms = epoch_ms();
@@ -87,7 +87,7 @@
     }
 
     /// Forgets everything but the totals.
-    pub fn forget(&mut self) {
+    pub fn clear_details(&mut self) {
         self.ran.clear();
         self.keys.clear();
         self.buckets.clear();
--- a/crates/azuregate-lab/src/backends/load.rs
+++ b/crates/azuregate-lab/src/backends/load.rs
@@ -8,18 +8,18 @@
 use crate::backends::Behaviour;
 
 /// How long the past is remembered.
-const MEMORY: Duration = Duration::from_secs(30);
+const HISTORY_RETENTION: Duration = Duration::from_secs(30);
 
 /// The slots in use, now and before.
 #[derive(Debug, Default)]
 pub(crate) struct Load {
     in_use: u32,
-    past: VecDeque<(Instant, u32)>,
+    history: VecDeque<(Instant, u32)>,
 }
 
 impl Load {
     /// Takes a slot if one of `slots` is free.
-    pub(crate) fn take(&mut self, slots: u32, now: Instant) -> Option<u32> {
+    pub(crate) fn try_acquire(&mut self, slots: u32, now: Instant) -> Option<u32> {
         if self.in_use >= slots {
             return None;
         }
@@ -28,28 +28,32 @@
     }
 
     /// Gives a slot back.
-    pub(crate) fn give_back(&mut self, now: Instant) {
+    pub(crate) fn release(&mut self, now: Instant) {
         self.set(self.in_use.saturating_sub(1), now);
     }
 
     /// What a report says.
     pub(crate) fn reported(&self, behaviour: &Behaviour, now: Instant) -> u32 {
-        if let Some(lie) = behaviour.report_lie {
-            return lie;
+        if let Some(in_use) = behaviour.report_lie {
+            return in_use;
         }
         if behaviour.report_lag_ms == 0 {
             return self.in_use;
         }
         let lag = Duration::from_millis(behaviour.report_lag_ms);
-        let then = self.past.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
+        let then = self.history.iter().rev().find(|(at, _)| now.duration_since(*at) >= lag);
         then.map_or(0, |&(_, in_use)| in_use)
     }
 
     fn set(&mut self, in_use: u32, now: Instant) {
         self.in_use = in_use;
-        self.past.push_back((now, in_use));
-        while self.past.front().is_some_and(|(at, _)| now.duration_since(*at) > MEMORY) {
-            self.past.pop_front();
+        self.history.push_back((now, in_use));
+        while self
+            .history
+            .front()
+            .is_some_and(|(at, _)| now.duration_since(*at) > HISTORY_RETENTION)
+        {
+            self.history.pop_front();
         }
     }
 }
--- a/crates/azuregate-lab/src/backends/mod.rs
+++ b/crates/azuregate-lab/src/backends/mod.rs
@@ -7,17 +7,17 @@
 tell what truly ran.
 */
 
-mod answers;
 mod behaviour;
-mod count;
+mod counts;
 mod load;
+mod responses;
 mod server;
-mod timing;
+mod service_times;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 pub use behaviour::{Behaviour, Distribution};
-pub use count::{BUCKET_MS, Bucket, Counts, Stats, epoch_ms};
+pub use counts::{BUCKET_MS, Bucket, Counts, Stats, epoch_ms};
 pub use server::{Backend, serve};
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/azuregate-lab/src/backends/answers.rs
+++ b/crates/azuregate-lab/src/backends/responses.rs
@@ -14,22 +14,22 @@
 use tokio::time;
 
 /// How long after its first half an answer is cut.
-const CUT_AFTER: Duration = Duration::from_millis(5);
+const TRUNCATION_DELAY: Duration = Duration::from_millis(5);
 
 /// The body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, CutShort>;
+pub(crate) type Body = UnsyncBoxBody<Bytes, Truncated>;
 
 /// An answer that ends in the middle.
 #[derive(Debug)]
-pub(crate) struct CutShort;
+pub(crate) struct Truncated;
 
-impl std::fmt::Display for CutShort {
+impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the answer is cut short on purpose")
     }
 }
 
-impl std::error::Error for CutShort {}
+impl std::error::Error for Truncated {}
 
 /// An answer with this body.
 pub(crate) fn full(text: impl Into<Bytes>) -> Response<Body> {
@@ -49,13 +49,13 @@
 }
 
 /// An answer that promises all of `text` and gives half of it.
-pub(crate) fn cut_short(text: &str) -> Response<Body> {
+pub(crate) fn truncated(text: &str) -> Response<Body> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let first = futures_util::stream::iter([Ok(Frame::data(half))]);
     // Without the pause the first half would be dropped with the connection.
     let rest = futures_util::stream::once(async {
-        time::sleep(CUT_AFTER).await;
-        Err(CutShort)
+        time::sleep(TRUNCATION_DELAY).await;
+        Err(Truncated)
     });
     let body = StreamBody::new(first.chain(rest)).boxed_unsync();
     let mut response = Response::new(body);
--- a/crates/azuregate-lab/src/backends/server.rs
+++ b/crates/azuregate-lab/src/backends/server.rs
@@ -29,10 +29,10 @@
 use crate::{
     backends::{
         Behaviour, Counts, Stats,
-        answers::{Body, cut_short, full, json, status},
         load::Load,
         lock,
-        timing::Timing,
+        responses::{Body, full, json, status, truncated},
+        service_times::ServiceTimes,
     },
     network::{self, Network},
 };
@@ -41,9 +41,9 @@
 const HEALTH_PATH: &str = "/health";
 
 /// The header that names a request; the answer carries it back.
-const REQUEST_ID: &str = "azuregate-request-id";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-const TIMEOUT_MS: &str = "azuregate-timeout-ms";
+const REQUEST_ID_HEADER: &str = "azuregate-request-id";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+const TIMEOUT_MS_HEADER: &str = "azuregate-timeout-ms";
 
 /// One backend server.
 #[derive(Debug)]
@@ -55,9 +55,9 @@
     load: Mutex<Load>,
     connections: Semaphore,
     /// Connections that were opened under a lower number are silent.
-    silence: AtomicU64,
-    timing: Timing,
-    dead: watch::Sender<bool>,
+    current_generation: AtomicU64,
+    service_times: ServiceTimes,
+    killed: watch::Sender<bool>,
     counts: Mutex<Counts>,
 }
 
@@ -70,7 +70,7 @@
 
 impl Drop for Slot<'_> {
     fn drop(&mut self) {
-        lock(&self.backend.load).give_back(Instant::now());
+        lock(&self.backend.load).release(Instant::now());
         if !self.finished {
             self.backend.counts().stats.cancelled += 1;
         }
@@ -91,9 +91,9 @@
             network: None,
             behaviour: Mutex::new(behaviour),
             load: Mutex::default(),
-            silence: AtomicU64::new(0),
-            timing: Timing::new(seed),
-            dead: watch::Sender::new(false),
+            current_generation: AtomicU64::new(0),
+            service_times: ServiceTimes::new(seed),
+            killed: watch::Sender::new(false),
             counts: Mutex::default(),
             server,
         }
@@ -122,51 +122,58 @@
 
     /// Makes all open connections silent for good; new ones work.
     pub fn silence_connections(&self) {
-        self.silence.fetch_add(1, Ordering::Relaxed);
+        self.current_generation.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Ends it as a crash does: its port closes and all connections break.
     pub fn kill(&self) {
-        self.dead.send_replace(true);
+        self.killed.send_replace(true);
     }
 
-    async fn died(&self) {
+    async fn wait_killed(&self) {
         // The sender lives as long as `self`.
-        let _ = self.dead.subscribe().wait_for(|&dead| dead).await;
+        let _ = self.killed.subscribe().wait_for(|&killed| killed).await;
     }
 
-    async fn answer(
+    async fn handle(
         &self,
         request: Request<Incoming>,
-        opened_under: u64,
+        connection_generation: u64,
     ) -> Result<Response<Body>, Infallible> {
         if request.uri().path().starts_with("/lab/") {
-            return Ok(self.control(request).await);
+            return Ok(self.handle_control(request).await);
         }
         let behaviour = self.behaviour().clone();
-        if behaviour.silent || opened_under < self.silence.load(Ordering::Relaxed) {
+        if behaviour.silent
+            || connection_generation < self.current_generation.load(Ordering::Relaxed)
+        {
             return std::future::pending().await;
         }
         if request.uri().path() == HEALTH_PATH {
             return Ok(status(StatusCode::OK, "alive\n"));
         }
-        self.counts().arrived();
+        self.counts().record_arrival();
         let slot = if behaviour.shed { None } else { self.take_slot() };
         let Some((mut slot, in_use)) = slot else {
             self.counts().stats.shed += 1;
-            return Ok(self.refusal(&behaviour));
+            return Ok(self.rejection(&behaviour));
         };
         let (head, body) = request.into_parts();
-        let name = text(&head.headers, REQUEST_ID).unwrap_or_default().to_owned();
-        self.counts().began(&name, text(&head.headers, IDEMPOTENCY_KEY), in_use);
-        let Some(received_bytes) = receive(body).await else {
+        let name = header_str(&head.headers, REQUEST_ID_HEADER).unwrap_or_default().to_owned();
+        self.counts().record_start(
+            &name,
+            header_str(&head.headers, IDEMPOTENCY_KEY_HEADER),
+            in_use,
+        );
+        let Some(received_bytes) = drain_body(body).await else {
             return Ok(status(StatusCode::BAD_REQUEST, "the body ended early\n"));
         };
-        let limit_ms = text(&head.headers, TIMEOUT_MS).and_then(|ms| ms.parse().ok());
-        let service = self.timing.draw(&behaviour);
+        let timeout_ms =
+            header_str(&head.headers, TIMEOUT_MS_HEADER).and_then(|ms| ms.parse().ok());
+        let service = self.service_times.draw(&behaviour);
         let service_us = u32::try_from(service.as_micros()).unwrap_or(u32::MAX);
         self.counts().service_us.push(service_us);
-        let in_time = self.timing.spend(service, limit_ms.map(Duration::from_millis)).await;
+        let in_time = self.service_times.run(service, timeout_ms.map(Duration::from_millis)).await;
         slot.finished = true;
         drop(slot);
         if !in_time {
@@ -179,11 +186,11 @@
             self.server.id,
             head.uri.path()
         );
-        let mut response = if behaviour.cut { cut_short(&text) } else { full(text) };
-        self.report(&mut response, &behaviour);
+        let mut response = if behaviour.cut { truncated(&text) } else { full(text) };
+        self.add_load_report(&mut response, &behaviour);
         let headers = response.headers_mut();
         if let Ok(name) = HeaderValue::from_str(&name) {
-            headers.insert(REQUEST_ID, name);
+            headers.insert(REQUEST_ID_HEADER, name);
         }
         if behaviour.leaving {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -192,11 +199,11 @@
     }
 
     fn take_slot(&self) -> Option<(Slot<'_>, u32)> {
-        let in_use = lock(&self.load).take(self.server.slots, Instant::now())?;
+        let in_use = lock(&self.load).try_acquire(self.server.slots, Instant::now())?;
         Some((Slot { backend: self, finished: false }, in_use))
     }
 
-    async fn control(&self, request: Request<Incoming>) -> Response<Body> {
+    async fn handle_control(&self, request: Request<Incoming>) -> Response<Body> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         match (head.method, head.uri.path()) {
@@ -210,7 +217,7 @@
             (Method::POST, "/lab/behaviour") => match serde_json::from_slice(&body) {
                 Ok(behaviour) => {
                     *self.behaviour() = behaviour;
-                    self.timing.cool();
+                    self.service_times.reset_cache();
                     status(StatusCode::OK, "set\n")
                 }
                 Err(e) => status(StatusCode::BAD_REQUEST, &e.to_string()),
@@ -219,14 +226,14 @@
         }
     }
 
-    fn refusal(&self, behaviour: &Behaviour) -> Response<Body> {
+    fn rejection(&self, behaviour: &Behaviour) -> Response<Body> {
         let mut response = status(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
         response.headers_mut().insert("backend-outcome", HeaderValue::from_static("not-run"));
-        self.report(&mut response, behaviour);
+        self.add_load_report(&mut response, behaviour);
         response
     }
 
-    fn report(&self, response: &mut Response<Body>, behaviour: &Behaviour) {
+    fn add_load_report(&self, response: &mut Response<Body>, behaviour: &Behaviour) {
         let in_use = lock(&self.load).reported(behaviour, Instant::now());
         let load = format!("{in_use}/{}", self.server.slots);
         if let Ok(load) = HeaderValue::from_str(&load) {
@@ -239,7 +246,7 @@
             self.counts().stats.connections_refused += 1;
             return;
         };
-        let opened_under = self.silence.load(Ordering::Relaxed);
+        let connection_generation = self.current_generation.load(Ordering::Relaxed);
         let stream = match &self.network {
             None => network::stretch(stream, Duration::ZERO),
             Some(network) => {
@@ -248,21 +255,21 @@
                 network::stretch(stream, network.one_way(caller.ip(), zone))
             }
         };
-        let service = service_fn(|request| self.answer(request, opened_under));
+        let service = service_fn(|request| self.handle(request, connection_generation));
         let serving = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = serving => {}
-            () = self.died() => {}
+            () = self.wait_killed() => {}
         }
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
 /// Reads a body without keeping it.
-async fn receive(mut body: Incoming) -> Option<u64> {
+async fn drain_body(mut body: Incoming) -> Option<u64> {
     let mut received_bytes = 0;
     while let Some(frame) = body.frame().await {
         received_bytes += frame.ok()?.data_ref().map_or(0, |data| data.len() as u64);
@@ -275,7 +282,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = backend.died() => return,
+            () = backend.wait_killed() => return,
         };
         let Ok((stream, caller)) = accepted else {
             continue;
--- a/crates/azuregate-lab/src/backends/timing.rs
+++ b/crates/azuregate-lab/src/backends/service_times.rs
@@ -11,31 +11,31 @@
 
 /// Draws and spends the service times of one backend server.
 #[derive(Debug)]
-pub(crate) struct Timing {
+pub(crate) struct ServiceTimes {
     rng: Mutex<fastrand::Rng>,
-    warmth: Mutex<Warmth>,
+    cache: Mutex<CacheState>,
     /// By how much timers were late and later sleeps have not made up for.
-    late: Mutex<Duration>,
+    overslept: Mutex<Duration>,
 }
 
 #[derive(Debug, Default)]
-struct Warmth {
+struct CacheState {
     requests: u32,
     last: Option<Instant>,
 }
 
-impl Timing {
-    pub(crate) fn new(seed: u64) -> Timing {
-        Timing {
+impl ServiceTimes {
+    pub(crate) fn new(seed: u64) -> ServiceTimes {
+        ServiceTimes {
             rng: Mutex::new(fastrand::Rng::with_seed(seed)),
-            warmth: Mutex::default(),
-            late: Mutex::default(),
+            cache: Mutex::default(),
+            overslept: Mutex::default(),
         }
     }
 
     /// Empties the caches.
-    pub(crate) fn cool(&self) {
-        *lock(&self.warmth) = Warmth::default();
+    pub(crate) fn reset_cache(&self) {
+        *lock(&self.cache) = CacheState::default();
     }
 
     /// Draws the service time of a request that begins now.
@@ -45,16 +45,16 @@
     }
 
     fn cold_extra(&self, behaviour: &Behaviour) -> Duration {
-        let mut warmth = lock(&self.warmth);
+        let mut cache = lock(&self.cache);
         let now = Instant::now();
-        let idle = warmth.last.map_or(Duration::ZERO, |last| now.duration_since(last));
+        let idle = cache.last.map_or(Duration::ZERO, |last| now.duration_since(last));
         let limit = Duration::from_millis(behaviour.cold_after_idle_ms);
         if !limit.is_zero() && idle > limit {
-            warmth.requests = 0;
+            cache.requests = 0;
         }
-        warmth.last = Some(now);
-        warmth.requests = warmth.requests.saturating_add(1);
-        if warmth.requests > behaviour.cold_requests {
+        cache.last = Some(now);
+        cache.requests = cache.requests.saturating_add(1);
+        if cache.requests > behaviour.cold_requests {
             return Duration::ZERO;
         }
         Duration::from_millis(behaviour.cold_extra_ms)
@@ -62,12 +62,12 @@
 
     /// Spends the service time, or the time to the deadline where that is
     /// shorter; returns whether the work was finished.
-    pub(crate) async fn spend(&self, service: Duration, limit: Option<Duration>) -> bool {
+    pub(crate) async fn run(&self, service: Duration, limit: Option<Duration>) -> bool {
         if let Some(limit) = limit.filter(|limit| *limit < service) {
             time::sleep(limit).await;
             return false;
         }
-        self.sleep(service).await;
+        self.sleep_compensated(service).await;
         true
     }
 
@@ -76,18 +76,18 @@
     /// Timers are a millisecond late on average. With a service time of 20 ms a
     /// server would have a twentieth less to give than its example says, and no
     /// goodput could reach 95%.
-    async fn sleep(&self, service: Duration) {
+    async fn sleep_compensated(&self, service: Duration) {
         let planned = {
-            let mut late = lock(&self.late);
-            let taken_off = (*late).min(service);
-            *late -= taken_off;
-            service - taken_off
+            let mut overslept = lock(&self.overslept);
+            let correction = (*overslept).min(service);
+            *overslept -= correction;
+            service - correction
         };
         if planned.is_zero() {
             return;
         }
         let start = Instant::now();
         time::sleep(planned).await;
-        *lock(&self.late) += start.elapsed().saturating_sub(planned);
+        *lock(&self.overslept) += start.elapsed().saturating_sub(planned);
     }
 }
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -115,7 +115,7 @@
         print_line(format_args!("{}", line(&report, &regions(lab, service))));
         // What was audited is forgotten, or a long run would fill the memory.
         for backend in &lab.backends {
-            backend.counts().forget();
+            backend.counts().clear_details();
         }
         config.seed += 1;
     }
--- a/crates/azuregate-lab/src/measure/latency.rs
+++ b/crates/azuregate-lab/src/measure/latency.rs
@@ -131,7 +131,7 @@
     let (shed, cancelled) = (|b: &Backend| b.stats().shed, |b: &Backend| b.stats().cancelled);
     let (shed_before, cancelled_before) = (sum(shed), sum(cancelled));
     for backend in &lab.backends {
-        backend.counts().forget();
+        backend.counts().clear_details();
     }
     config.duration_ms = plan.run_ms;
     config.seed = seed;
