--- a/crates/azuregate-lab/src/backends/mod.rs
+++ b/crates/azuregate-lab/src/backends/mod.rs
@@ -1,10 +1,11 @@
 /*!
-Stand-ins of backend servers: slots, bounded connections, service times, load
-reports, and everything that can go wrong with them.
+Simulated backend servers with slots, a connection limit, service times, load
+reports and injected faults.
 
-`POST /lab/behaviour` replaces the [`Behaviour`]; `POST /lab/silence` makes all
-open connections silent for good. `GET /lab/ran`, `/lab/keys` and `/lab/stats`
-tell what truly ran.
+`POST /lab/behaviour` replaces the [`Behaviour`]; `POST /lab/silence` stops
+responses on all open connections. `GET /lab/ran` and `/lab/keys` return how
+often each request and idempotency key was executed, and `/lab/stats` returns
+the [`Stats`].
 */
 
 mod behaviour;
