--- a/crates/azuregate-lab/src/backends/responses.rs
+++ b/crates/azuregate-lab/src/backends/responses.rs
@@ -1,4 +1,4 @@
-//! Answers of a backend server.
+//! HTTP responses of a simulated backend server.
 
 use std::time::Duration;
 
@@ -13,46 +13,47 @@
 use serde::Serialize;
 use tokio::time;
 
-/// How long after its first half an answer is cut.
+/// Delay between the first half of a truncated body and the error that ends it.
 const TRUNCATION_DELAY: Duration = Duration::from_millis(5);
 
-/// The body of an answer.
+/// The body of a response, which may end early.
 pub(crate) type Body = UnsyncBoxBody<Bytes, Truncated>;
 
-/// An answer that ends in the middle.
+/// The error that ends a truncated body.
 #[derive(Debug)]
 pub(crate) struct Truncated;
 
 impl std::fmt::Display for Truncated {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer is cut short on purpose")
+        f.write_str("body truncated by an injected fault")
     }
 }
 
 impl std::error::Error for Truncated {}
 
-/// An answer with this body.
+/// Returns a `200 OK` response with this body.
 pub(crate) fn full(text: impl Into<Bytes>) -> Response<Body> {
     Response::new(Full::new(text.into()).map_err(|never| match never {}).boxed_unsync())
 }
 
-/// An answer in JSON.
+/// Returns a `200 OK` response with `value` as JSON.
 pub(crate) fn json(value: &impl Serialize) -> Response<Body> {
     full(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// An answer with this status.
+/// Returns a response with this status and body.
 pub(crate) fn status(code: StatusCode, text: &str) -> Response<Body> {
     let mut response = full(text.to_owned());
     *response.status_mut() = code;
     response
 }
 
-/// An answer that promises all of `text` and gives half of it.
+/// Returns a response that declares the length of `text` but sends only half of
+/// it.
 pub(crate) fn truncated(text: &str) -> Response<Body> {
     let half = Bytes::copy_from_slice(&text.as_bytes()[..text.len() / 2]);
     let first = futures_util::stream::iter([Ok(Frame::data(half))]);
-    // Without the pause the first half would be dropped with the connection.
+    // Without the delay, the connection closes before the first half is flushed.
     let rest = futures_util::stream::once(async {
         time::sleep(TRUNCATION_DELAY).await;
         Err(Truncated)
