--- a/crates/azuregate-lab/src/backends/behaviour.rs
+++ b/crates/azuregate-lab/src/backends/behaviour.rs
@@ -1,24 +1,24 @@
-//! How a backend server behaves.
+//! Configurable behaviour and faults of a simulated backend server.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// How service times are distributed round their mean.
+/// The distribution of service times around their mean.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Distribution {
-    /// All alike.
+    /// All equal to the mean.
     #[default]
     Fixed,
-    /// Exponential, as independent short and long requests give.
+    /// Exponential.
     Exponential,
-    /// One in ten takes 5.5 times the mean, the others half of it.
+    /// 5.5 times the mean with probability 0.1, otherwise half of the mean.
     TwoPoint,
 }
 
 impl Distribution {
-    /// Draws a time with mean `mean_ms`.
+    /// Draws a service time from the distribution with mean `mean_ms`.
     pub fn draw(self, mean_ms: u64, rng: &mut fastrand::Rng) -> Duration {
         let factor = match self {
             Distribution::Fixed => 1.0,
@@ -30,30 +30,30 @@
     }
 }
 
-/// How one backend server behaves.
+/// The behaviour of one backend server. The default injects no faults.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Mean time that a request takes.
+    /// Mean service time of a request.
     pub service_ms: u64,
-    /// How that time varies.
+    /// Distribution of the service times.
     pub distribution: Distribution,
-    /// Refuses everything, saying that it did not run.
+    /// Rejects every request with the outcome `not-run`.
     pub shed: bool,
-    /// Answers, and says that it is leaving.
+    /// Adds `Connection: close` to every response.
     pub leaving: bool,
-    /// Takes requests and never answers.
+    /// Accepts requests but never responds.
     pub silent: bool,
-    /// Ends answers in the middle.
+    /// Truncates response bodies.
     pub cut: bool,
-    /// Load reports tell what was true so long ago.
+    /// Age of the load that is reported.
     pub report_lag_ms: u64,
-    /// Load reports always say that so many slots are in use.
+    /// Number of slots in use to report in place of the true one.
     pub report_lie: Option<u32>,
-    /// So many requests after a start or an idle time are slower.
+    /// Number of requests that find cold caches after a start or an idle time.
     pub cold_requests: u32,
-    /// By how much they are.
+    /// Extra service time of a request that finds cold caches.
     pub cold_extra_ms: u64,
-    /// After so long without a request the caches are cold again; 0 for never.
+    /// Time without requests after which the caches are cold again; 0 means never.
     pub cold_after_idle_ms: u64,
 }
