--- a/crates/azuregate-lab/src/backends/load.rs
+++ b/crates/azuregate-lab/src/backends/load.rs
@@ -1,4 +1,4 @@
-//! Load reports, which lag or lie when told to.
+//! Load reports, which can be delayed or false.
 
 use std::{
     collections::VecDeque,
@@ -7,10 +7,10 @@
 
 use crate::backends::Behaviour;
 
-/// How long the past is remembered.
+/// How long the history is kept for delayed reports.
 const HISTORY_RETENTION: Duration = Duration::from_secs(30);
 
-/// The slots in use, now and before.
+/// The number of slots in use, with its recent history.
 #[derive(Debug, Default)]
 pub(crate) struct Load {
     in_use: u32,
@@ -18,7 +18,8 @@
 }
 
 impl Load {
-    /// Takes a slot if one of `slots` is free.
+    /// Acquires one of `slots` and returns how many are then in use, or `None` if
+    /// all are.
     pub(crate) fn try_acquire(&mut self, slots: u32, now: Instant) -> Option<u32> {
         if self.in_use >= slots {
             return None;
@@ -27,12 +28,12 @@
         Some(self.in_use)
     }
 
-    /// Gives a slot back.
+    /// Releases a slot.
     pub(crate) fn release(&mut self, now: Instant) {
         self.set(self.in_use.saturating_sub(1), now);
     }
 
-    /// What a report says.
+    /// Returns the number of slots in use to report under `behaviour`.
     pub(crate) fn reported(&self, behaviour: &Behaviour, now: Instant) -> u32 {
         if let Some(in_use) = behaviour.report_lie {
             return in_use;
