--- a/crates/azuregate-lab/src/backends/service_times.rs
+++ b/crates/azuregate-lab/src/backends/service_times.rs
@@ -1,4 +1,4 @@
-//! How long requests take.
+//! Simulated service times.
 
 use std::{
     sync::Mutex,
@@ -9,12 +9,13 @@
 
 use crate::backends::{Behaviour, lock};
 
-/// Draws and spends the service times of one backend server.
+/// Draws the service times of one backend server and waits for them.
 #[derive(Debug)]
 pub(crate) struct ServiceTimes {
     rng: Mutex<fastrand::Rng>,
     cache: Mutex<CacheState>,
-    /// By how much timers were late and later sleeps have not made up for.
+    /// Time by which sleeps were too long and which later sleeps have not made up
+    /// for yet.
     overslept: Mutex<Duration>,
 }
 
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Empties the caches.
+    /// Makes the simulated caches cold.
     pub(crate) fn reset_cache(&self) {
         *lock(&self.cache) = CacheState::default();
     }
@@ -60,8 +61,8 @@
         Duration::from_millis(behaviour.cold_extra_ms)
     }
 
-    /// Spends the service time, or the time to the deadline where that is
-    /// shorter; returns whether the work was finished.
+    /// Waits for `service` or `limit`, whichever is shorter, and returns whether
+    /// the full service time elapsed.
     pub(crate) async fn run(&self, service: Duration, limit: Option<Duration>) -> bool {
         if let Some(limit) = limit.filter(|limit| *limit < service) {
             time::sleep(limit).await;
@@ -71,11 +72,10 @@
         true
     }
 
-    /// Sleeps for `service`, less what earlier sleeps took too long.
+    /// Sleeps for `service` less the time by which earlier sleeps were too long.
     ///
-    /// Timers are a millisecond late on average. With a service time of 20 ms a
-    /// server would have a twentieth less to give than its example says, and no
-    /// goodput could reach 95%.
+    /// Timers fire about 1 ms late, which would otherwise lower the capacity of a
+    /// server with short service times below its nominal one.
     async fn sleep_compensated(&self, service: Duration) {
         let planned = {
             let mut overslept = lock(&self.overslept);
