--- a/crates/azuregate-lab/src/backends/server.rs
+++ b/crates/azuregate-lab/src/backends/server.rs
@@ -1,4 +1,4 @@
-//! The backend server itself.
+//! The HTTP server of a simulated backend server.
 
 use std::{
     convert::Infallible,
@@ -37,32 +37,32 @@
     network::{self, Network},
 };
 
-/// The path of probes, which take no slot.
+/// The path of health checks, which use no slot.
 const HEALTH_PATH: &str = "/health";
 
-/// The header that names a request; the answer carries it back.
+/// The request ID, which the response repeats.
 const REQUEST_ID_HEADER: &str = "azuregate-request-id";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 const TIMEOUT_MS_HEADER: &str = "azuregate-timeout-ms";
 
-/// One backend server.
+/// One simulated backend server.
 #[derive(Debug)]
 pub struct Backend {
-    /// As listed.
+    /// The server's entry in the instance list.
     pub server: BackendServer,
     network: Option<Arc<Network>>,
     behaviour: Mutex<Behaviour>,
     load: Mutex<Load>,
     connections: Semaphore,
-    /// Connections that were opened under a lower number are silent.
+    /// Connections of earlier generations get no responses.
     current_generation: AtomicU64,
     service_times: ServiceTimes,
     killed: watch::Sender<bool>,
     counts: Mutex<Counts>,
 }
 
-/// A slot in use; given back when dropped, also when the connection closed
-/// while the request ran.
+/// A slot in use, released when dropped. Dropping it unfinished, as when the
+/// connection closes, counts the request as cancelled.
 struct Slot<'a> {
     backend: &'a Backend,
     finished: bool,
@@ -78,8 +78,8 @@
 }
 
 impl Backend {
-    /// A backend server that takes `connections` connections, with a seed for
-    /// its service times.
+    /// Returns a backend server that accepts up to `connections` connections at a
+    /// time and draws service times with `seed`.
     pub fn new(
         server: BackendServer,
         connections: usize,
@@ -99,33 +99,33 @@
         }
     }
 
-    /// Adds the delays of a network to every connection.
+    /// Delays every connection as `network` does for a server in this zone.
     pub fn with_network(mut self, network: Arc<Network>) -> Backend {
         self.network = Some(network);
         self
     }
 
-    /// How it behaves.
+    /// Locks and returns the behaviour.
     pub fn behaviour(&self) -> MutexGuard<'_, Behaviour> {
         lock(&self.behaviour)
     }
 
-    /// What truly ran.
+    /// Locks and returns the counts.
     pub fn counts(&self) -> MutexGuard<'_, Counts> {
         lock(&self.counts)
     }
 
-    /// Its totals.
+    /// Returns the totals.
     pub fn stats(&self) -> Stats {
         self.counts().stats
     }
 
-    /// Makes all open connections silent for good; new ones work.
+    /// Stops responses on all open connections; new ones are not affected.
     pub fn silence_connections(&self) {
         self.current_generation.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Ends it as a crash does: its port closes and all connections break.
+    /// Simulates a crash: closes the port and all connections.
     pub fn kill(&self) {
         self.killed.send_replace(true);
     }
@@ -268,7 +268,8 @@
     headers.get(name)?.to_str().ok()
 }
 
-/// Reads a body without keeping it.
+/// Reads and discards a body, and returns its length in bytes, or `None` if it
+/// ended early.
 async fn drain_body(mut body: Incoming) -> Option<u64> {
     let mut received_bytes = 0;
     while let Some(frame) = body.frame().await {
@@ -277,7 +278,8 @@
     Some(received_bytes)
 }
 
-/// Serves one backend server until it is killed or the task is aborted.
+/// Accepts and serves connections until the server is killed or the task is
+/// aborted.
 pub async fn serve(listener: TcpListener, backend: Arc<Backend>) {
     loop {
         let accepted = tokio::select! {
