--- a/crates/azuregate-lab/src/backends/server.rs
+++ b/crates/azuregate-lab/src/backends/server.rs
@@ -248,11 +248,11 @@
         };
         let connection_generation = self.current_generation.load(Ordering::Relaxed);
         let stream = match &self.network {
-            None => network::stretch(stream, Duration::ZERO),
+            None => network::with_delay(stream, Duration::ZERO),
             Some(network) => {
                 let zone = &self.server.zone;
-                time::sleep(network.opening(caller.ip(), zone)).await;
-                network::stretch(stream, network.one_way(caller.ip(), zone))
+                time::sleep(network.connect_delay(caller.ip(), zone)).await;
+                network::with_delay(stream, network.one_way_delay(caller.ip(), zone))
             }
         };
         let service = service_fn(|request| self.handle(request, connection_generation));
--- a/crates/azuregate-lab/src/example.rs
+++ b/crates/azuregate-lab/src/example.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     backends::{Behaviour, Distribution},
-    network::{Network, Party},
+    network::{Endpoint, Network},
 };
 
 /// How many clients near each availability zone have an IP number of their own.
@@ -206,11 +206,11 @@
 
     /// Who is where.
     pub fn network(&self) -> Network {
-        let entries = self.entries.iter().map(|e| (e.ip, Party::Entry(e.zone.clone())));
+        let entries = self.entries.iter().map(|e| (e.ip, Endpoint::Entry(e.zone.clone())));
         let zones = self.topology.zones();
         let clients = zones.flat_map(|zone| {
             let ips = (0..CLIENTS).map(|rank| self.client_ip(zone, rank));
-            ips.map(|ip| (ip, Party::Clients(zone.clone())))
+            ips.map(|ip| (ip, Endpoint::Clients(zone.clone())))
         });
         Network::new(self.topology.clone(), entries.chain(clients).collect())
     }
--- a/crates/azuregate-lab/src/network/relay.rs
+++ b/crates/azuregate-lab/src/network/relay.rs
@@ -19,7 +19,7 @@
     /// Where the process is.
     pub zone: ZoneName,
     /// Where it listens.
-    pub to: SocketAddr,
+    pub upstream_addr: SocketAddr,
 }
 
 impl Relay {
@@ -30,17 +30,17 @@
                 continue;
             };
             let _ = stream.set_nodelay(true);
-            tokio::spawn(self.clone().pass_on(stream, caller));
+            tokio::spawn(self.clone().relay_connection(stream, caller));
         }
     }
 
-    async fn pass_on(self, stream: TcpStream, caller: SocketAddr) {
-        let one_way = self.network.one_way(caller.ip(), &self.zone);
-        time::sleep(self.network.opening(caller.ip(), &self.zone)).await;
-        let Ok(onward) = connect_from(caller, self.to).await else {
+    async fn relay_connection(self, stream: TcpStream, caller: SocketAddr) {
+        let one_way_delay = self.network.one_way_delay(caller.ip(), &self.zone);
+        time::sleep(self.network.connect_delay(caller.ip(), &self.zone)).await;
+        let Ok(upstream) = connect_from(caller, self.upstream_addr).await else {
             return;
         };
-        delay::carry(stream, onward, one_way).await;
+        delay::forward(stream, upstream, one_way_delay).await;
     }
 }
 
--- a/crates/azuregate-lab/src/platform/server.rs
+++ b/crates/azuregate-lab/src/platform/server.rs
@@ -284,11 +284,11 @@
         let _ = stream.set_nodelay(true);
         let server = Arc::clone(&server);
         tokio::spawn(async move {
-            let one_way = match &server.location {
-                Some((network, zone)) => network.one_way(caller.ip(), zone),
+            let one_way_delay = match &server.location {
+                Some((network, zone)) => network.one_way_delay(caller.ip(), zone),
                 None => Duration::ZERO,
             };
-            let stream = network::stretch(stream, one_way);
+            let stream = network::with_delay(stream, one_way_delay);
             let service = service_fn(|request| {
                 let server = Arc::clone(&server);
                 async move {
--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -171,7 +171,7 @@
             let relay = Relay {
                 network: Arc::clone(network),
                 zone: entry.zone.clone(),
-                to: SocketAddr::new(entry.ip, port),
+                upstream_addr: SocketAddr::new(entry.ip, port),
             };
             stand_ins.push(spawn(relay.serve(listener)));
         }
--- a/crates/azuregate-lab/tests/lab/network.rs
+++ b/crates/azuregate-lab/tests/lab/network.rs
@@ -7,7 +7,7 @@
 };
 
 use azuregate_core::names::ZoneName;
-use azuregate_lab::network::{Relay, stretch};
+use azuregate_lab::network::{Relay, with_delay};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::{TcpListener, TcpSocket},
@@ -32,16 +32,16 @@
     ];
     for (from, to, delay_ms) in table {
         let ip: IpAddr = from.parse().unwrap();
-        let one_way = network.one_way(ip, &ZoneName::new(to));
-        assert_eq!(one_way, Duration::from_millis(delay_ms), "{from} to {to}");
+        let one_way_delay = network.one_way_delay(ip, &ZoneName::new(to));
+        assert_eq!(one_way_delay, Duration::from_millis(delay_ms), "{from} to {to}");
     }
 }
 
 #[tokio::test]
 async fn bytes_and_the_end_arrive_whole_and_late() {
-    let one_way = Duration::from_millis(30);
+    let one_way_delay = Duration::from_millis(30);
     let (mut near, far) = tokio::io::duplex(1 << 10);
-    let mut far = stretch(far, one_way);
+    let mut far = with_delay(far, one_way_delay);
     let sent: Vec<u8> = (0..300_000_u32).map(|i| i as u8).collect();
     let copy = sent.clone();
     let start = Instant::now();
@@ -54,12 +54,12 @@
     });
     let mut received = Vec::new();
     far.read_to_end(&mut received).await.unwrap();
-    assert!(start.elapsed() >= one_way);
+    assert!(start.elapsed() >= one_way_delay);
     assert!(received == sent);
     far.write_all(b"thanks").await.unwrap();
     drop(far);
     assert_eq!(writer.await.unwrap(), b"thanks");
-    assert!(start.elapsed() >= 2 * one_way);
+    assert!(start.elapsed() >= 2 * one_way_delay);
 }
 
 // An entry behind a relay must see who calls, since it spreads callers by it.
@@ -71,7 +71,7 @@
     let relay = Relay {
         network: Arc::new(examples::load("kvas").network()),
         zone: ZoneName::new("sofia-a"),
-        to: process.local_addr().unwrap(),
+        upstream_addr: process.local_addr().unwrap(),
     };
     let serving = tokio::spawn(relay.serve(listener));
     let socket = TcpSocket::new_v4().unwrap();
