--- a/crates/azuregate-lab/src/network/mod.rs
+++ b/crates/azuregate-lab/src/network/mod.rs
@@ -1,9 +1,10 @@
 /*!
-Delays between availability zones, regions and clients, on loopback.
+Simulated network delays between availability zones, regions and clients, on
+loopback.
 
-Every party has IP numbers of its own, so the address that a connection comes
-from tells where it starts. [`with_delay`] delays what a connection carries, and a
-[`Relay`] does so in front of a process that knows nothing of it.
+Every endpoint has its own IP addresses, so the source address of a connection
+identifies where it comes from. [`with_delay`] delays the bytes of a connection,
+and a [`Relay`] does so as a proxy in front of an unmodified process.
 */
 
 mod delay;
@@ -16,22 +17,22 @@
 pub use delay::{BoxStream, with_delay};
 pub use relay::Relay;
 
-/// What a new connection costs beside the round trip.
+/// Time that opening a connection takes in addition to the round trip.
 const CONNECT_OVERHEAD: Duration = Duration::from_millis(1);
 
 /// One-way delay between a client and its own availability zone.
 const CLIENT_ONE_WAY_DELAY: Duration = Duration::from_millis(1);
 
-/// What stands behind an IP number.
+/// The endpoint that an IP address belongs to.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Endpoint {
     /// An entry instance in an availability zone.
     Entry(ZoneName),
-    /// Clients whose nearest availability zone is this.
+    /// Clients whose nearest availability zone is this one.
     Clients(ZoneName),
 }
 
-/// Who is where, and how far apart.
+/// The endpoints and the topology that their delays follow from.
 #[derive(Clone, Debug)]
 pub struct Network {
     topology: Topology,
@@ -39,12 +40,12 @@
 }
 
 impl Network {
-    /// A network of `endpoints`; any other address is as near as can be.
+    /// Returns a network of `endpoints`; any other address has no delay.
     pub fn new(topology: Topology, endpoints: HashMap<IpAddr, Endpoint>) -> Network {
         Network { topology, endpoints }
     }
 
-    /// The one-way delay from an address to an availability zone.
+    /// Returns the one-way delay from an address to an availability zone.
     pub fn one_way_delay(&self, from: IpAddr, to: &ZoneName) -> Duration {
         let between = |zone| {
             let distance = self.topology.distance(zone, to);
@@ -57,8 +58,8 @@
         }
     }
 
-    /// What opening a connection costs: the round trip, and the work at both
-    /// ends. Nothing for an address that is not in the network.
+    /// Returns the time that opening a connection takes: the round trip and a
+    /// fixed overhead, or zero for an address that is not in the network.
     pub fn connect_delay(&self, from: IpAddr, to: &ZoneName) -> Duration {
         if !self.endpoints.contains_key(&from) {
             return Duration::ZERO;
