--- a/crates/azuregate-lab/src/network/delay.rs
+++ b/crates/azuregate-lab/src/network/delay.rs
@@ -1,4 +1,5 @@
-//! Delays the bytes of a connection without holding back those behind them.
+//! Adds latency to a connection without limiting its throughput to one chunk per
+//! delay.
 
 use std::time::Duration;
 
@@ -9,21 +10,21 @@
     time::{self, Instant},
 };
 
-/// The largest chunk that is read at once.
+/// The maximum size of a chunk.
 const CHUNK_BYTES: usize = 64 << 10;
-/// How many chunks are on their way at the most.
+/// The maximum number of chunks in flight in each direction.
 const MAX_CHUNKS_IN_FLIGHT: usize = 128;
 
-/// Any connection.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Stream for T {}
 
-/// A connection whose kind does not matter.
+/// A boxed [`Stream`].
 pub type BoxStream = Box<dyn Stream>;
 
-/// A connection that behaves as `stream` does, with `one_way_delay` of delay in each
-/// direction; the end of either direction is delayed as well.
+/// Returns a stream that delays the bytes of `stream` by `one_way_delay` in each
+/// direction. End of stream is delayed as well.
 pub fn with_delay(stream: impl Stream + 'static, one_way_delay: Duration) -> BoxStream {
     if one_way_delay.is_zero() {
         return Box::new(stream);
@@ -33,7 +34,7 @@
     Box::new(local)
 }
 
-/// Carries bytes between two connections until both directions have ended.
+/// Forwards bytes between two streams until both directions have ended.
 pub(crate) async fn forward(a: impl Stream, b: impl Stream, one_way_delay: Duration) {
     let (a_read, a_write) = tokio::io::split(a);
     let (b_read, b_write) = tokio::io::split(b);
@@ -61,11 +62,11 @@
     loop {
         let count = tokio::select! {
             read = reader.read(&mut buffer) => read.unwrap_or(0),
-            // Nobody reads at the other end any more.
+            // The other end no longer reads.
             () = sender.closed() => return,
         };
         let chunk = Bytes::copy_from_slice(&buffer[..count]);
-        // The empty chunk stands for the end.
+        // An empty chunk marks the end of the stream.
         let sent = sender.send((Instant::now() + one_way_delay, chunk)).await;
         if count == 0 || sent.is_err() {
             return;
