--- a/crates/azuregate-lab/src/network/relay.rs
+++ b/crates/azuregate-lab/src/network/relay.rs
@@ -1,4 +1,4 @@
-//! Puts delay in front of a process.
+//! A TCP proxy that delays the traffic of a process.
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc};
 
@@ -10,20 +10,20 @@
 
 use crate::network::{Network, delay};
 
-/// Takes connections for a process in an availability zone and passes them on
-/// with the delay of the way that they came.
+/// A TCP proxy in front of a process in an availability zone. It adds the delay
+/// between the client and that zone.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Who is where.
+    /// The network that delays follow from.
     pub network: Arc<Network>,
-    /// Where the process is.
+    /// The availability zone of the process.
     pub zone: ZoneName,
-    /// Where it listens.
+    /// The address that the process listens on.
     pub upstream_addr: SocketAddr,
 }
 
 impl Relay {
-    /// Serves until the task is aborted.
+    /// Accepts and relays connections until the task is aborted.
     pub async fn serve(self, listener: TcpListener) -> Infallible {
         loop {
             let Ok((stream, caller)) = listener.accept().await else {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Connects from the caller's own IP number, which the process then sees.
+/// Connects from the caller's IP address, so that the process sees it.
 async fn connect_from(caller: SocketAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.bind(SocketAddr::new(caller.ip(), 0))?;
