--- a/crates/azuregate-lab/tests/platform/contract.rs
+++ b/crates/azuregate-lab/tests/platform/contract.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     fake::FakePlatform,
-    subjects::{Fault, InMemory, Subject, answers, over_http},
+    under_test::{Fault, InMemory, PlatformUnderTest, fixed_response_server, over_http},
 };
 
 fn write(table: Table, key: &str, expect: Expect, value: Option<u64>) -> Write {
@@ -25,7 +25,7 @@
 }
 
 /// What is known after a fault, and what is true.
-async fn check_faults(subject: &dyn Subject) {
+async fn check_faults(platform_under_test: &dyn PlatformUnderTest) {
     let (none, unknown) = (Err(Effect::None), Err(Effect::Unknown));
     // Fault, answer to a write, whether it took effect, whether a read answers.
     let table = [
@@ -38,39 +38,41 @@
         (Fault::Cut, unknown, false, false),
         (Fault::Garbage, unknown, false, false),
     ];
-    for (fault, answer, is_done, reads) in table {
+    for (fault, answer, takes_effect, reads) in table {
         let key = format!("{fault:?}");
-        let wanted = [write(Table::Claim, &key, Expect::Absent, Some(1))];
-        let failing = subject.with(fault);
-        assert_eq!(effect(failing.transact(&wanted).await), answer, "{fault:?}");
+        let writes = [write(Table::Claim, &key, Expect::Absent, Some(1))];
+        let failing = platform_under_test.with_fault(fault);
+        assert_eq!(effect(failing.transact(&writes).await), answer, "{fault:?}");
         assert_eq!(failing.read(Table::Claim, "none").await.is_ok(), reads, "{fault:?}");
         assert_eq!(failing.changes(Table::Claim, 0).await.is_ok(), reads, "{fault:?}");
         assert_eq!(failing.instances().await.is_ok(), reads, "{fault:?}");
-        let found = subject.with(Fault::None).read(Table::Claim, &key).await.unwrap();
-        assert_eq!(found.is_some(), is_done, "{fault:?}");
-        let put = subject.with(fault).put_object(&key, Bytes::from_static(b"x")).await;
+        let found =
+            platform_under_test.with_fault(Fault::None).read(Table::Claim, &key).await.unwrap();
+        assert_eq!(found.is_some(), takes_effect, "{fault:?}");
+        let put =
+            platform_under_test.with_fault(fault).put_object(&key, Bytes::from_static(b"x")).await;
         // Bytes that are no answer to a write of an object need not be read.
         if fault != Fault::Garbage {
             assert_eq!(effect(put), answer, "{fault:?}");
         }
-        let kept = subject.with(Fault::None).get_object(&key).await.unwrap();
-        assert_eq!(kept.is_some(), is_done, "{fault:?}");
+        let kept = platform_under_test.with_fault(Fault::None).get_object(&key).await.unwrap();
+        assert_eq!(kept.is_some(), takes_effect, "{fault:?}");
     }
 }
 
 // Two writes commit together or not at all; a conflict shows the first row in the
 // way; a row that was deleted starts again from version 1.
-async fn check_transactions(subject: &dyn Subject) {
-    let platform = subject.with(Fault::None);
+async fn check_transactions(platform_under_test: &dyn PlatformUnderTest) {
+    let platform = platform_under_test.with_fault(Fault::None);
     let (table, other) = (Table::Policy, Table::PolicyHistory);
     let first =
         [write(table, "t", Expect::Absent, Some(1)), write(other, "t/1", Expect::Absent, Some(1))];
     assert_eq!(platform.transact(&first).await.unwrap(), Commit::Done(vec![1, 1]));
 
-    let rival =
+    let conflicting =
         [write(other, "t/2", Expect::Absent, Some(2)), write(table, "t", Expect::Absent, Some(2))];
     let conflict = Commit::Conflict { index: 1, row: Some(row("t", 1, 1)) };
-    assert_eq!(platform.transact(&rival).await.unwrap(), conflict);
+    assert_eq!(platform.transact(&conflicting).await.unwrap(), conflict);
     assert_eq!(platform.read(other, "t/2").await.unwrap(), None, "all or nothing");
 
     let next = [write(table, "t", Expect::Version(1), Some(2))];
@@ -87,8 +89,8 @@
     assert_eq!(platform.read(table, "t").await.unwrap(), None);
 }
 
-async fn check_changes(subject: &dyn Subject) {
-    let platform = subject.with(Fault::None);
+async fn check_changes(platform_under_test: &dyn PlatformUnderTest) {
+    let platform = platform_under_test.with_fault(Fault::None);
     let table = Table::Policy;
     let before = platform.changes(table, 0).await.unwrap();
     for (key, expect, value) in
@@ -105,8 +107,8 @@
     assert_eq!((after.rows.len(), after.sequence), (0, changes.sequence));
 }
 
-async fn check_names(subject: &dyn Subject) {
-    let platform = subject.with(Fault::None);
+async fn check_names(platform_under_test: &dyn PlatformUnderTest) {
+    let platform = platform_under_test.with_fault(Fault::None);
     for key in ["a/b", "with space", "50%", "?since=3", "дом", ".."] {
         let insert = [write(Table::Claim, key, Expect::Absent, Some(7))];
         assert_eq!(platform.transact(&insert).await.unwrap(), Commit::Done(vec![1]), "{key}");
@@ -118,30 +120,32 @@
     assert_eq!(platform.get_object("never put").await.unwrap(), None);
 }
 
-async fn check_all(subject: &dyn Subject) {
-    check_faults(subject).await;
-    check_transactions(subject).await;
-    check_changes(subject).await;
-    check_names(subject).await;
+async fn check_all(platform_under_test: &dyn PlatformUnderTest) {
+    check_faults(platform_under_test).await;
+    check_transactions(platform_under_test).await;
+    check_changes(platform_under_test).await;
+    check_names(platform_under_test).await;
 }
 
 #[tokio::test]
-async fn http_and_the_stand_in_keep_the_contract() {
+async fn http_client_satisfies_the_contract() {
     check_all(&over_http().await).await;
 }
 
 #[tokio::test]
-async fn the_fake_keeps_the_contract() {
+async fn fake_satisfies_the_contract() {
     check_all(&InMemory(FakePlatform::default().into())).await;
 }
 
 // Something on the way answers in the platform's place. An object that was not
 // kept must not be taken for kept, nor a refused read for an empty one.
 #[tokio::test]
-async fn answers_that_are_not_the_platforms() {
-    let not_found = answers(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
+async fn responses_not_from_the_platform_are_errors() {
+    let not_found =
+        fixed_response_server(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n").await;
     let put = HttpPlatform::new(not_found, 300).put_object("a", Bytes::new()).await;
     assert_eq!(effect(put), Err(Effect::Unknown));
-    let conflict = answers(b"HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n").await;
+    let conflict =
+        fixed_response_server(b"HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n\r\n").await;
     assert!(HttpPlatform::new(conflict, 300).get_object("a").await.is_err());
 }
--- a/crates/azuregate-lab/tests/platform/fake.rs
+++ b/crates/azuregate-lab/tests/platform/fake.rs
@@ -9,7 +9,7 @@
 use azuregate_core::snapshot::InstanceList;
 use bytes::Bytes;
 
-use crate::subjects::Fault;
+use crate::under_test::Fault;
 
 #[derive(Default)]
 pub(crate) struct FakePlatform {
@@ -29,11 +29,11 @@
         self.rows.get(&(table, key.to_owned())).map(|(_, row)| row.clone())
     }
 
-    fn conflict(&self, write: &Write) -> bool {
-        let held = self.row(write.table, &write.key).map(|row| row.version);
+    fn conflicts(&self, write: &Write) -> bool {
+        let stored = self.row(write.table, &write.key).map(|row| row.version);
         match write.expect {
-            Expect::Absent => held.is_some(),
-            Expect::Version(version) => held != Some(version),
+            Expect::Absent => stored.is_some(),
+            Expect::Version(version) => stored != Some(version),
         }
     }
 
@@ -51,7 +51,7 @@
     }
 
     fn commit(&mut self, writes: &[Write]) -> Commit {
-        if let Some(index) = writes.iter().position(|write| self.conflict(write)) {
+        if let Some(index) = writes.iter().position(|write| self.conflicts(write)) {
             let row = self.row(writes[index].table, &writes[index].key);
             return Commit::Conflict { index, row };
         }
@@ -88,8 +88,8 @@
 
     async fn changes(&self, table: Table, since_sequence: u64) -> Result<Changes> {
         self.read_with(|state| {
-            let held = state.rows.iter().filter(|((of, _), _)| *of == table);
-            let mut rows: Vec<_> = held.map(|(_, (at, row))| (*at, row.clone())).collect();
+            let stored = state.rows.iter().filter(|((of, _), _)| *of == table);
+            let mut rows: Vec<_> = stored.map(|(_, (at, row))| (*at, row.clone())).collect();
             rows.retain(|(at, _)| *at > since_sequence);
             rows.sort_by_key(|(at, _)| *at);
             let rows = rows.into_iter().map(|(_, row)| row).collect();
--- a/crates/azuregate-lab/tests/platform/main.rs
+++ b/crates/azuregate-lab/tests/platform/main.rs
@@ -5,4 +5,4 @@
 
 mod contract;
 mod fake;
-mod subjects;
+mod under_test;
--- a/crates/azuregate-lab/tests/platform/subjects.rs
+++ b/crates/azuregate-lab/tests/platform/under_test.rs
@@ -37,15 +37,15 @@
 }
 
 /// A platform under test.
-pub(crate) trait Subject {
+pub(crate) trait PlatformUnderTest {
     /// The platform while this goes wrong.
-    fn with(&self, fault: Fault) -> Arc<dyn Platform>;
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform>;
 }
 
 pub(crate) struct InMemory(pub(crate) Arc<FakePlatform>);
 
-impl Subject for InMemory {
-    fn with(&self, fault: Fault) -> Arc<dyn Platform> {
+impl PlatformUnderTest for InMemory {
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform> {
         *self.0.fault.lock().unwrap() = fault;
         Arc::clone(&self.0) as _
     }
@@ -59,8 +59,8 @@
     closed_addr: SocketAddr,
 }
 
-impl Subject for OverHttp {
-    fn with(&self, fault: Fault) -> Arc<dyn Platform> {
+impl PlatformUnderTest for OverHttp {
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform> {
         let mut faults = Faults::default();
         let mut addr = self.addr;
         match fault {
@@ -84,8 +84,10 @@
     tokio::spawn(serve(listener, Arc::clone(&server)));
     let (closed, closed_addr) = listen().await;
     drop(closed);
-    let cut_addr = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"done\":").await;
-    let garbage_addr = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[}7!").await;
+    let cut_addr =
+        fixed_response_server(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"done\":").await;
+    let garbage_addr =
+        fixed_response_server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[}7!").await;
     OverHttp { server, addr, cut_addr, garbage_addr, closed_addr }
 }
 
@@ -96,7 +98,7 @@
 }
 
 /// A server that gives the same bytes to everyone and closes.
-pub(crate) async fn answers(bytes: &'static [u8]) -> SocketAddr {
+pub(crate) async fn fixed_response_server(bytes: &'static [u8]) -> SocketAddr {
     let (listener, addr) = listen().await;
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
