--- a/crates/azuregate-lab/tests/platform/main.rs
+++ b/crates/azuregate-lab/tests/platform/main.rs
@@ -1,5 +1,5 @@
-//! The contract of the border to the platform, passed by `HttpPlatform` against
-//! the stand-in and by a small fake in memory.
+//! Contract tests of the `Platform` trait, run on `HttpPlatform` with the
+//! simulated platform and on an in-memory fake.
 
 #![allow(missing_docs, clippy::unwrap_used, reason = "tests")]
 
