--- a/crates/azuregate-lab/tests/platform/contract.rs
+++ b/crates/azuregate-lab/tests/platform/contract.rs
@@ -1,4 +1,4 @@
-//! What every platform has to do.
+//! The contract that every `Platform` satisfies.
 
 use azuregate::platform::{
     Commit, Effect, Expect, HttpPlatform, Platform, PlatformError, Row, Table, Write,
@@ -24,10 +24,10 @@
     result.map(drop).map_err(|e| e.effect())
 }
 
-/// What is known after a fault, and what is true.
+/// Checks that the error of a failed call reports its effect correctly.
 async fn check_faults(platform_under_test: &dyn PlatformUnderTest) {
     let (none, unknown) = (Err(Effect::None), Err(Effect::Unknown));
-    // Fault, answer to a write, whether it took effect, whether a read answers.
+    // Fault, result of a write, whether it takes effect, whether reads succeed.
     let table = [
         (Fault::None, Ok(()), true, true),
         (Fault::Down, none, false, false),
@@ -51,7 +51,7 @@
         assert_eq!(found.is_some(), takes_effect, "{fault:?}");
         let put =
             platform_under_test.with_fault(fault).put_object(&key, Bytes::from_static(b"x")).await;
-        // Bytes that are no answer to a write of an object need not be read.
+        // The body of a response to an object write need not be read.
         if fault != Fault::Garbage {
             assert_eq!(effect(put), answer, "{fault:?}");
         }
@@ -60,8 +60,8 @@
     }
 }
 
-// Two writes commit together or not at all; a conflict shows the first row in the
-// way; a row that was deleted starts again from version 1.
+// Transactions are atomic, and a conflict returns the first row whose expectation
+// is not met.
 async fn check_transactions(platform_under_test: &dyn PlatformUnderTest) {
     let platform = platform_under_test.with_fault(Fault::None);
     let (table, other) = (Table::Policy, Table::PolicyHistory);
@@ -73,7 +73,11 @@
         [write(other, "t/2", Expect::Absent, Some(2)), write(table, "t", Expect::Absent, Some(2))];
     let conflict = Commit::Conflict { index: 1, row: Some(row("t", 1, 1)) };
     assert_eq!(platform.transact(&conflicting).await.unwrap(), conflict);
-    assert_eq!(platform.read(other, "t/2").await.unwrap(), None, "all or nothing");
+    assert_eq!(
+        platform.read(other, "t/2").await.unwrap(),
+        None,
+        "a rejected transaction must have no effect"
+    );
 
     let next = [write(table, "t", Expect::Version(1), Some(2))];
     assert_eq!(platform.transact(&next).await.unwrap(), Commit::Done(vec![2]));
@@ -100,9 +104,13 @@
         assert!(matches!(platform.transact(&write).await.unwrap(), Commit::Done(_)));
     }
     let changes = platform.changes(table, before.sequence).await.unwrap();
-    assert_eq!(changes.rows, [row("b", 1, 2), row("a", 2, 3)], "the newest of each, in order");
+    assert_eq!(
+        changes.rows,
+        [row("b", 1, 2), row("a", 2, 3)],
+        "latest version of each row, in order of change"
+    );
     let page = platform.page(table, before.sequence, 1).await.unwrap();
-    assert_eq!(page.rows, [row("b", 1, 2)], "the first of them");
+    assert_eq!(page.rows, [row("b", 1, 2)], "first page");
     let after = platform.changes(table, changes.sequence).await.unwrap();
     assert_eq!((after.rows.len(), after.sequence), (0, changes.sequence));
 }
@@ -137,8 +145,8 @@
     check_all(&InMemory(FakePlatform::default().into())).await;
 }
 
-// Something on the way answers in the platform's place. An object that was not
-// kept must not be taken for kept, nor a refused read for an empty one.
+// A proxy may respond in place of the platform. An object that was not stored must
+// not be reported as stored, nor a rejected read as a missing object.
 #[tokio::test]
 async fn responses_not_from_the_platform_are_errors() {
     let not_found =
