--- a/crates/azuregate-lab/tests/platform/fake.rs
+++ b/crates/azuregate-lab/tests/platform/fake.rs
@@ -1,4 +1,4 @@
-//! A platform in memory.
+//! An in-memory implementation of `Platform`.
 
 use std::{collections::BTreeMap, sync::Mutex};
 
@@ -61,7 +61,7 @@
 
 impl FakePlatform {
     fn read_with<T>(&self, read: impl FnOnce(&State) -> T) -> Result<T> {
-        let error = |effect| Err(PlatformError::new(effect, "told to fail"));
+        let error = |effect| Err(PlatformError::new(effect, "injected fault"));
         match *self.fault.lock().unwrap() {
             Fault::None | Fault::Slow | Fault::AnswerLost => Ok(read(&self.state.lock().unwrap())),
             Fault::Down | Fault::Unreachable => error(Effect::None),
@@ -74,7 +74,7 @@
         self.read_with(|_| ())?;
         let done = write(&mut self.state.lock().unwrap());
         if fault == Fault::AnswerLost {
-            return Err(PlatformError::new(Effect::Unknown, "the answer is lost"));
+            return Err(PlatformError::new(Effect::Unknown, "response lost by an injected fault"));
         }
         Ok(done)
     }
