--- a/crates/azuregate-lab/tests/platform/under_test.rs
+++ b/crates/azuregate-lab/tests/platform/under_test.rs
@@ -1,4 +1,4 @@
-//! The platforms under test, each of which can be told to fail.
+//! The platforms under test, with fault injection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,33 +12,33 @@
 
 use crate::fake::FakePlatform;
 
-/// How long the client waits for an answer.
+/// The client's timeout.
 const TIMEOUT_MS: u64 = 300;
 
-/// What goes wrong with the calls of a case.
+/// A fault injected into calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum Fault {
     #[default]
     None,
-    /// Every call is refused.
+    /// Every call is rejected.
     Down,
-    /// Nobody listens.
+    /// The port is closed.
     Unreachable,
-    /// Answers take a while, but come in time.
+    /// Responses are delayed, but arrive within the timeout.
     Slow,
-    /// Calls are taken and never answered.
+    /// Calls are accepted but never answered.
     Silent,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their responses are lost.
     AnswerLost,
-    /// The connection ends in the middle of an answer.
+    /// The connection closes in the middle of a response.
     Cut,
-    /// What is answered is no answer.
+    /// The response body is not valid.
     Garbage,
 }
 
 /// A platform under test.
 pub(crate) trait PlatformUnderTest {
-    /// The platform while this goes wrong.
+    /// Returns the platform with `fault` injected.
     fn with_fault(&self, fault: Fault) -> Arc<dyn Platform>;
 }
 
@@ -97,7 +97,7 @@
     (listener, addr)
 }
 
-/// A server that gives the same bytes to everyone and closes.
+/// Starts a server that sends `bytes` on each connection and closes it.
 pub(crate) async fn fixed_response_server(bytes: &'static [u8]) -> SocketAddr {
     let (listener, addr) = listen().await;
     tokio::spawn(async move {
