--- a/crates/azuregate-lab/tests/lab/audit.rs
+++ b/crates/azuregate-lab/tests/lab/audit.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn runs_and_answers_are_compared() {
+fn responses_are_checked_against_executions() {
     let names = || vec!["r".to_owned()];
     let none = Audit::default;
     // What was asked, how it ended, how often it ran, what does not add up.
--- a/crates/azuregate-lab/tests/lab/backends.rs
+++ b/crates/azuregate-lab/tests/lab/backends.rs
@@ -16,7 +16,7 @@
 use crate::examples;
 
 /// How long a caller waits before it takes a server for silent.
-const PATIENCE: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn start(connections: usize, behaviour: Behaviour) -> (Arc<Backend>, SocketAddr) {
     let example: Example = examples::load("kvas");
@@ -36,8 +36,8 @@
         .unwrap()
 }
 
-async fn ask(addr: SocketAddr, request: Request<Full<Bytes>>) -> Result<String, String> {
-    match tokio::time::timeout(PATIENCE, client::call(addr, request)).await {
+async fn send(addr: SocketAddr, request: Request<Full<Bytes>>) -> Result<String, String> {
+    match tokio::time::timeout(RESPONSE_TIMEOUT, client::call(addr, request)).await {
         Ok(Ok(answer)) => Ok(summary(&answer)),
         Ok(Err(_)) => Err("no whole answer".to_owned()),
         Err(_) => Err("silent".to_owned()),
@@ -59,7 +59,7 @@
 }
 
 #[tokio::test]
-async fn a_request_ends_as_the_behaviour_says() {
+async fn behaviour_determines_the_outcome_of_a_request() {
     let quick = || Behaviour { service_ms: 5, ..Behaviour::default() };
     let table = [
         ("well", quick(), Ok("200 - 0/3 -"), 1),
@@ -82,9 +82,9 @@
         assert!(set.status().is_success(), "{case}");
         let mut request = request("r");
         request.headers_mut().insert("azuregate-timeout-ms", 100.into());
-        let seen = ask(addr, request).await;
+        let outcome = send(addr, request).await;
         assert_eq!(
-            seen.as_deref(),
+            outcome.as_deref(),
             expected.map_err(ToOwned::to_owned).as_ref().map(|s| *s),
             "{case}"
         );
@@ -96,12 +96,12 @@
 }
 
 #[tokio::test]
-async fn a_request_beyond_the_slots_is_refused_and_does_not_run() {
+async fn requests_beyond_the_slots_are_rejected_without_running() {
     let (backend, addr) = start(10, Behaviour { service_ms: 700, ..Behaviour::default() }).await;
     let names = ["a", "b", "c", "d"];
-    let asked = names.map(|name| tokio::spawn(ask(addr, request(name))));
+    let tasks = names.map(|name| tokio::spawn(send(addr, request(name))));
     let mut statuses = Vec::new();
-    for task in asked {
+    for task in tasks {
         statuses.push(task.await.unwrap().unwrap()[..3].to_owned());
     }
     statuses.sort();
@@ -112,32 +112,33 @@
 }
 
 #[tokio::test]
-async fn a_connection_beyond_the_bound_is_turned_away() {
+async fn connections_beyond_the_limit_are_closed() {
     let (backend, addr) = start(1, Behaviour::default()).await;
-    let held = Open::new(addr).await;
+    let connection = OpenConnection::new(addr).await;
     // The first connection is counted before the second is accepted.
-    assert_eq!(ask(addr, request("r")).await, Err("no whole answer".to_owned()));
+    assert_eq!(send(addr, request("r")).await, Err("no whole answer".to_owned()));
     assert_eq!(backend.stats().connections_refused, 1);
-    drop(held);
+    drop(connection);
 }
 
 /// A connection that stays open.
-struct Open {
+struct OpenConnection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
 
-impl Open {
-    async fn new(addr: SocketAddr) -> Open {
+impl OpenConnection {
+    async fn new(addr: SocketAddr) -> OpenConnection {
         let stream = TcpStream::connect(addr).await.unwrap();
         let (sender, conn) = http1::handshake(TokioIo::new(stream)).await.unwrap();
         tokio::spawn(conn);
-        Open { sender }
+        OpenConnection { sender }
     }
 
-    async fn ask(&mut self, name: &str) -> Result<u16, ClientError> {
+    async fn send(&mut self, name: &str) -> Result<u16, ClientError> {
         let mut request = request(name);
         request.headers_mut().insert("host", "lab".parse()?);
-        let answer = tokio::time::timeout(PATIENCE, self.sender.send_request(request)).await??;
+        let answer =
+            tokio::time::timeout(RESPONSE_TIMEOUT, self.sender.send_request(request)).await??;
         let status = answer.status().as_u16();
         answer.into_body().collect().await?;
         Ok(status)
@@ -147,37 +148,37 @@
 // Something between the two ends loses track of the connections: the caller of
 // an old one waits for ever, and a new one is answered.
 #[tokio::test]
-async fn open_connections_go_silent_and_new_ones_work() {
+async fn silence_affects_only_open_connections() {
     let (_backend, addr) = start(10, Behaviour::default()).await;
-    let mut old = Open::new(addr).await;
-    assert_eq!(old.ask("before").await.unwrap(), 200);
+    let mut old = OpenConnection::new(addr).await;
+    assert_eq!(old.send("before").await.unwrap(), 200);
     client::post_json(addr, "/lab/silence", &()).await.unwrap();
-    assert!(old.ask("after").await.is_err());
-    assert_eq!(Open::new(addr).await.ask("new").await.unwrap(), 200);
+    assert!(old.send("after").await.is_err());
+    assert_eq!(OpenConnection::new(addr).await.send("new").await.unwrap(), 200);
 }
 
 // The caller leaves while its request runs: the work stops and the slot is free
 // at once, not when the service time is over.
 #[tokio::test]
-async fn a_closed_connection_frees_its_slot() {
+async fn closing_a_connection_releases_its_slot() {
     let (backend, addr) = start(10, Behaviour { service_ms: 60_000, ..Behaviour::default() }).await;
-    let asked = ["a", "b", "c"].map(|name| {
+    let tasks = ["a", "b", "c"].map(|name| {
         tokio::spawn(async move {
-            let mut open = Open::new(addr).await;
-            let _ = open.ask(name).await;
+            let mut open = OpenConnection::new(addr).await;
+            let _ = open.send(name).await;
         })
     });
-    for task in asked {
+    for task in tasks {
         task.await.unwrap();
     }
     *backend.behaviour() = Behaviour::default();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    assert_eq!(ask(addr, request("d")).await, Ok("200 - 0/3 -".to_owned()));
+    assert_eq!(send(addr, request("d")).await, Ok("200 - 0/3 -".to_owned()));
     assert_eq!((backend.stats().cancelled, backend.stats().completed), (3, 1));
 }
 
 #[tokio::test]
-async fn first_requests_after_a_start_or_an_idle_time_are_slower() {
+async fn requests_that_find_cold_caches_are_slower() {
     let cold = Behaviour {
         cold_requests: 1,
         cold_extra_ms: 60_000,
@@ -189,31 +190,31 @@
     for (idle_ms, slower) in [(0, true), (0, false), (2_100, true), (0, false)] {
         tokio::time::sleep(Duration::from_millis(idle_ms)).await;
         if !slower {
-            assert_eq!(ask(addr, request("r")).await, Ok("200 - 0/3 -".to_owned()));
+            assert_eq!(send(addr, request("r")).await, Ok("200 - 0/3 -".to_owned()));
             continue;
         }
         let wait = Duration::from_millis(200);
         // It is given up; the next one finds the caches filled.
-        let given_up = tokio::time::timeout(wait, ask(addr, request("r"))).await;
-        assert!(given_up.is_err(), "after {idle_ms} ms");
+        let timed_out = tokio::time::timeout(wait, send(addr, request("r"))).await;
+        assert!(timed_out.is_err(), "after {idle_ms} ms");
     }
 }
 
 #[tokio::test]
-async fn a_lagging_report_tells_of_the_past() {
+async fn delayed_reports_show_earlier_load() {
     let lag = Behaviour { service_ms: 3_000, report_lag_ms: 1_000, ..Behaviour::default() };
     let (backend, addr) = start(10, lag).await;
     let busy = tokio::spawn(async move { client::call(addr, request("long")).await.is_ok() });
     tokio::time::sleep(Duration::from_millis(100)).await;
     backend.behaviour().shed = true;
-    assert_eq!(ask(addr, request("early")).await, Ok("503 not-run 0/3 -".to_owned()));
+    assert_eq!(send(addr, request("early")).await, Ok("503 not-run 0/3 -".to_owned()));
     tokio::time::sleep(Duration::from_millis(1_100)).await;
-    assert_eq!(ask(addr, request("late")).await, Ok("503 not-run 1/3 -".to_owned()));
+    assert_eq!(send(addr, request("late")).await, Ok("503 not-run 1/3 -".to_owned()));
     assert!(busy.await.unwrap());
 }
 
 #[test]
-fn service_times_have_the_mean_that_they_are_given() {
+fn service_times_have_the_configured_mean() {
     let mut rng = fastrand::Rng::with_seed(1);
     for distribution in [Distribution::Fixed, Distribution::Exponential, Distribution::TwoPoint] {
         let total: Duration = (0..20_000).map(|_| distribution.draw(20, &mut rng)).sum();
--- a/crates/azuregate-lab/tests/lab/callers.rs
+++ b/crates/azuregate-lab/tests/lab/callers.rs
@@ -19,62 +19,62 @@
 
 /// What the entry instance answers to a request for a service.
 #[derive(Clone, Copy, Debug)]
-enum Kind {
-    Own,
-    OfAnother,
+enum ResponseKind {
+    Matching,
+    Mismatched,
     NotRun,
     Unknown,
     BackendError,
-    Cut,
+    Truncated,
     /// Refuses as not run at first.
-    SecondTime,
+    NotRunOnce,
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct RequestCounts {
     connections: AtomicU64,
     lists: AtomicU64,
     requests: AtomicU64,
 }
 
-async fn entry(kind: Kind) -> (SocketAddr, Arc<Seen>) {
+async fn start_entry(kind: ResponseKind) -> (SocketAddr, Arc<RequestCounts>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let seen = Arc::new(Seen::default());
-    let counted = Arc::clone(&seen);
+    let counts = Arc::new(RequestCounts::default());
+    let shared_counts = Arc::clone(&counts);
     tokio::spawn(async move {
         loop {
             let (stream, _) = listener.accept().await.unwrap();
-            seen.connections.fetch_add(1, Ordering::Relaxed);
-            let seen = Arc::clone(&seen);
+            counts.connections.fetch_add(1, Ordering::Relaxed);
+            let counts = Arc::clone(&counts);
             tokio::spawn(async move {
-                let service = service_fn(|request| answer(kind, addr, &seen, request));
+                let service = service_fn(|request| respond(kind, addr, &counts, request));
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
             });
         }
     });
-    (addr, counted)
+    (addr, shared_counts)
 }
 
-async fn answer(
-    kind: Kind,
+async fn respond(
+    kind: ResponseKind,
     addr: SocketAddr,
-    seen: &Seen,
+    counts: &RequestCounts,
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     if request.uri().path() == "/v1/entries" {
-        seen.lists.fetch_add(1, Ordering::Relaxed);
+        counts.lists.fetch_add(1, Ordering::Relaxed);
         let list = serde_json::json!({
             "service": "s",
             "entries": [{ "id": "e", "addr": addr, "zone": "z" }],
         });
         return Ok(Response::new(Full::from(list.to_string())));
     }
-    let count = seen.requests.fetch_add(1, Ordering::Relaxed);
+    let count = counts.requests.fetch_add(1, Ordering::Relaxed);
     let name = request.headers()["azuregate-request-id"].to_str().unwrap().to_owned();
     let bytes = request.into_body().collect().await.unwrap().to_bytes().len();
-    let own = format!("b answers / after {bytes} bytes for {name}\n");
-    let refusal = |status: u16, outcome: &str| {
+    let matching = format!("b answers / after {bytes} bytes for {name}\n");
+    let rejection = |status: u16, outcome: &str| {
         Response::builder()
             .status(status)
             .header("azuregate-outcome", outcome)
@@ -83,16 +83,20 @@
             .unwrap()
     };
     Ok(match kind {
-        Kind::Own => Response::new(Full::from(own)),
-        Kind::OfAnother => Response::new(Full::from("b answers / after 0 bytes for another\n")),
-        Kind::NotRun => refusal(503, "not-run"),
-        Kind::Unknown => refusal(502, "unknown"),
-        Kind::BackendError => Response::builder().status(500).body(Full::default()).unwrap(),
-        Kind::Cut => {
+        ResponseKind::Matching => Response::new(Full::from(matching)),
+        ResponseKind::Mismatched => {
+            Response::new(Full::from("b answers / after 0 bytes for another\n"))
+        }
+        ResponseKind::NotRun => rejection(503, "not-run"),
+        ResponseKind::Unknown => rejection(502, "unknown"),
+        ResponseKind::BackendError => {
+            Response::builder().status(500).body(Full::default()).unwrap()
+        }
+        ResponseKind::Truncated => {
             Response::builder().header("content-length", 5).body(Full::from("b a")).unwrap()
         }
-        Kind::SecondTime if count == 0 => refusal(503, "not-run"),
-        Kind::SecondTime => Response::new(Full::from(own)),
+        ResponseKind::NotRunOnce if count == 0 => rejection(503, "not-run"),
+        ResponseKind::NotRunOnce => Response::new(Full::from(matching)),
     })
 }
 
@@ -104,22 +108,22 @@
 }
 
 #[tokio::test]
-async fn an_answer_is_taken_for_what_it_is() {
+async fn responses_are_classified() {
     let refused = |status, outcome: &str| Ending::Refused { status, outcome: outcome.to_owned() };
     // The answer, whether callers come back, how a request ends, how often it
     // was sent.
     let table = [
-        (Kind::Own, 0, Ending::Answered, 1),
-        (Kind::OfAnother, 0, Ending::MixedUp, 1),
-        (Kind::NotRun, 0, refused(503, "not-run"), 1),
-        (Kind::NotRun, 3, refused(503, "not-run"), 4),
+        (ResponseKind::Matching, 0, Ending::Answered, 1),
+        (ResponseKind::Mismatched, 0, Ending::MixedUp, 1),
+        (ResponseKind::NotRun, 0, refused(503, "not-run"), 1),
+        (ResponseKind::NotRun, 3, refused(503, "not-run"), 4),
         // What may have run is never sent again.
-        (Kind::Unknown, 3, refused(502, "unknown"), 1),
-        (Kind::BackendError, 3, refused(500, "backend"), 1),
-        (Kind::SecondTime, 3, Ending::Answered, 2),
+        (ResponseKind::Unknown, 3, refused(502, "unknown"), 1),
+        (ResponseKind::BackendError, 3, refused(500, "backend"), 1),
+        (ResponseKind::NotRunOnce, 3, Ending::Answered, 2),
     ];
     for (kind, retries, ending, tries) in table {
-        let (addr, _) = entry(kind).await;
+        let (addr, _) = start_entry(kind).await;
         let mut config = config(addr);
         config.retries = retries;
         config.upload_percent = 20;
@@ -130,8 +134,8 @@
 }
 
 #[tokio::test]
-async fn an_answer_cut_short_is_a_failure() {
-    let (addr, _) = entry(Kind::Cut).await;
+async fn truncated_responses_are_failures() {
+    let (addr, _) = start_entry(ResponseKind::Truncated).await;
     let ended = load::run(&config(addr)).await.unwrap();
     assert!(!ended.is_empty());
     for request in ended {
@@ -140,20 +144,20 @@
 }
 
 #[tokio::test]
-async fn callers_keep_the_list_and_their_connections() {
-    let (addr, seen) = entry(Kind::Own).await;
+async fn callers_reuse_entry_lists_and_connections() {
+    let (addr, counts) = start_entry(ResponseKind::Matching).await;
     let ended = load::run(&config(addr)).await.unwrap();
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-    assert_eq!(count(&seen.requests), ended.len() as u64);
+    assert_eq!(count(&counts.requests), ended.len() as u64);
     // Ten callers at the one place ask at the start, and at most once more
     // within the max-age, since they renew at times spread over it.
-    assert!((10..=20).contains(&count(&seen.lists)), "{seen:?}");
-    assert!(count(&seen.connections) < 15, "{seen:?}");
+    assert!((10..=20).contains(&count(&counts.lists)), "{counts:?}");
+    assert!(count(&counts.connections) < 15, "{counts:?}");
 }
 
 #[tokio::test]
 async fn the_same_seed_gives_the_same_arrivals() {
-    let (addr, _) = entry(Kind::Own).await;
+    let (addr, _) = start_entry(ResponseKind::Matching).await;
     let key = |ended: Vec<load::Ended>| {
         let mut all: Vec<_> = ended.into_iter().map(|r| (r.due_ms, r.name, r.class)).collect();
         all.sort();
--- a/crates/azuregate-lab/tests/lab/examples.rs
+++ b/crates/azuregate-lab/tests/lab/examples.rs
@@ -5,9 +5,9 @@
 use azuregate_lab::example::{CLIENTS, Example};
 
 /// Name, entry instances, services with their upstreams.
-type Sizes = (&'static str, usize, &'static [(&'static str, u16)]);
+type ExpectedSizes = (&'static str, usize, &'static [(&'static str, u16)]);
 
-const EXAMPLES: [Sizes; 2] = [
+const EXAMPLES: [ExpectedSizes; 2] = [
     ("kvas", 9, &[("starter-desk", 24), ("proof-vault", 12)]),
     ("pawprint", 8, &[("listings-app", 22), ("uploads-app", 12)]),
 ];
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn sizes_are_those_of_the_users() {
+fn examples_have_the_expected_sizes() {
     for (name, entries, services) in EXAMPLES {
         let example = load(name);
         assert_eq!(example.name, name);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn no_two_parties_share_an_address() {
+fn addresses_are_unique() {
     // Both examples can run at once, so the addresses of both must differ.
     let (mut seen, mut clients) = (BTreeSet::new(), Vec::new());
     for (name, ..) in EXAMPLES {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn every_entry_and_backend_stands_in_a_zone_that_a_region_has() {
+fn entries_and_backends_are_in_known_zones() {
     for (name, ..) in EXAMPLES {
         let example = load(name);
         let list = example.instance_list();
--- a/crates/azuregate-lab/tests/lab/measure.rs
+++ b/crates/azuregate-lab/tests/lab/measure.rs
@@ -3,20 +3,20 @@
 use azuregate_lab::measure::{Experiment, Section, Spread};
 
 #[test]
-fn a_spread_is_that_of_its_figures() {
+fn spread_summarises_its_samples() {
     // Figures; median, 99th percentile, smallest, largest.
-    let hundred_and_one: Vec<f64> = (0..=100).map(f64::from).collect();
+    let zero_to_hundred: Vec<f64> = (0..=100).map(f64::from).collect();
     let table: [(&[f64], [f64; 4]); 5] = [
         (&[], [0.0, 0.0, 0.0, 0.0]),
         (&[7.0], [7.0, 7.0, 7.0, 7.0]),
         (&[3.0, 1.0], [2.0, 3.0, 1.0, 3.0]),
         (&[5.0, 1.0, 2.0], [2.0, 5.0, 1.0, 5.0]),
-        (&hundred_and_one, [50.0, 99.0, 0.0, 100.0]),
+        (&zero_to_hundred, [50.0, 99.0, 0.0, 100.0]),
     ];
-    for (figures, expected) in table {
-        let spread = Spread::of(figures.iter().copied());
-        assert_eq!([spread.median, spread.p99, spread.min, spread.max], expected, "{figures:?}");
-        assert_eq!(spread.count, figures.len());
+    for (samples, expected) in table {
+        let spread = Spread::of(samples.iter().copied());
+        assert_eq!([spread.median, spread.p99, spread.min, spread.max], expected, "{samples:?}");
+        assert_eq!(spread.count, samples.len());
     }
 }
 
--- a/crates/azuregate-lab/tests/lab/network.rs
+++ b/crates/azuregate-lab/tests/lab/network.rs
@@ -16,7 +16,7 @@
 use crate::examples;
 
 #[test]
-fn one_way_delays_are_those_of_the_example() {
+fn one_way_delays_follow_the_example_topology() {
     let example = examples::load("kvas");
     let network = example.network();
     let clients = |zone: &str| example.client_ip(&ZoneName::new(zone), 3).to_string();
@@ -38,33 +38,33 @@
 }
 
 #[tokio::test]
-async fn bytes_and_the_end_arrive_whole_and_late() {
+async fn bytes_and_end_of_stream_are_delayed() {
     let one_way_delay = Duration::from_millis(30);
-    let (mut near, far) = tokio::io::duplex(1 << 10);
-    let mut far = with_delay(far, one_way_delay);
+    let (mut local, remote) = tokio::io::duplex(1 << 10);
+    let mut remote = with_delay(remote, one_way_delay);
     let sent: Vec<u8> = (0..300_000_u32).map(|i| i as u8).collect();
     let copy = sent.clone();
     let start = Instant::now();
     let writer = tokio::spawn(async move {
-        near.write_all(&copy).await.unwrap();
-        near.shutdown().await.unwrap();
+        local.write_all(&copy).await.unwrap();
+        local.shutdown().await.unwrap();
         let mut back = Vec::new();
-        near.read_to_end(&mut back).await.unwrap();
+        local.read_to_end(&mut back).await.unwrap();
         back
     });
     let mut received = Vec::new();
-    far.read_to_end(&mut received).await.unwrap();
+    remote.read_to_end(&mut received).await.unwrap();
     assert!(start.elapsed() >= one_way_delay);
     assert!(received == sent);
-    far.write_all(b"thanks").await.unwrap();
-    drop(far);
+    remote.write_all(b"thanks").await.unwrap();
+    drop(remote);
     assert_eq!(writer.await.unwrap(), b"thanks");
     assert!(start.elapsed() >= 2 * one_way_delay);
 }
 
 // An entry behind a relay must see who calls, since it spreads callers by it.
 #[tokio::test]
-async fn a_relay_keeps_the_address_of_the_caller() {
+async fn relay_preserves_the_client_address() {
     let process = TcpListener::bind("127.0.99.1:0").await.unwrap();
     let listener = TcpListener::bind("127.0.99.1:0").await.unwrap();
     let relay_addr = listener.local_addr().unwrap();
--- a/crates/azuregate-lab/tests/lab/reports.rs
+++ b/crates/azuregate-lab/tests/lab/reports.rs
@@ -4,7 +4,7 @@
 
 use crate::audit::{ended, refused};
 
-fn run() -> Vec<Ended> {
+fn ended_requests() -> Vec<Ended> {
     let mut all: Vec<_> = (0..98)
         .map(|i| {
             let mut request = ended(&format!("r{i}"), Class::Read, Ending::Answered);
@@ -21,7 +21,7 @@
 }
 
 fn report() -> Report {
-    let ended = run();
+    let ended = ended_requests();
     let mut ran: std::collections::HashMap<_, _> =
         ended.iter().map(|request| (request.name.clone(), 1)).collect();
     ran.remove("o2");
@@ -41,6 +41,6 @@
 }
 
 #[test]
-fn as_a_drawing() {
-    insta::assert_snapshot!(svg("kvas <1> & more", &run()[..3]));
+fn as_svg() {
+    insta::assert_snapshot!(svg("kvas <1> & more", &ended_requests()[..3]));
 }
