--- a/crates/azuregate-lab/tests/lab/main.rs
+++ b/crates/azuregate-lab/tests/lab/main.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the stand-ins, and of the load tool's accounting.
+//! Tests of the simulated systems and of the load tool's accounting.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
