--- a/crates/azuregate-lab/tests/lab/platform.rs
+++ b/crates/azuregate-lab/tests/lab/platform.rs
@@ -1,4 +1,4 @@
-//! What the stand-in of the platform does wrong when told to.
+//! Tests of the simulated platform and its injected faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
 
 use crate::examples;
 
-/// How long the client waits for an answer.
+/// The client's timeout.
 const TIMEOUT_MS: u64 = 1_000;
 
 struct TestPlatform {
@@ -40,7 +40,7 @@
     }
 }
 
-/// What a caller can tell of an insert, and what truly became of it.
+/// The result of an insert as the client sees it, and whether the row exists.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     write: Result<Commit, Effect>,
@@ -55,7 +55,7 @@
         ("ok", faults(), done(), true),
         ("down", Faults { down: true, ..faults() }, Err(Effect::None), false),
         ("slow", Faults { slow_ms: 50, ..faults() }, done(), true),
-        // The caller gives up; the write is made later all the same.
+        // The client times out, but the write still takes effect.
         ("too slow", Faults { slow_ms: 1_500, ..faults() }, Err(Effect::Unknown), true),
         ("silent", Faults { silent: true, ..faults() }, Err(Effect::Unknown), false),
         ("lost", Faults { lose_answers: 1, ..faults() }, Err(Effect::Unknown), true),
@@ -69,7 +69,7 @@
         assert!(set.status().is_success(), "{case}");
         let response = test.platform.transact(&[insert("k")]).await;
         if response.is_err() {
-            // A write that is late is made within this time.
+            // A delayed write takes effect within this time.
             tokio::time::sleep(Duration::from_millis(1_000)).await;
         }
         let row = test.server.store().read(Table::Claim.as_str(), "k");
@@ -108,9 +108,8 @@
     assert_eq!(test.platform.instances().await.unwrap(), list);
 }
 
-// The instance reads the list at each poll. While it is the same, the platform
-// answers without it, and the instance gives what it read before; once it has
-// changed, the new one is read whole, and an older one never comes back.
+// An unchanged list must not be sent again on each poll, and the client must never
+// return an outdated copy after a change.
 #[tokio::test]
 async fn an_unchanged_list_is_sent_once() {
     let test = start_platform().await;
