--- a/crates/azuregate-lab/tests/lab/network.rs
+++ b/crates/azuregate-lab/tests/lab/network.rs
@@ -1,4 +1,4 @@
-//! Delays follow from the address that a connection comes from.
+//! Tests of the simulated network delays.
 
 use std::{
     net::IpAddr,
@@ -62,7 +62,7 @@
     assert!(start.elapsed() >= 2 * one_way_delay);
 }
 
-// An entry behind a relay must see who calls, since it spreads callers by it.
+// An entry instance distributes callers by address, so a relay must preserve it.
 #[tokio::test]
 async fn relay_preserves_the_client_address() {
     let process = TcpListener::bind("127.0.99.1:0").await.unwrap();
