--- a/crates/azuregate-lab/tests/lab/backends.rs
+++ b/crates/azuregate-lab/tests/lab/backends.rs
@@ -1,4 +1,4 @@
-//! What the stand-in of a backend server does when told to.
+//! Tests of the simulated backend server and its behaviours.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,7 +15,7 @@
 
 use crate::examples;
 
-/// How long a caller waits before it takes a server for silent.
+/// Time without a response after which a server counts as silent.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 async fn start(connections: usize, behaviour: Behaviour) -> (Arc<Backend>, SocketAddr) {
@@ -39,7 +39,7 @@
 async fn send(addr: SocketAddr, request: Request<Full<Bytes>>) -> Result<String, String> {
     match tokio::time::timeout(RESPONSE_TIMEOUT, client::call(addr, request)).await {
         Ok(Ok(answer)) => Ok(summary(&answer)),
-        Ok(Err(_)) => Err("no whole answer".to_owned()),
+        Ok(Err(_)) => Err("incomplete response".to_owned()),
         Err(_) => Err("silent".to_owned()),
     }
 }
@@ -72,7 +72,7 @@
         ("shed", Behaviour { shed: true, ..quick() }, Ok("503 not-run 0/3 -"), 0),
         ("leaving", Behaviour { leaving: true, ..quick() }, Ok("200 - 0/3 close"), 1),
         ("silent", Behaviour { silent: true, ..quick() }, Err("silent"), 0),
-        ("cut", Behaviour { cut: true, ..quick() }, Err("no whole answer"), 1),
+        ("cut", Behaviour { cut: true, ..quick() }, Err("incomplete response"), 1),
         ("lie", Behaviour { report_lie: Some(2), ..quick() }, Ok("200 - 2/3 -"), 1),
         ("past deadline", Behaviour { service_ms: 60_000, ..quick() }, Ok("504 - - -"), 1),
     ];
@@ -116,12 +116,12 @@
     let (backend, addr) = start(1, Behaviour::default()).await;
     let connection = OpenConnection::new(addr).await;
     // The first connection is counted before the second is accepted.
-    assert_eq!(send(addr, request("r")).await, Err("no whole answer".to_owned()));
+    assert_eq!(send(addr, request("r")).await, Err("incomplete response".to_owned()));
     assert_eq!(backend.stats().connections_refused, 1);
     drop(connection);
 }
 
-/// A connection that stays open.
+/// A persistent connection.
 struct OpenConnection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
@@ -145,8 +145,8 @@
     }
 }
 
-// Something between the two ends loses track of the connections: the caller of
-// an old one waits for ever, and a new one is answered.
+// Simulates a middlebox that loses the state of open connections: their requests
+// hang, while new connections work.
 #[tokio::test]
 async fn silence_affects_only_open_connections() {
     let (_backend, addr) = start(10, Behaviour::default()).await;
@@ -157,8 +157,8 @@
     assert_eq!(OpenConnection::new(addr).await.send("new").await.unwrap(), 200);
 }
 
-// The caller leaves while its request runs: the work stops and the slot is free
-// at once, not when the service time is over.
+// A request whose caller disconnects must release its slot at once, not at the end
+// of its service time.
 #[tokio::test]
 async fn closing_a_connection_releases_its_slot() {
     let (backend, addr) = start(10, Behaviour { service_ms: 60_000, ..Behaviour::default() }).await;
@@ -186,7 +186,7 @@
         ..Behaviour::default()
     };
     let (_backend, addr) = start(10, cold).await;
-    // How long to wait before each request, and whether it is slower.
+    // Idle time before each request, and whether the request finds cold caches.
     for (idle_ms, slower) in [(0, true), (0, false), (2_100, true), (0, false)] {
         tokio::time::sleep(Duration::from_millis(idle_ms)).await;
         if !slower {
@@ -194,7 +194,7 @@
             continue;
         }
         let wait = Duration::from_millis(200);
-        // It is given up; the next one finds the caches filled.
+        // The request is cancelled, but it has warmed the caches.
         let timed_out = tokio::time::timeout(wait, send(addr, request("r"))).await;
         assert!(timed_out.is_err(), "after {idle_ms} ms");
     }
