--- a/crates/azuregate-lab/tests/lab/callers.rs
+++ b/crates/azuregate-lab/tests/lab/callers.rs
@@ -1,4 +1,4 @@
-//! How callers of the load tool behave towards what an entry instance answers.
+//! Tests of how the load tool's callers handle the responses of entry instances.
 
 use std::{
     convert::Infallible,
@@ -17,7 +17,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-/// What the entry instance answers to a request for a service.
+/// How the simulated entry instance responds to requests for a service.
 #[derive(Clone, Copy, Debug)]
 enum ResponseKind {
     Matching,
@@ -26,7 +26,7 @@
     Unknown,
     BackendError,
     Truncated,
-    /// Refuses as not run at first.
+    /// Rejects the first request as not run and answers later ones.
     NotRunOnce,
 }
 
@@ -110,14 +110,13 @@
 #[tokio::test]
 async fn responses_are_classified() {
     let refused = |status, outcome: &str| Ending::Refused { status, outcome: outcome.to_owned() };
-    // The answer, whether callers come back, how a request ends, how often it
-    // was sent.
+    // Response, maximum number of retries, ending, number of tries.
     let table = [
         (ResponseKind::Matching, 0, Ending::Answered, 1),
         (ResponseKind::Mismatched, 0, Ending::MixedUp, 1),
         (ResponseKind::NotRun, 0, refused(503, "not-run"), 1),
         (ResponseKind::NotRun, 3, refused(503, "not-run"), 4),
-        // What may have run is never sent again.
+        // A request that may have run must not be retried.
         (ResponseKind::Unknown, 3, refused(502, "unknown"), 1),
         (ResponseKind::BackendError, 3, refused(500, "backend"), 1),
         (ResponseKind::NotRunOnce, 3, Ending::Answered, 2),
@@ -149,8 +148,8 @@
     let ended = load::run(&config(addr)).await.unwrap();
     let count = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
     assert_eq!(count(&counts.requests), ended.len() as u64);
-    // Ten callers at the one place ask at the start, and at most once more
-    // within the max-age, since they renew at times spread over it.
+    // Each of the ten callers fetches the list at the start, and at most once more
+    // within its max-age.
     assert!((10..=20).contains(&count(&counts.lists)), "{counts:?}");
     assert!(count(&counts.connections) < 15, "{counts:?}");
 }
