--- a/crates/azuregate-lab/tests/lab/reports.rs
+++ b/crates/azuregate-lab/tests/lab/reports.rs
@@ -1,4 +1,4 @@
-//! The forms of a report.
+//! Snapshots of the output formats of a report.
 
 use azuregate_lab::load::{Class, Ended, Ending, Report, audit, svg};
 
