--- a/crates/azuregate-lab/tests/lab/audit.rs
+++ b/crates/azuregate-lab/tests/lab/audit.rs
@@ -1,4 +1,4 @@
-//! Answers are checked against what truly ran.
+//! Tests of the audit of responses against executions.
 
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
 fn responses_are_checked_against_executions() {
     let names = || vec!["r".to_owned()];
     let none = Audit::default;
-    // What was asked, how it ended, how often it ran, what does not add up.
+    // Class, ending, number of executions, expected audit.
     let table = [
         (Class::Read, Ending::Answered, 1, none()),
         (Class::Read, Ending::Answered, 3, Audit { extra_reads: 2, ..none() }),
