--- a/crates/azuregate-lab/tests/lab/measure.rs
+++ b/crates/azuregate-lab/tests/lab/measure.rs
@@ -1,10 +1,10 @@
-//! Spreads, and the form of a table of measurements.
+//! Tests of spreads and of the Markdown format of measurements.
 
 use azuregate_lab::measure::{Experiment, Section, Spread};
 
 #[test]
 fn spread_summarises_its_samples() {
-    // Figures; median, 99th percentile, smallest, largest.
+    // Samples; median, 99th percentile, minimum, maximum.
     let zero_to_hundred: Vec<f64> = (0..=100).map(f64::from).collect();
     let table: [(&[f64], [f64; 4]); 5] = [
         (&[], [0.0, 0.0, 0.0, 0.0]),
