--- a/crates/azuregate-lab/tests/lab/examples.rs
+++ b/crates/azuregate-lab/tests/lab/examples.rs
@@ -1,10 +1,10 @@
-//! Both examples are consistent.
+//! Consistency checks of the example deployments.
 
 use std::{collections::BTreeSet, path::Path};
 
 use azuregate_lab::example::{CLIENTS, Example};
 
-/// Name, entry instances, services with their upstreams.
+/// Name, number of entry instances, and services with their numbers of upstreams.
 type ExpectedSizes = (&'static str, usize, &'static [(&'static str, u16)]);
 
 const EXAMPLES: [ExpectedSizes; 2] = [
