--- a/crates/azuregate-lab/src/cli/load.rs
+++ b/crates/azuregate-lab/src/cli/load.rs
@@ -8,7 +8,7 @@
 use crate::{
     cli::load_example,
     client::{self, ClientError},
-    load::{self, Audit, Ended, Report},
+    load::{self, Audit, Report, RequestRecord},
 };
 
 /// Arguments of `load`.
@@ -60,7 +60,7 @@
         let mut config = load::Config::new(at, &ServiceName::new(&self.service));
         if let Some(path) = &self.example {
             let example = load_example(path)?;
-            config = config.with_places_of(&example);
+            config = config.with_locations_of(&example);
             if self.skew {
                 config = config.with_skew(&example);
             }
@@ -105,11 +105,11 @@
 async fn audit(
     platform: SocketAddr,
     service: &ServiceName,
-    ended: &[Ended],
+    ended: &[RequestRecord],
 ) -> Result<Audit, ClientError> {
     let answer = client::get(platform, "/v1/instances").await?;
     let list: InstanceList = serde_json::from_slice(answer.body())?;
     let servers = list.backends.iter().filter(|server| server.service == *service);
     let addrs: Vec<_> = servers.map(|server| server.addr).collect();
-    Ok(load::audit(ended, &load::ran_at(&addrs).await?))
+    Ok(load::audit(ended, &load::fetch_executions(&addrs).await?))
 }
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -105,7 +105,7 @@
     }
     let entry = lab.example.entries.first().ok_or("the example has no entry instance")?;
     let at = lab.example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&lab.example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     config.rate_per_s = rate_per_s;
     config.duration_ms = PERIOD_MS;
     loop {
--- a/crates/azuregate-lab/src/load/audit.rs
+++ b/crates/azuregate-lab/src/load/audit.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     client::{self, ClientError},
-    load::{Class, Ended, Ending},
+    load::{Class, RequestOutcome, RequestRecord},
 };
 
 /// What does not add up, and what was done in vain.
@@ -33,10 +33,10 @@
 
 /// Checks the requests of one run; `ran` says how often each ran, over all
 /// backend servers.
-pub fn audit(ended: &[Ended], ran: &HashMap<String, u64>) -> Audit {
+pub fn audit(records: &[RequestRecord], executions: &HashMap<String, u64>) -> Audit {
     let mut audit = Audit::default();
-    for request in ended {
-        let runs = ran.get(&request.name).copied().unwrap_or(0);
+    for request in records {
+        let runs = executions.get(&request.name).copied().unwrap_or(0);
         let name = || request.name.clone();
         match request.class {
             Class::Read => audit.extra_reads += runs.saturating_sub(1),
@@ -44,12 +44,14 @@
             Class::Keyed | Class::Upload => {}
         }
         match &request.ending {
-            Ending::Answered if runs == 0 => audit.losses.push(name()),
-            Ending::Refused { outcome, .. } if outcome == "not-run" && runs > 0 => {
+            RequestOutcome::Answered if runs == 0 => audit.losses.push(name()),
+            RequestOutcome::Refused { outcome, .. } if outcome == "not-run" && runs > 0 => {
                 audit.false_not_run.push(name());
             }
-            Ending::Refused { .. } | Ending::Failed(_) => audit.unanswered_runs += runs,
-            Ending::Answered | Ending::MixedUp => {}
+            RequestOutcome::Refused { .. } | RequestOutcome::Failed(_) => {
+                audit.unanswered_runs += runs
+            }
+            RequestOutcome::Answered | RequestOutcome::MixedUp => {}
         }
     }
     audit
@@ -60,12 +62,12 @@
 /// # Errors
 ///
 /// When one cannot be asked.
-pub async fn ran_at(addrs: &[SocketAddr]) -> Result<HashMap<String, u64>, ClientError> {
+pub async fn fetch_executions(addrs: &[SocketAddr]) -> Result<HashMap<String, u64>, ClientError> {
     let mut all = HashMap::new();
     for &addr in addrs {
         let answer = client::get(addr, "/lab/ran").await?;
-        let ran: HashMap<String, u64> = serde_json::from_slice(answer.body())?;
-        for (name, count) in ran {
+        let executions: HashMap<String, u64> = serde_json::from_slice(answer.body())?;
+        for (name, count) in executions {
             *all.entry(name).or_default() += count;
         }
     }
--- a/crates/azuregate-lab/src/load/caller.rs
+++ b/crates/azuregate-lab/src/load/caller.rs
@@ -19,22 +19,22 @@
 use crate::{
     client::ClientError,
     load::{
-        Class, Ending,
-        conn::{Conn, Lost},
+        Class, RequestOutcome,
+        conn::{Conn, SendError},
     },
 };
 
 /// How much longer than it says a caller waits for the refusal.
-const GRACE: Duration = Duration::from_millis(500);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
 /// One caller.
 pub struct Caller {
     ip: Option<IpAddr>,
-    ask: SocketAddr,
+    bootstrap_addr: SocketAddr,
     favoured: Option<SocketAddr>,
     service: ServiceName,
     timeout_ms: u64,
-    known: Mutex<Vec<SocketAddr>>,
+    entry_addrs: Mutex<Vec<SocketAddr>>,
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
 }
 
@@ -52,18 +52,18 @@
     /// while that takes requests.
     pub fn new(
         ip: Option<IpAddr>,
-        ask: SocketAddr,
+        bootstrap_addr: SocketAddr,
         favoured: Option<SocketAddr>,
         service: &ServiceName,
         timeout_ms: u64,
     ) -> Caller {
         Caller {
             ip,
-            ask,
+            bootstrap_addr,
             favoured,
             service: service.clone(),
             timeout_ms,
-            known: Mutex::default(),
+            entry_addrs: Mutex::default(),
             idle: Mutex::default(),
         }
     }
@@ -74,13 +74,13 @@
     /// # Errors
     ///
     /// When none of them gives a list that names an instance.
-    pub async fn learn(&self) -> Result<(), ClientError> {
+    pub async fn discover(&self) -> Result<(), ClientError> {
         let mut last: ClientError = "there is no entry instance to ask".into();
-        let known = lock(&self.known).clone();
-        for at in known.into_iter().chain([self.ask]) {
-            match self.list_of(at).await {
+        let entry_addrs = lock(&self.entry_addrs).clone();
+        for at in entry_addrs.into_iter().chain([self.bootstrap_addr]) {
+            match self.fetch_entries(at).await {
                 Ok(addrs) => {
-                    *lock(&self.known) = addrs;
+                    *lock(&self.entry_addrs) = addrs;
                     return Ok(());
                 }
                 Err(e) => last = e,
@@ -89,15 +89,15 @@
         Err(last)
     }
 
-    async fn list_of(&self, at: SocketAddr) -> Result<Vec<SocketAddr>, ClientError> {
+    async fn fetch_entries(&self, at: SocketAddr) -> Result<Vec<SocketAddr>, ClientError> {
         let request = Request::get(format!("/v1/entries?service={}", self.service))
             .header(header::HOST, at.to_string())
             .body(Full::default())?;
         let limit = Duration::from_millis(self.timeout_ms);
-        let answer = time::timeout(limit, self.exchange(at, request)).await?;
-        let answer = answer.map_err(|lost| match lost {
-            Lost::Unsent(_) => format!("{at} cannot be reached"),
-            Lost::Sent(reason) => format!("{at}: {reason}"),
+        let answer = time::timeout(limit, self.round_trip(at, request)).await?;
+        let answer = answer.map_err(|e| match e {
+            SendError::Unsent(_) => format!("{at} cannot be reached"),
+            SendError::Interrupted(reason) => format!("{at}: {reason}"),
         })?;
         if !answer.status().is_success() {
             return Err(String::from_utf8_lossy(answer.body()).into_owned().into());
@@ -112,22 +112,22 @@
     }
 
     /// Asks again each time the last answer has run out.
-    pub(crate) async fn renew(self: std::sync::Arc<Caller>) {
+    pub(crate) async fn refresh_periodically(self: std::sync::Arc<Caller>) {
         // Callers did not all start at once.
         let mut wait_ms = fastrand::u64(0..MAX_AGE_S * 1_000);
         loop {
             time::sleep(Duration::from_millis(wait_ms)).await;
-            let learnt = self.learn().await;
-            wait_ms = if learnt.is_ok() { MAX_AGE_S * 1_000 } else { 500 };
+            let discovered = self.discover().await;
+            wait_ms = if discovered.is_ok() { MAX_AGE_S * 1_000 } else { 500 };
         }
     }
 
     /// Makes one request; returns how it ended and how often it was sent.
-    pub(crate) async fn serve(&self, job: &Job) -> (Ending, u32) {
+    pub(crate) async fn execute(&self, job: &Job) -> (RequestOutcome, u32) {
         let mut tries = 1;
         loop {
-            let (ending, come_back) = self.once(job).await;
-            let Some(after) = come_back.filter(|_| tries <= job.retries) else {
+            let (ending, retry_after) = self.attempt(job).await;
+            let Some(after) = retry_after.filter(|_| tries <= job.retries) else {
                 return (ending, tries);
             };
             time::sleep(after).await;
@@ -137,14 +137,14 @@
 
     /// Makes one request once; returns also when to come back, if it was
     /// refused as not run and the answer says when.
-    async fn once(&self, job: &Job) -> (Ending, Option<Duration>) {
+    async fn attempt(&self, job: &Job) -> (RequestOutcome, Option<Duration>) {
         let request = match self.request(job) {
             Ok(request) => request,
-            Err(e) => return (Ending::Failed(e.to_string()), None),
+            Err(e) => return (RequestOutcome::Failed(e.to_string()), None),
         };
         match self.send(request).await {
-            Ok(answer) => (ending(job, &answer), come_back(&answer)),
-            Err(reason) => (Ending::Failed(reason), None),
+            Ok(answer) => (classify(job, &answer), retry_after(&answer)),
+            Err(reason) => (RequestOutcome::Failed(reason), None),
         }
     }
 
@@ -169,18 +169,18 @@
 
     /// Sends to the first entry instance that takes the connection.
     async fn send(&self, mut request: Request<Full<Bytes>>) -> Result<Response<Bytes>, String> {
-        let known = lock(&self.known).clone();
-        let limit = Instant::now() + Duration::from_millis(self.timeout_ms) + GRACE;
-        for addr in known {
-            match time::timeout_at(limit, self.exchange(addr, request)).await {
+        let entry_addrs = lock(&self.entry_addrs).clone();
+        let deadline = Instant::now() + Duration::from_millis(self.timeout_ms) + TIMEOUT_MARGIN;
+        for addr in entry_addrs {
+            match time::timeout_at(deadline, self.round_trip(addr, request)).await {
                 Ok(Ok(answer)) => return Ok(answer),
-                Ok(Err(Lost::Unsent(unsent))) => request = *unsent,
-                Ok(Err(Lost::Sent(reason))) => {
-                    self.put_last(addr);
+                Ok(Err(SendError::Unsent(unsent))) => request = *unsent,
+                Ok(Err(SendError::Interrupted(reason))) => {
+                    self.deprioritize(addr);
                     return Err(reason);
                 }
                 Err(_) => {
-                    self.put_last(addr);
+                    self.deprioritize(addr);
                     return Err("no answer in time".to_owned());
                 }
             }
@@ -190,37 +190,37 @@
 
     /// Uses an entry instance that gave no answer after all others, until the
     /// next list.
-    fn put_last(&self, addr: SocketAddr) {
-        lock(&self.known).sort_by_key(|known| *known == addr);
+    fn deprioritize(&self, addr: SocketAddr) {
+        lock(&self.entry_addrs).sort_by_key(|entry| *entry == addr);
     }
 
-    async fn exchange(
+    async fn round_trip(
         &self,
         addr: SocketAddr,
         mut request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, Lost> {
+    ) -> Result<Response<Bytes>, SendError> {
         while let Some(mut conn) = self.take_idle(addr) {
             match conn.send(request).await {
                 Ok(answer) => {
-                    self.keep(addr, conn);
+                    self.put_idle(addr, conn);
                     return Ok(answer);
                 }
-                Err(Lost::Unsent(unsent)) => request = *unsent,
-                Err(lost) => return Err(lost),
+                Err(SendError::Unsent(unsent)) => request = *unsent,
+                Err(e) => return Err(e),
             }
         }
         let Ok(mut conn) = Conn::open(self.ip, addr).await else {
-            return Err(Lost::Unsent(Box::new(request)));
+            return Err(SendError::Unsent(Box::new(request)));
         };
         let answer = conn.send(request).await?;
-        self.keep(addr, conn);
+        self.put_idle(addr, conn);
         Ok(answer)
     }
 
     fn take_idle(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = lock(&self.idle);
-        let kept = idle.get_mut(&addr)?;
-        while let Some(conn) = kept.pop() {
+        let idle_conns = idle.get_mut(&addr)?;
+        while let Some(conn) = idle_conns.pop() {
             if conn.is_idle() {
                 return Some(conn);
             }
@@ -228,7 +228,7 @@
         None
     }
 
-    fn keep(&self, addr: SocketAddr, conn: Conn) {
+    fn put_idle(&self, addr: SocketAddr, conn: Conn) {
         lock(&self.idle).entry(addr).or_default().push(conn);
     }
 }
@@ -237,14 +237,14 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn ending(job: &Job, answer: &Response<Bytes>) -> Ending {
+fn classify(job: &Job, answer: &Response<Bytes>) -> RequestOutcome {
     let status = answer.status();
     if let Some(outcome) = answer.headers().get("azuregate-outcome") {
         let outcome = outcome.to_str().unwrap_or("?").to_owned();
-        return Ending::Refused { status: status.as_u16(), outcome };
+        return RequestOutcome::Refused { status: status.as_u16(), outcome };
     }
     if !status.is_success() {
-        return Ending::Refused { status: status.as_u16(), outcome: "backend".to_owned() };
+        return RequestOutcome::Refused { status: status.as_u16(), outcome: "backend".to_owned() };
     }
     // The backend server repeats what it was asked: an answer to another
     // request would show.
@@ -254,10 +254,14 @@
         Class::Upload => job.upload_bytes,
     };
     let expected = format!(" after {bytes} bytes for {}\n", job.name);
-    if answer.body().ends_with(expected.as_bytes()) { Ending::Answered } else { Ending::MixedUp }
+    if answer.body().ends_with(expected.as_bytes()) {
+        RequestOutcome::Answered
+    } else {
+        RequestOutcome::MixedUp
+    }
 }
 
-fn come_back(answer: &Response<Bytes>) -> Option<Duration> {
+fn retry_after(answer: &Response<Bytes>) -> Option<Duration> {
     let outcome = answer.headers().get("azuregate-outcome")?;
     let after = answer.headers().get(header::RETRY_AFTER)?;
     if outcome.as_bytes() != b"not-run" {
--- a/crates/azuregate-lab/src/load/conn.rs
+++ b/crates/azuregate-lab/src/load/conn.rs
@@ -17,11 +17,11 @@
 }
 
 /// A request that got no whole answer.
-pub(crate) enum Lost {
+pub(crate) enum SendError {
     /// Nothing was sent; the request comes back.
     Unsent(Box<Request<Full<Bytes>>>),
     /// It was sent, or a part of it.
-    Sent(String),
+    Interrupted(String),
 }
 
 impl Conn {
@@ -48,19 +48,19 @@
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
-    ) -> Result<Response<Bytes>, Lost> {
+    ) -> Result<Response<Bytes>, SendError> {
         if self.sender.ready().await.is_err() {
-            return Err(Lost::Unsent(Box::new(request)));
+            return Err(SendError::Unsent(Box::new(request)));
         }
         let response = match self.sender.try_send_request(request).await {
             Ok(response) => response,
             Err(mut e) => match e.take_message() {
-                Some(request) => return Err(Lost::Unsent(Box::new(request))),
-                None => return Err(Lost::Sent(reason(&e.into_error()))),
+                Some(request) => return Err(SendError::Unsent(Box::new(request))),
+                None => return Err(SendError::Interrupted(reason(&e.into_error()))),
             },
         };
         let (head, body) = response.into_parts();
-        let body = body.collect().await.map_err(|e| Lost::Sent(reason(&e)))?;
+        let body = body.collect().await.map_err(|e| SendError::Interrupted(reason(&e)))?;
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 }
--- a/crates/azuregate-lab/src/load/mod.rs
+++ b/crates/azuregate-lab/src/load/mod.rs
@@ -11,9 +11,9 @@
 mod audit;
 mod caller;
 mod conn;
-mod ended;
 mod plot;
 mod report;
+mod request;
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -30,31 +30,31 @@
     example::{CLIENTS, Example},
 };
 
-pub(crate) use conn::{Conn, Lost};
+pub(crate) use conn::{Conn, SendError};
 
-pub use audit::{Audit, audit, ran_at};
+pub use audit::{Audit, audit, fetch_executions};
 pub use caller::Caller;
-pub use ended::{Class, Ended, Ending};
 pub use plot::svg;
 pub use report::{Latency, Report};
+pub use request::{Class, RequestOutcome, RequestRecord};
 
-/// How many callers there are near each place.
-const CALLERS_PER_PLACE: usize = CLIENTS as usize;
+/// How many callers there are near each location.
+const CALLERS_PER_LOCATION: usize = CLIENTS as usize;
 
 /// Where some of the callers stand.
 #[derive(Clone, Debug)]
-pub struct Place {
+pub struct CallerLocation {
     /// The IP numbers that they come from, one after the other; any if empty.
     pub ips: Vec<IpAddr>,
     /// The entry instance that they ask first.
-    pub ask: SocketAddr,
+    pub bootstrap_addr: SocketAddr,
 }
 
 /// What load to give.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Where the callers stand, the same number at each.
-    pub places: Vec<Place>,
+    pub locations: Vec<CallerLocation>,
     /// Entry instances that get `favoured_percent` of the callers, whatever
     /// the answer of `/v1/entries` prefers.
     pub favoured: Vec<SocketAddr>,
@@ -84,7 +84,7 @@
     /// Reads and a few orders for a service, from callers that ask `at`.
     pub fn new(at: SocketAddr, service: &ServiceName) -> Config {
         Config {
-            places: vec![Place { ips: Vec::new(), ask: at }],
+            locations: vec![CallerLocation { ips: Vec::new(), bootstrap_addr: at }],
             favoured: Vec::new(),
             favoured_percent: 0,
             service: service.clone(),
@@ -100,16 +100,16 @@
     }
 
     /// Puts callers near every availability zone of an example.
-    pub fn with_places_of(mut self, example: &Example) -> Config {
-        let place = |zone| {
+    pub fn with_locations_of(mut self, example: &Example) -> Config {
+        let location = |zone| {
             let near =
                 example.entries.iter().min_by_key(|e| example.topology.distance(zone, &e.zone));
-            near.map(|entry| Place {
+            near.map(|entry| CallerLocation {
                 ips: (0..CLIENTS).map(|rank| example.client_ip(zone, rank)).collect(),
-                ask: example.traffic_addr(entry),
+                bootstrap_addr: example.traffic_addr(entry),
             })
         };
-        self.places = example.topology.zones().filter_map(place).collect();
+        self.locations = example.topology.zones().filter_map(location).collect();
         self
     }
 
@@ -122,18 +122,24 @@
     }
 
     fn callers(&self) -> Vec<Arc<Caller>> {
-        let count = self.places.len() * CALLERS_PER_PLACE;
+        let count = self.locations.len() * CALLERS_PER_LOCATION;
         let caller = |index: usize| {
-            let place = &self.places[index % self.places.len()];
-            let rank = index / self.places.len();
-            let ip = place.ips.get(rank % place.ips.len().max(1)).copied();
-            let rank_percent = rank * 100 / CALLERS_PER_PLACE;
+            let location = &self.locations[index % self.locations.len()];
+            let rank = index / self.locations.len();
+            let ip = location.ips.get(rank % location.ips.len().max(1)).copied();
+            let rank_percent = rank * 100 / CALLERS_PER_LOCATION;
             let favoured = if rank_percent < self.favoured_percent {
                 self.favoured.get(index % self.favoured.len().max(1)).copied()
             } else {
                 None
             };
-            Arc::new(Caller::new(ip, place.ask, favoured, &self.service, self.timeout_ms))
+            Arc::new(Caller::new(
+                ip,
+                location.bootstrap_addr,
+                favoured,
+                &self.service,
+                self.timeout_ms,
+            ))
         };
         (0..count).map(caller).collect()
     }
@@ -156,22 +162,24 @@
 /// # Errors
 ///
 /// When there is nowhere to start from, or no entry instance can be learnt.
-pub async fn run(config: &Config) -> Result<Vec<Ended>, ClientError> {
-    if config.places.is_empty() {
+pub async fn run(config: &Config) -> Result<Vec<RequestRecord>, ClientError> {
+    if config.locations.is_empty() {
         return Err("there is no entry instance to ask".into());
     }
     let callers = config.callers();
-    future::try_join_all(callers.iter().map(|caller| caller.learn())).await?;
-    let renewals: Vec<_> =
-        callers.iter().map(|caller| tokio::spawn(Arc::clone(caller).renew())).collect();
-    let ended = give(config, &callers).await;
-    for renewal in renewals {
-        renewal.abort();
+    future::try_join_all(callers.iter().map(|caller| caller.discover())).await?;
+    let refreshes: Vec<_> = callers
+        .iter()
+        .map(|caller| tokio::spawn(Arc::clone(caller).refresh_periodically()))
+        .collect();
+    let records = generate(config, &callers).await;
+    for refresh in refreshes {
+        refresh.abort();
     }
-    Ok(ended)
+    Ok(records)
 }
 
-async fn give(config: &Config, callers: &[Arc<Caller>]) -> Vec<Ended> {
+async fn generate(config: &Config, callers: &[Arc<Caller>]) -> Vec<RequestRecord> {
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let mut rng = fastrand::Rng::with_seed(config.seed);
     let start = Instant::now();
@@ -196,18 +204,24 @@
         let caller = Arc::clone(&callers[rng.usize(..callers.len())]);
         let sender = sender.clone();
         tokio::spawn(async move {
-            let (ending, tries) = caller.serve(&job).await;
+            let (ending, tries) = caller.execute(&job).await;
             let latency_us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
             let due_ms = u64::try_from((due - start).as_millis()).unwrap_or(u64::MAX);
-            let ended =
-                Ended { name: job.name, class: job.class, due_ms, latency_us, tries, ending };
-            let _ = sender.send(ended);
+            let record = RequestRecord {
+                name: job.name,
+                class: job.class,
+                due_ms,
+                latency_us,
+                tries,
+                ending,
+            };
+            let _ = sender.send(record);
         });
     }
     drop(sender);
-    let mut all = Vec::new();
-    while let Some(ended) = receiver.recv().await {
-        all.push(ended);
+    let mut records = Vec::new();
+    while let Some(record) = receiver.recv().await {
+        records.push(record);
     }
-    all
+    records
 }
--- a/crates/azuregate-lab/src/load/plot.rs
+++ b/crates/azuregate-lab/src/load/plot.rs
@@ -2,15 +2,15 @@
 
 use std::fmt::Write as _;
 
-use crate::load::{Ended, Ending};
+use crate::load::{RequestOutcome, RequestRecord};
 
 const WIDTH: f64 = 800.0;
-const PANEL: f64 = 220.0;
+const PANEL_HEIGHT: f64 = 220.0;
 const MARGIN: f64 = 50.0;
 
 /// One second of a run.
 #[derive(Clone, Debug, Default)]
-struct Second {
+struct SecondStats {
     latencies_ms: Vec<f64>,
     answered: f64,
     refused: f64,
@@ -19,12 +19,12 @@
 
 /// Draws median and 99th percentile of latency, and the endings, by the second
 /// in which the requests were due.
-pub fn svg(title: &str, ended: &[Ended]) -> String {
-    let seconds = by_second(ended);
+pub fn svg(title: &str, records: &[RequestRecord]) -> String {
+    let seconds = by_second(records);
     let quantiles = |q: f64| seconds.iter().map(|s| quantile(&s.latencies_ms, q)).collect();
-    let counts = |count: fn(&Second) -> f64| seconds.iter().map(count).collect();
+    let counts = |count: fn(&SecondStats) -> f64| seconds.iter().map(count).collect();
     let mut text = String::new();
-    let height = 2.0 * (PANEL + MARGIN) + MARGIN;
+    let height = 2.0 * (PANEL_HEIGHT + MARGIN) + MARGIN;
     let _ = writeln!(
         text,
         "<svg xmlns=\"http://www.w3.org/2000/svg\" width=\"{WIDTH}\" height=\"{height}\" \
@@ -35,29 +35,29 @@
     let _ = writeln!(text, "<text x=\"{MARGIN}\" y=\"20\">{title}</text>");
     let latency: [(&str, &str, Vec<f64>); 2] =
         [("p50 ms", "#1f77b4", quantiles(0.5)), ("p99 ms", "#d62728", quantiles(0.99))];
-    panel(&mut text, MARGIN, &latency);
+    draw_panel(&mut text, MARGIN, &latency);
     let endings: [(&str, &str, Vec<f64>); 3] = [
         ("answered/s", "#2ca02c", counts(|s| s.answered)),
         ("refused/s", "#ff7f0e", counts(|s| s.refused)),
         ("failed/s", "#d62728", counts(|s| s.failed)),
     ];
-    panel(&mut text, 2.0 * MARGIN + PANEL, &endings);
+    draw_panel(&mut text, 2.0 * MARGIN + PANEL_HEIGHT, &endings);
     text.push_str("</svg>\n");
     text
 }
 
-fn by_second(ended: &[Ended]) -> Vec<Second> {
-    let last = ended.iter().map(|request| request.due_ms / 1_000).max().unwrap_or(0);
-    let mut seconds = vec![Second::default(); last as usize + 1];
-    for request in ended {
+fn by_second(records: &[RequestRecord]) -> Vec<SecondStats> {
+    let last = records.iter().map(|request| request.due_ms / 1_000).max().unwrap_or(0);
+    let mut seconds = vec![SecondStats::default(); last as usize + 1];
+    for request in records {
         let second = &mut seconds[(request.due_ms / 1_000) as usize];
         match request.ending {
-            Ending::Answered => {
+            RequestOutcome::Answered => {
                 second.answered += 1.0;
                 second.latencies_ms.push(request.latency_us as f64 / 1_000.0);
             }
-            Ending::Refused { .. } => second.refused += 1.0,
-            Ending::Failed(_) | Ending::MixedUp => second.failed += 1.0,
+            RequestOutcome::Refused { .. } => second.refused += 1.0,
+            RequestOutcome::Failed(_) | RequestOutcome::MixedUp => second.failed += 1.0,
         }
     }
     for second in &mut seconds {
@@ -71,14 +71,14 @@
     sorted.get(index.min(sorted.len().saturating_sub(1))).copied().unwrap_or(0.0)
 }
 
-fn panel(text: &mut String, top: f64, series: &[(&str, &str, Vec<f64>)]) {
-    let top_value = series.iter().flat_map(|(_, _, values)| values).copied().fold(1.0, f64::max);
-    let bottom = top + PANEL;
+fn draw_panel(text: &mut String, top: f64, series: &[(&str, &str, Vec<f64>)]) {
+    let max_value = series.iter().flat_map(|(_, _, values)| values).copied().fold(1.0, f64::max);
+    let bottom = top + PANEL_HEIGHT;
     let right = WIDTH - MARGIN;
     let _ = writeln!(
         text,
         "<path d=\"M{MARGIN} {top} V{bottom} H{right}\" fill=\"none\" stroke=\"black\"/>\n\
-         <text x=\"4\" y=\"{top}\">{top_value:.0}</text><text x=\"4\" y=\"{bottom}\">0</text>"
+         <text x=\"4\" y=\"{top}\">{max_value:.0}</text><text x=\"4\" y=\"{bottom}\">0</text>"
     );
     for (index, (label, colour, values)) in series.iter().enumerate() {
         let steps = values.len().saturating_sub(1).max(1) as f64;
@@ -87,7 +87,7 @@
             .enumerate()
             .map(|(i, value)| {
                 let x = MARGIN + (right - MARGIN) * i as f64 / steps;
-                let y = bottom - PANEL * value / top_value;
+                let y = bottom - PANEL_HEIGHT * value / max_value;
                 format!("{x:.1},{y:.1}")
             })
             .collect();
--- a/crates/azuregate-lab/src/load/report.rs
+++ b/crates/azuregate-lab/src/load/report.rs
@@ -5,10 +5,10 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use crate::load::{Audit, Class, Ended, Ending};
+use crate::load::{Audit, Class, RequestOutcome, RequestRecord};
 
 /// The longest latency that is told apart, in microseconds.
-const LATENCY_LIMIT_US: u64 = 60_000_000;
+const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Latency from the intended start, of answered requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -50,12 +50,12 @@
 }
 
 impl Latency {
-    /// Latency of the answered requests among `ended`.
-    pub fn of<'a>(ended: impl IntoIterator<Item = &'a Ended>) -> Latency {
-        let mut histogram = Histogram::<u64>::new_with_max(LATENCY_LIMIT_US, 3)
+    /// Latency of the answered requests among `records`.
+    pub fn of<'a>(records: impl IntoIterator<Item = &'a RequestRecord>) -> Latency {
+        let mut histogram = Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3)
             .expect("the bounds are valid constants");
-        for request in ended {
-            if request.ending == Ending::Answered {
+        for request in records {
+            if request.ending == RequestOutcome::Answered {
                 histogram.saturating_record(request.latency_us);
             }
         }
@@ -71,10 +71,10 @@
 }
 
 impl Report {
-    /// Sums up `ended`, which were due within `duration_ms`.
-    pub fn new(ended: &[Ended], duration_ms: u64, audit: Option<Audit>) -> Report {
+    /// Sums up `records`, which were due within `duration_ms`.
+    pub fn new(records: &[RequestRecord], duration_ms: u64, audit: Option<Audit>) -> Report {
         let mut report = Report {
-            offered: ended.len() as u64,
+            offered: records.len() as u64,
             answered: 0,
             goodput_per_s: 0.0,
             refused: BTreeMap::new(),
@@ -84,22 +84,22 @@
             latency: BTreeMap::new(),
             audit,
         };
-        for request in ended {
+        for request in records {
             report.came_back += u64::from(request.tries.saturating_sub(1));
             match &request.ending {
-                Ending::Answered => report.answered += 1,
-                Ending::MixedUp => report.mixed_up += 1,
-                Ending::Refused { status, outcome } => {
+                RequestOutcome::Answered => report.answered += 1,
+                RequestOutcome::MixedUp => report.mixed_up += 1,
+                RequestOutcome::Refused { status, outcome } => {
                     *report.refused.entry(format!("{status} {outcome}")).or_default() += 1;
                 }
-                Ending::Failed(reason) => {
+                RequestOutcome::Failed(reason) => {
                     *report.failed.entry(reason.clone()).or_default() += 1;
                 }
             }
         }
         report.goodput_per_s = report.answered as f64 * 1_000.0 / duration_ms.max(1) as f64;
         for class in [Class::Read, Class::Keyed, Class::Upload] {
-            let latency = Latency::of(ended.iter().filter(|request| request.class == class));
+            let latency = Latency::of(records.iter().filter(|request| request.class == class));
             if latency.count > 0 {
                 report.latency.insert(class, latency);
             }
--- a/crates/azuregate-lab/src/load/ended.rs
+++ b/crates/azuregate-lab/src/load/request.rs
@@ -17,7 +17,7 @@
 /// What the caller got.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Ending {
+pub enum RequestOutcome {
     /// The whole answer of a backend server to this very request.
     Answered,
     /// An answer that belongs to another request, or to other content.
@@ -35,7 +35,7 @@
 
 /// One request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
-pub struct Ended {
+pub struct RequestRecord {
     /// Its name.
     pub name: String,
     /// Its kind.
@@ -47,5 +47,5 @@
     /// How often the caller sent it.
     pub tries: u32,
     /// What came of it.
-    pub ending: Ending,
+    pub ending: RequestOutcome,
 }
--- a/crates/azuregate-lab/src/measure/drain.rs
+++ b/crates/azuregate-lab/src/measure/drain.rs
@@ -71,7 +71,7 @@
     lab.wait_ready().await?;
     let entry = lab.example.entries.first().ok_or("the example has no entry instance")?;
     let at = lab.example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&lab.example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     config.rate_per_s = service.capacity_per_s() * LOAD;
     config.keyed_percent = 0;
     // The load ends with the rounds.
--- a/crates/azuregate-lab/src/measure/latency.rs
+++ b/crates/azuregate-lab/src/measure/latency.rs
@@ -13,7 +13,7 @@
     baselines,
     client::ClientError,
     example::{Example, ServiceExample},
-    load::{self, Class, Ended, Ending, Latency, Report},
+    load::{self, Class, Latency, Report, RequestOutcome, RequestRecord},
     measure::{Plan, Section, Spread},
     up::{self, Lab},
 };
@@ -53,7 +53,7 @@
 
 /// What one run gave.
 struct Given {
-    ended: Vec<Ended>,
+    ended: Vec<RequestRecord>,
     service_p99_ms: f64,
     shed: u64,
     cancelled: u64,
@@ -116,7 +116,7 @@
 ) -> Result<Given, ClientError> {
     let entry = lab.example.entries.first().ok_or("the example has no entry instance")?;
     let at = lab.example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&lab.example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     if plan.skew {
         config = config.with_skew(&lab.example);
     }
@@ -157,11 +157,11 @@
 
 /// Answers that came after the first half second, when the queues have filled,
 /// and before the end.
-fn goodput(ended: &[Ended], run_ms: u64, service: &ServiceExample) -> f64 {
+fn goodput(ended: &[RequestRecord], run_ms: u64, service: &ServiceExample) -> f64 {
     let settled_ms = 500.min(run_ms / 2);
     let in_time = ended.iter().filter(|request| {
         let at_ms = request.due_ms + request.latency_us / 1_000;
-        request.ending == Ending::Answered && (settled_ms..run_ms).contains(&at_ms)
+        request.ending == RequestOutcome::Answered && (settled_ms..run_ms).contains(&at_ms)
     });
     let span_s = (run_ms - settled_ms) as f64 / 1_000.0;
     in_time.count() as f64 / span_s / service.capacity_per_s()
--- a/crates/azuregate-lab/src/measure/overhead.rs
+++ b/crates/azuregate-lab/src/measure/overhead.rs
@@ -15,7 +15,7 @@
     backends::Distribution,
     client::ClientError,
     example::{Example, ServiceExample},
-    load::{Conn, Lost},
+    load::{Conn, SendError},
     measure::{Plan, Section, Spread, processes::Entries},
     up,
 };
@@ -103,8 +103,8 @@
         .body(Full::default())?;
     let start = Instant::now();
     let answer = conn.send(request).await.map_err(|lost| match lost {
-        Lost::Unsent(_) => "the connection closed".to_owned(),
-        Lost::Sent(reason) => reason,
+        SendError::Unsent(_) => "the connection closed".to_owned(),
+        SendError::Interrupted(reason) => reason,
     })?;
     if !answer.status().is_success() {
         let text = String::from_utf8_lossy(answer.body()).into_owned();
--- a/crates/azuregate-lab/src/measure/recovery.rs
+++ b/crates/azuregate-lab/src/measure/recovery.rs
@@ -10,7 +10,7 @@
 use crate::{
     client::ClientError,
     example::{EntryExample, Example, ServiceExample},
-    load::{self, Audit, Class, Ended, Ending, Latency, Report},
+    load::{self, Audit, Class, Latency, Report, RequestOutcome, RequestRecord},
     measure::{Plan, Section, processes::Entries},
     up::{self, Lab},
 };
@@ -96,7 +96,7 @@
     let mut entries = Entries::start(&example).await?;
     let entry = example.entries.last().ok_or("the example has no entry instance")?;
     let at = example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&example);
     config.rate_per_s = service.capacity_per_s() * LOAD;
     config.timeout_ms = TIMEOUT_MS;
     let duration_ms = EVENT_MS + failure.lasts_ms() + AFTER_MS;
@@ -150,15 +150,16 @@
     }
 }
 
-fn judge(failure: Failure, ended: &[Ended], duration_ms: u64, audit: Audit) -> Run {
+fn judge(failure: Failure, ended: &[RequestRecord], duration_ms: u64, audit: Audit) -> Run {
     let reads = || ended.iter().filter(|request| request.class == Class::Read);
     let due_in = |start: u64, end: u64| {
         reads().filter(move |request| (start..end).contains(&request.due_ms))
     };
     let before = Latency::of(due_in(SETTLED_MS, EVENT_MS));
     let limit_us = (before.p99_ms * SLOW * 1_000.0) as u64;
-    let is_bad =
-        |request: &&Ended| request.ending != Ending::Answered || request.latency_us > limit_us;
+    let is_bad = |request: &&RequestRecord| {
+        request.ending != RequestOutcome::Answered || request.latency_us > limit_us
+    };
     let bad_share = |start: u64, end: u64| {
         let all = due_in(start, end).count().max(1);
         due_in(start, end).filter(is_bad).count() as f64 / all as f64
@@ -177,7 +178,7 @@
         recovered: EVENT_MS + recovered_ms + 4 * BIN_MS <= duration_ms,
         before,
         unserved_reads: due_in(IN_FLIGHT_MS, duration_ms)
-            .filter(|request| request.ending != Ending::Answered)
+            .filter(|request| request.ending != RequestOutcome::Answered)
             .count() as u64,
         reads: due_in(IN_FLIGHT_MS, duration_ms).count() as u64,
         bad_shares,
--- a/crates/azuregate-lab/src/measure/shift.rs
+++ b/crates/azuregate-lab/src/measure/shift.rs
@@ -124,7 +124,7 @@
 fn config(lab: &Lab, service: &ServiceExample, seed: u64) -> Result<load::Config, ClientError> {
     let entry = lab.example.entries.first().ok_or("the example has no entry instance")?;
     let at = lab.example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&lab.example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     // The last zone has the fewest servers.
     let zones = lab.example.topology.zones().count().max(1);
     let servers = usize::from(service.upstreams) / zones;
--- a/crates/azuregate-lab/tests/lab/audit.rs
+++ b/crates/azuregate-lab/tests/lab/audit.rs
@@ -2,18 +2,18 @@
 
 use std::collections::HashMap;
 
-use azuregate_lab::load::{Audit, Class, Ended, Ending, audit};
+use azuregate_lab::load::{Audit, Class, RequestOutcome, RequestRecord, audit};
 
-pub(crate) fn ended(name: &str, class: Class, ending: Ending) -> Ended {
-    Ended { name: name.to_owned(), class, due_ms: 0, latency_us: 20_000, tries: 1, ending }
+pub(crate) fn ended(name: &str, class: Class, ending: RequestOutcome) -> RequestRecord {
+    RequestRecord { name: name.to_owned(), class, due_ms: 0, latency_us: 20_000, tries: 1, ending }
 }
 
-pub(crate) fn refused(status: u16, outcome: &str) -> Ending {
-    Ending::Refused { status, outcome: outcome.to_owned() }
+pub(crate) fn refused(status: u16, outcome: &str) -> RequestOutcome {
+    RequestOutcome::Refused { status, outcome: outcome.to_owned() }
 }
 
-fn failed() -> Ending {
-    Ending::Failed("cut short".to_owned())
+fn failed() -> RequestOutcome {
+    RequestOutcome::Failed("cut short".to_owned())
 }
 
 #[test]
@@ -22,13 +22,13 @@
     let none = Audit::default;
     // Class, ending, number of executions, expected audit.
     let table = [
-        (Class::Read, Ending::Answered, 1, none()),
-        (Class::Read, Ending::Answered, 3, Audit { extra_reads: 2, ..none() }),
-        (Class::Read, Ending::Answered, 0, Audit { losses: names(), ..none() }),
-        (Class::Keyed, Ending::Answered, 1, none()),
-        (Class::Keyed, Ending::Answered, 2, Audit { duplicates: names(), ..none() }),
-        (Class::Upload, Ending::Answered, 2, Audit { duplicates: names(), ..none() }),
-        (Class::Upload, Ending::Answered, 0, Audit { losses: names(), ..none() }),
+        (Class::Read, RequestOutcome::Answered, 1, none()),
+        (Class::Read, RequestOutcome::Answered, 3, Audit { extra_reads: 2, ..none() }),
+        (Class::Read, RequestOutcome::Answered, 0, Audit { losses: names(), ..none() }),
+        (Class::Keyed, RequestOutcome::Answered, 1, none()),
+        (Class::Keyed, RequestOutcome::Answered, 2, Audit { duplicates: names(), ..none() }),
+        (Class::Upload, RequestOutcome::Answered, 2, Audit { duplicates: names(), ..none() }),
+        (Class::Upload, RequestOutcome::Answered, 0, Audit { losses: names(), ..none() }),
         (Class::Keyed, refused(503, "not-run"), 0, none()),
         (Class::Keyed, refused(503, "not-run"), 1, Audit { false_not_run: names(), ..none() }),
         (Class::Keyed, refused(409, "unknown"), 1, Audit { unanswered_runs: 1, ..none() }),
--- a/crates/azuregate-lab/tests/lab/callers.rs
+++ b/crates/azuregate-lab/tests/lab/callers.rs
@@ -10,7 +10,7 @@
 };
 
 use azuregate_core::names::ServiceName;
-use azuregate_lab::load::{self, Config, Ending};
+use azuregate_lab::load::{self, Config, RequestOutcome};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Request, Response, body::Incoming, server::conn::http1, service::service_fn};
@@ -109,17 +109,18 @@
 
 #[tokio::test]
 async fn responses_are_classified() {
-    let refused = |status, outcome: &str| Ending::Refused { status, outcome: outcome.to_owned() };
+    let refused =
+        |status, outcome: &str| RequestOutcome::Refused { status, outcome: outcome.to_owned() };
     // Response, maximum number of retries, ending, number of tries.
     let table = [
-        (ResponseKind::Matching, 0, Ending::Answered, 1),
-        (ResponseKind::Mismatched, 0, Ending::MixedUp, 1),
+        (ResponseKind::Matching, 0, RequestOutcome::Answered, 1),
+        (ResponseKind::Mismatched, 0, RequestOutcome::MixedUp, 1),
         (ResponseKind::NotRun, 0, refused(503, "not-run"), 1),
         (ResponseKind::NotRun, 3, refused(503, "not-run"), 4),
         // A request that may have run must not be retried.
         (ResponseKind::Unknown, 3, refused(502, "unknown"), 1),
         (ResponseKind::BackendError, 3, refused(500, "backend"), 1),
-        (ResponseKind::NotRunOnce, 3, Ending::Answered, 2),
+        (ResponseKind::NotRunOnce, 3, RequestOutcome::Answered, 2),
     ];
     for (kind, retries, ending, tries) in table {
         let (addr, _) = start_entry(kind).await;
@@ -138,7 +139,7 @@
     let ended = load::run(&config(addr)).await.unwrap();
     assert!(!ended.is_empty());
     for request in ended {
-        assert!(matches!(request.ending, Ending::Failed(_)), "{request:?}");
+        assert!(matches!(request.ending, RequestOutcome::Failed(_)), "{request:?}");
     }
 }
 
@@ -157,7 +158,7 @@
 #[tokio::test]
 async fn the_same_seed_gives_the_same_arrivals() {
     let (addr, _) = start_entry(ResponseKind::Matching).await;
-    let key = |ended: Vec<load::Ended>| {
+    let key = |ended: Vec<load::RequestRecord>| {
         let mut all: Vec<_> = ended.into_iter().map(|r| (r.due_ms, r.name, r.class)).collect();
         all.sort();
         all
--- a/crates/azuregate-lab/tests/lab/reports.rs
+++ b/crates/azuregate-lab/tests/lab/reports.rs
@@ -1,22 +1,22 @@
 //! Snapshots of the output formats of a report.
 
-use azuregate_lab::load::{Class, Ended, Ending, Report, audit, svg};
+use azuregate_lab::load::{Class, Report, RequestOutcome, RequestRecord, audit, svg};
 
 use crate::audit::{ended, refused};
 
-fn ended_requests() -> Vec<Ended> {
+fn ended_requests() -> Vec<RequestRecord> {
     let mut all: Vec<_> = (0..98)
         .map(|i| {
-            let mut request = ended(&format!("r{i}"), Class::Read, Ending::Answered);
+            let mut request = ended(&format!("r{i}"), Class::Read, RequestOutcome::Answered);
             request.due_ms = i * 20;
             request.latency_us = 10_000 + i * 1_000;
             request
         })
         .collect();
-    all.push(ended("o1", Class::Keyed, Ending::Answered));
+    all.push(ended("o1", Class::Keyed, RequestOutcome::Answered));
     all.push(ended("o2", Class::Keyed, refused(503, "not-run")));
-    all.push(ended("o3", Class::Keyed, Ending::Failed("cut short".to_owned())));
-    all.push(ended("o4", Class::Keyed, Ending::MixedUp));
+    all.push(ended("o3", Class::Keyed, RequestOutcome::Failed("cut short".to_owned())));
+    all.push(ended("o4", Class::Keyed, RequestOutcome::MixedUp));
     all
 }
 
