--- a/crates/azuregate-core/src/lib.rs
+++ b/crates/azuregate-core/src/lib.rs
@@ -10,8 +10,8 @@
     time::Millis,
 };
 
-let answer = ErrorKind::QueueFull.answer();
-assert_eq!(answer.outcome, Outcome::NotRun);
+let response = ErrorKind::QueueFull.response();
+assert_eq!(response.outcome, Outcome::NotRun);
 assert!(Millis(5) < Millis(7));
 ```
 
@@ -32,7 +32,7 @@
 * [`probe`] detects backend servers that do not respond.
 * [`entries`] selects the entry instances that a client should use.
 * [`retry`] limits retries to a share of recent requests.
-* [`late`] tracks the usual response time.
+* [`latency`] tracks the usual response time.
 * [`error`] defines the error kinds and the response to each.
 */
 
@@ -42,7 +42,7 @@
 pub mod entries;
 pub mod error;
 pub mod home;
-pub mod late;
+pub mod latency;
 pub mod membership;
 pub mod names;
 pub mod neighbours;
--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -12,10 +12,10 @@
 
 use azuregate::peer::Frame;
 use azuregate_core::{
-    membership::{Heartbeat, Pace},
+    membership::{Heartbeat, HeartbeatTiming},
     names::{BackendId, InstanceId, ServiceName, StartNumber, ZoneName},
-    neighbours::{Graph, graph},
-    policy::{Cap, Policy, SHIFT_DELAY_MS, Shift},
+    neighbours::{LinkGraph, link_graph},
+    policy::{Cap, DEFAULT_SHIFT_DELAY_MS, Policy, Shift},
     probe::ProbeReport,
     snapshot::{Instance, Liveness},
     time::Millis,
@@ -46,7 +46,7 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for (count, zones) in SIZES {
-        let graph = graph(&instances(count, zones));
+        let graph = link_graph(&instances(count, zones));
         let dead = count * 46 / 680;
         let deaths = if dead == 0 { vec![0] } else { vec![0, dead] };
         for dead in deaths {
@@ -55,7 +55,7 @@
     }
 }
 
-fn print_row(graph: &Graph, dead: usize, change: usize, heartbeat: usize) {
+fn print_row(graph: &LinkGraph, dead: usize, change: usize, heartbeat: usize) {
     let mut all = Spread::default();
     let seeds = if dead == 0 { 1 } else { SEEDS };
     for seed in 0..seeds {
@@ -65,7 +65,7 @@
     let (links_mean, links_max) = mean_max(&links);
     let frames: Vec<f64> = all.sent.iter().map(|&sent| sent as f64).collect();
     let (frames_mean, frames_max) = mean_max(&frames);
-    let beats_per_s = 1e3 / Pace::of(graph.len()).heartbeat_ms as f64;
+    let beats_per_s = 1e3 / HeartbeatTiming::for_deployment(graph.len()).heartbeat_ms as f64;
     let changes_per_s = CHANGES_PER_DAY / S_PER_DAY;
     let at_rest = |links: f64, frames: f64| {
         links * beats_per_s * heartbeat as f64 + changes_per_s * frames * change as f64
@@ -105,7 +105,7 @@
     }
 }
 
-fn spread(graph: &Graph, dead: usize, seed: u64) -> Spread {
+fn spread(graph: &LinkGraph, dead: usize, seed: u64) -> Spread {
     let mut rng = fastrand::Rng::with_seed(seed);
     let names: Vec<&InstanceId> = graph.keys().collect();
     let mut alive: BTreeSet<&InstanceId> = names.iter().copied().collect();
@@ -197,7 +197,7 @@
             start_at_ms: Millis(1_796_256_000_000),
             cap,
         }),
-        shift_delay_ms: SHIFT_DELAY_MS,
+        shift_delay_ms: DEFAULT_SHIFT_DELAY_MS,
         drains: (0..2).map(|index| BackendId::new(&format!("starter-desk-{index:02}"))).collect(),
         timeout_ms: 10_000,
         queue_ms: 200,
--- a/crates/azuregate/src/serve/relay.rs
+++ b/crates/azuregate/src/serve/relay.rs
@@ -120,7 +120,7 @@
 }
 
 fn known_at_ms(state: &State) -> u64 {
-    state.contact.borrow().known_at_ms().unwrap_or_default()
+    state.contact.borrow().synced_at_ms().unwrap_or_default()
 }
 
 /// Waits until there is a change that one with these `versions` lacks, or what is
@@ -181,7 +181,7 @@
     state.encoded.borrow_mut().get(span.clone(), || {
         let tables = state.tables.borrow();
         let changes =
-            span.into_iter().map(|(table, from, _)| (table, tables.get(table).since(from)));
+            span.into_iter().map(|(table, from, _)| (table, tables.get(table).changes_since(from)));
         Encoded::new(&changes.collect())
     })
 }
