--- a/crates/azuregate-lab/src/load/audit.rs
+++ b/crates/azuregate-lab/src/load/audit.rs
@@ -1,4 +1,5 @@
-//! Checks what callers were told against what truly ran.
+//! Checks the outcomes that callers saw against the executions at the backend
+//! servers.
 
 use std::{collections::HashMap, net::SocketAddr};
 
@@ -9,30 +10,30 @@
     load::{Class, RequestOutcome, RequestRecord},
 };
 
-/// What does not add up, and what was done in vain.
+/// Contradictions between outcomes and executions, and wasted executions.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize)]
 pub struct Audit {
-    /// Orders and uploads that ran more than once.
+    /// Orders and uploads that were executed more than once.
     pub duplicates: Vec<String>,
-    /// Requests that were answered but never ran.
+    /// Requests that were answered but never executed.
     pub losses: Vec<String>,
-    /// Requests that ran although their callers were told that they did not.
+    /// Requests that were executed but refused as `not-run`.
     pub false_not_run: Vec<String>,
-    /// Reads that ran again; safe, but work.
+    /// Repeated executions of reads, which are safe but cost capacity.
     pub extra_reads: u64,
-    /// Runs whose caller got no whole answer.
+    /// Executions whose caller got no complete answer.
     pub unanswered_runs: u64,
 }
 
 impl Audit {
-    /// Whether everything adds up.
+    /// Returns whether there are no duplicates, losses or false refusals.
     pub fn is_clean(&self) -> bool {
         self.duplicates.is_empty() && self.losses.is_empty() && self.false_not_run.is_empty()
     }
 }
 
-/// Checks the requests of one run; `ran` says how often each ran, over all
-/// backend servers.
+/// Audits the requests of one run. `executions` is the number of executions of
+/// each request over all backend servers, by request ID.
 pub fn audit(records: &[RequestRecord], executions: &HashMap<String, u64>) -> Audit {
     let mut audit = Audit::default();
     for request in records {
@@ -57,11 +58,12 @@
     audit
 }
 
-/// Adds up what ran at the backend servers at `addrs`.
+/// Returns the number of executions of each request, summed over the backend
+/// servers at `addrs`.
 ///
 /// # Errors
 ///
-/// When one cannot be asked.
+/// When a server cannot be reached or its response is not valid.
 pub async fn fetch_executions(addrs: &[SocketAddr]) -> Result<HashMap<String, u64>, ClientError> {
     let mut all = HashMap::new();
     for &addr in addrs {
