--- a/crates/azuregate-lab/src/load/caller.rs
+++ b/crates/azuregate-lab/src/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: what it knows of the entry instances, and its connections.
+//! A simulated caller with its list of entry instances and its connections.
 
 use std::{
     collections::HashMap,
@@ -24,10 +24,10 @@
     },
 };
 
-/// How much longer than it says a caller waits for the refusal.
+/// Time past the announced timeout that a caller waits for the response.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(500);
 
-/// One caller.
+/// One simulated caller.
 pub struct Caller {
     ip: Option<IpAddr>,
     bootstrap_addr: SocketAddr,
@@ -38,7 +38,7 @@
     idle: Mutex<HashMap<SocketAddr, Vec<Conn>>>,
 }
 
-/// One request to make.
+/// A request to send.
 #[derive(Clone, Debug)]
 pub(crate) struct Job {
     pub(crate) name: String,
@@ -48,8 +48,9 @@
 }
 
 impl Caller {
-    /// A caller that comes from `ip` and asks `ask` first; it uses `favoured`
-    /// while that takes requests.
+    /// Returns a caller that connects from `ip` and fetches its first list of
+    /// entry instances from `bootstrap_addr`. It prefers `favoured` while that is
+    /// listed.
     pub fn new(
         ip: Option<IpAddr>,
         bootstrap_addr: SocketAddr,
@@ -68,12 +69,12 @@
         }
     }
 
-    /// Asks which entry instances to use: those that it knows, in order, then
-    /// the one that it started from.
+    /// Fetches the list of entry instances from the known ones in order, then
+    /// from the bootstrap address.
     ///
     /// # Errors
     ///
-    /// When none of them gives a list that names an instance.
+    /// When none of them returns a list with at least one instance.
     pub async fn discover(&self) -> Result<(), ClientError> {
         let mut last: ClientError = "there is no entry instance to ask".into();
         let entry_addrs = lock(&self.entry_addrs).clone();
@@ -105,15 +106,15 @@
         let entries: Entries = serde_json::from_slice(answer.body())?;
         let mut addrs: Vec<_> = entries.entries.iter().map(|entry| entry.addr).collect();
         if let Some(favoured) = self.favoured {
-            // Stable, so the others keep their order.
+            // The sort is stable, so the others keep their order.
             addrs.sort_by_key(|addr| *addr != favoured);
         }
         if addrs.is_empty() { Err("no entry instance takes requests".into()) } else { Ok(addrs) }
     }
 
-    /// Asks again each time the last answer has run out.
+    /// Fetches the list again whenever its max-age has elapsed.
     pub(crate) async fn refresh_periodically(self: std::sync::Arc<Caller>) {
-        // Callers did not all start at once.
+        // A random phase keeps callers from refreshing at the same time.
         let mut wait_ms = fastrand::u64(0..MAX_AGE_S * 1_000);
         loop {
             time::sleep(Duration::from_millis(wait_ms)).await;
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Makes one request; returns how it ended and how often it was sent.
+    /// Sends a request with retries; returns its outcome and the number of tries.
     pub(crate) async fn execute(&self, job: &Job) -> (RequestOutcome, u32) {
         let mut tries = 1;
         loop {
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Makes one request once; returns also when to come back, if it was
-    /// refused as not run and the answer says when.
+    /// Sends a request once; returns its outcome and, if it was refused as
+    /// `not-run` with a `Retry-After`, the delay until a retry.
     async fn attempt(&self, job: &Job) -> (RequestOutcome, Option<Duration>) {
         let request = match self.request(job) {
             Ok(request) => request,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Sends to the first entry instance that takes the connection.
+    /// Sends a request to the first entry instance that accepts the connection.
     async fn send(&self, mut request: Request<Full<Bytes>>) -> Result<Response<Bytes>, String> {
         let entry_addrs = lock(&self.entry_addrs).clone();
         let deadline = Instant::now() + Duration::from_millis(self.timeout_ms) + TIMEOUT_MARGIN;
@@ -188,8 +189,8 @@
         Err("no entry instance can be reached".to_owned())
     }
 
-    /// Uses an entry instance that gave no answer after all others, until the
-    /// next list.
+    /// Moves an entry instance that did not answer to the end of the list, until
+    /// the list is next fetched.
     fn deprioritize(&self, addr: SocketAddr) {
         lock(&self.entry_addrs).sort_by_key(|entry| *entry == addr);
     }
@@ -246,8 +247,8 @@
     if !status.is_success() {
         return RequestOutcome::Refused { status: status.as_u16(), outcome: "backend".to_owned() };
     }
-    // The backend server repeats what it was asked: an answer to another
-    // request would show.
+    // The backend server echoes the body length and the request ID, which detects
+    // responses to other requests.
     let bytes = match job.class {
         Class::Read => 0,
         Class::Keyed => "order".len(),
