--- a/crates/azuregate-lab/src/load/conn.rs
+++ b/crates/azuregate-lab/src/load/conn.rs
@@ -1,4 +1,4 @@
-//! Connections of a caller, kept alive between requests.
+//! Persistent connections of a caller.
 
 use std::{
     io,
@@ -16,16 +16,16 @@
     sender: http1::SendRequest<Full<Bytes>>,
 }
 
-/// A request that got no whole answer.
+/// A request that got no complete response.
 pub(crate) enum SendError {
-    /// Nothing was sent; the request comes back.
+    /// Nothing was sent; holds the request.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// It was sent, or a part of it.
+    /// The request was sent, at least in part; holds the reason.
     Interrupted(String),
 }
 
 impl Conn {
-    /// Opens a connection, from `from` if given.
+    /// Opens a connection, bound to `from` if given.
     pub(crate) async fn open(from: Option<IpAddr>, to: SocketAddr) -> io::Result<Conn> {
         let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         if let Some(ip) = from {
@@ -39,12 +39,12 @@
         Ok(Conn { sender })
     }
 
-    /// Whether another request may be sent.
+    /// Returns whether another request can be sent.
     pub(crate) fn is_idle(&self) -> bool {
         self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -65,7 +65,7 @@
     }
 }
 
-/// A short reason, the same for all failures of a kind.
+/// Returns a short reason, the same for all errors of a kind.
 fn reason(e: &hyper::Error) -> String {
     let reason = if e.is_incomplete_message() || e.is_body_write_aborted() {
         "cut short"
