--- a/crates/azuregate-lab/src/load/request.rs
+++ b/crates/azuregate-lab/src/load/request.rs
@@ -1,8 +1,8 @@
-//! How a request ended, as its caller sees it.
+//! Requests and their outcomes, as their callers see them.
 
 use serde::Serialize;
 
-/// The kinds of request.
+/// The class of a request.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Class {
@@ -14,38 +14,40 @@
     Upload,
 }
 
-/// What the caller got.
+/// The outcome of a request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestOutcome {
-    /// The whole answer of a backend server to this very request.
+    /// A complete response of a backend server to this request.
     Answered,
-    /// An answer that belongs to another request, or to other content.
+    /// A response to another request or to other content.
     MixedUp,
-    /// An answer of azuregate itself, or an error of a backend server.
+    /// An error response of azuregate or of a backend server.
     Refused {
         /// HTTP status.
         status: u16,
-        /// What it says of the request; `backend` for a backend server's error.
+        /// The `azuregate-outcome` header, or `backend` for a backend server's
+        /// error.
         outcome: String,
     },
-    /// No whole answer.
+    /// No complete response; holds the reason.
     Failed(String),
 }
 
-/// One request.
+/// The record of one request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize)]
 pub struct RequestRecord {
-    /// Its name.
+    /// Request ID.
     pub name: String,
-    /// Its kind.
+    /// Class.
     pub class: Class,
-    /// When it was due, since the start.
+    /// Intended start, relative to the start of the run.
     pub due_ms: u64,
-    /// From when it was due to the end of the last answer, in microseconds.
+    /// Time from the intended start to the end of the last response, in
+    /// microseconds.
     pub latency_us: u64,
-    /// How often the caller sent it.
+    /// Number of times that the caller sent it.
     pub tries: u32,
-    /// What came of it.
+    /// Outcome.
     pub ending: RequestOutcome,
 }
