--- a/crates/azuregate-lab/src/load/plot.rs
+++ b/crates/azuregate-lab/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Draws a run as an SVG file: latency and endings over time.
+//! Plots latency and outcomes over time as SVG.
 
 use std::fmt::Write as _;
 
@@ -8,7 +8,7 @@
 const PANEL_HEIGHT: f64 = 220.0;
 const MARGIN: f64 = 50.0;
 
-/// One second of a run.
+/// Totals of one second of a run.
 #[derive(Clone, Debug, Default)]
 struct SecondStats {
     latencies_ms: Vec<f64>,
@@ -17,8 +17,8 @@
     failed: f64,
 }
 
-/// Draws median and 99th percentile of latency, and the endings, by the second
-/// in which the requests were due.
+/// Returns an SVG plot of the median and 99th percentile latency and of the
+/// outcomes, by the second in which the requests were due.
 pub fn svg(title: &str, records: &[RequestRecord]) -> String {
     let seconds = by_second(records);
     let quantiles = |q: f64| seconds.iter().map(|s| quantile(&s.latencies_ms, q)).collect();
