--- a/crates/azuregate-lab/src/load/report.rs
+++ b/crates/azuregate-lab/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Sums up a run.
+//! The report of a run.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -7,13 +7,13 @@
 
 use crate::load::{Audit, Class, RequestOutcome, RequestRecord};
 
-/// The longest latency that is told apart, in microseconds.
+/// Longer latencies are recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Latency from the intended start, of answered requests.
+/// Latency of answered requests, measured from their intended start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// How many there were.
+    /// Number of answered requests.
     pub count: u64,
     /// Median.
     pub p50_ms: f64,
@@ -21,36 +21,36 @@
     pub p99_ms: f64,
     /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Largest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// What came of the load.
+/// The results of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Requests that were due.
+    /// Number of requests that were due.
     pub offered: u64,
-    /// Requests that got their own whole answer.
+    /// Number of requests that got their complete answer.
     pub answered: u64,
-    /// Those, a second.
+    /// Answered requests per second.
     pub goodput_per_s: f64,
-    /// Answers that azuregate or a backend server refused with, by status and
+    /// Requests that azuregate or a backend server refused, by status and
     /// outcome.
     pub refused: BTreeMap<String, u64>,
-    /// Requests that got no whole answer, by reason.
+    /// Requests that got no complete response, by reason.
     pub failed: BTreeMap<String, u64>,
-    /// Answers that belonged to another request.
+    /// Responses that belonged to another request.
     pub mixed_up: u64,
-    /// Times that callers came back after a refusal.
+    /// Retries after a refusal.
     pub came_back: u64,
     /// Latency by class.
     pub latency: BTreeMap<Class, Latency>,
-    /// What does not add up, when the backend servers were asked.
+    /// The audit against the executions, if it was requested.
     pub audit: Option<Audit>,
 }
 
 impl Latency {
-    /// Latency of the answered requests among `records`.
+    /// Returns the latency of the answered requests among `records`.
     pub fn of<'a>(records: impl IntoIterator<Item = &'a RequestRecord>) -> Latency {
         let mut histogram = Histogram::<u64>::new_with_max(MAX_LATENCY_US, 3)
             .expect("the bounds are valid constants");
@@ -71,7 +71,7 @@
 }
 
 impl Report {
-    /// Sums up `records`, which were due within `duration_ms`.
+    /// Returns the report of `records`, which were due within `duration_ms`.
     pub fn new(records: &[RequestRecord], duration_ms: u64, audit: Option<Audit>) -> Report {
         let mut report = Report {
             offered: records.len() as u64,
@@ -107,12 +107,12 @@
         report
     }
 
-    /// All refusals.
+    /// Returns the number of refused requests.
     pub fn refused_count(&self) -> u64 {
         self.refused.values().sum()
     }
 
-    /// All failures.
+    /// Returns the number of failed requests.
     pub fn failed_count(&self) -> u64 {
         self.failed.values().sum()
     }
