--- a/crates/azuregate-lab/src/load/mod.rs
+++ b/crates/azuregate-lab/src/load/mod.rs
@@ -1,11 +1,11 @@
 /*!
-Open-loop load: requests start when they are due, whether or not earlier ones
-have been answered.
+An open-loop load generator: requests start when they are due, whether or not
+earlier ones have been answered.
 
-Callers stand near availability zones, ask an entry instance which ones to use,
-keep the answer for as long as it says, and keep their connections alive.
-[`run`] gives the load, [`Report`] sums it up, and [`audit`] checks it against
-what truly ran.
+Callers are located near availability zones. They fetch the list of entry
+instances, cache it for its max-age, and use persistent connections. [`run`]
+generates the load, [`Report`] summarises the outcomes, and [`audit`] checks them
+against the executions at the backend servers.
 */
 
 mod audit;
@@ -38,50 +38,51 @@
 pub use report::{Latency, Report};
 pub use request::{Class, RequestOutcome, RequestRecord};
 
-/// How many callers there are near each location.
+/// Number of callers at each location.
 const CALLERS_PER_LOCATION: usize = CLIENTS as usize;
 
-/// Where some of the callers stand.
+/// A location of callers.
 #[derive(Clone, Debug)]
 pub struct CallerLocation {
-    /// The IP numbers that they come from, one after the other; any if empty.
+    /// Source IP addresses, assigned in turn; any address if empty.
     pub ips: Vec<IpAddr>,
-    /// The entry instance that they ask first.
+    /// The entry instance that the first list of entries is fetched from.
     pub bootstrap_addr: SocketAddr,
 }
 
-/// What load to give.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the callers stand, the same number at each.
+    /// Locations, each with the same number of callers.
     pub locations: Vec<CallerLocation>,
-    /// Entry instances that get `favoured_percent` of the callers, whatever
-    /// the answer of `/v1/entries` prefers.
+    /// Entry instances that `favoured_percent` of the callers use, whatever the
+    /// order of `/v1/entries`.
     pub favoured: Vec<SocketAddr>,
-    /// How many callers in a hundred use the favoured instances.
+    /// Percentage of callers that use the favoured instances.
     pub favoured_percent: usize,
-    /// The service.
+    /// The service to send requests to.
     pub service: ServiceName,
-    /// Requests a second.
+    /// Mean arrival rate in requests per second.
     pub rate_per_s: f64,
-    /// How long.
+    /// Duration of the run.
     pub duration_ms: u64,
-    /// How many in a hundred are orders with an idempotency key.
+    /// Percentage of requests that are orders with an idempotency key.
     pub keyed_percent: u8,
-    /// How many in a hundred are uploads.
+    /// Percentage of requests that are uploads.
     pub upload_percent: u8,
-    /// The size of an upload.
+    /// Size of an upload.
     pub upload_bytes: usize,
-    /// How long a caller waits, in milliseconds.
+    /// Timeout of a request.
     pub timeout_ms: u64,
-    /// How often a caller comes back after a refusal that says when.
+    /// Maximum number of retries after refusals with a `Retry-After`.
     pub retries: u32,
-    /// Seed of the arrivals; it is part of the requests' names.
+    /// Seed of the arrivals; it is part of the request IDs.
     pub seed: u64,
 }
 
 impl Config {
-    /// Reads and a few orders for a service, from callers that ask `at`.
+    /// Returns the default parameters: reads and a few orders for `service`, from
+    /// callers that fetch their first list of entries from `at`.
     pub fn new(at: SocketAddr, service: &ServiceName) -> Config {
         Config {
             locations: vec![CallerLocation { ips: Vec::new(), bootstrap_addr: at }],
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Puts callers near every availability zone of an example.
+    /// Locates callers near every availability zone of an example.
     pub fn with_locations_of(mut self, example: &Example) -> Config {
         let location = |zone| {
             let near =
@@ -113,7 +114,7 @@
         self
     }
 
-    /// Gives half of all callers to the first two entry instances.
+    /// Makes half of the callers use the first two entry instances.
     pub fn with_skew(mut self, example: &Example) -> Config {
         let first = example.entries.iter().take(2);
         self.favoured = first.map(|entry| example.traffic_addr(entry)).collect();
@@ -156,12 +157,12 @@
     }
 }
 
-/// Gives load until its time is over and the last answers are in; returns how
-/// each request ended.
+/// Generates load for the configured duration, waits for the last responses, and
+/// returns the record of each request.
 ///
 /// # Errors
 ///
-/// When there is nowhere to start from, or no entry instance can be learnt.
+/// When there are no locations, or a caller cannot fetch the list of entries.
 pub async fn run(config: &Config) -> Result<Vec<RequestRecord>, ClientError> {
     if config.locations.is_empty() {
         return Err("there is no entry instance to ask".into());
@@ -187,7 +188,7 @@
     let mut due = start;
     let mut sequence = 0_u64;
     loop {
-        // Exponential gaps make a Poisson process.
+        // Exponential gaps make the arrivals a Poisson process.
         let gap_s = -(1.0 - rng.f64()).ln() / config.rate_per_s;
         due += Duration::from_secs_f64(gap_s);
         if due >= end {
