--- a/crates/azuregate-lab/src/example.rs
+++ b/crates/azuregate-lab/src/example.rs
@@ -3,8 +3,8 @@
 use std::{
     collections::{BTreeMap, BTreeSet},
     fmt, fs,
-    net::{IpAddr, SocketAddr},
     path::Path,
+    net::{IpAddr, SocketAddr},
 };
 
 use azuregate::settings::{PlatformSettings, Settings};
@@ -24,10 +24,10 @@
 };
 
 /// How many clients near each availability zone have an IP number of their own.
-pub const CLIENTS: u8 = 10;
+pub const CLIENTS_PER_ZONE: u8 = 10;
 /// How far the third part of the clients' IP numbers is from the platform's, for
 /// the first availability zone; those of the other zones follow.
-const CLIENT_NETS: u8 = 100;
+const CLIENT_SUBNET_OFFSET: u8 = 100;
 
 /// A deployment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -68,7 +68,7 @@
 }
 
 /// How far the port of a relay is from the one that it stands before.
-const RELAY_PORTS: u16 = 1_000;
+const RELAY_PORT_OFFSET: u16 = 1_000;
 
 /// An entry instance.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
@@ -173,7 +173,7 @@
 
     /// Where callers reach an entry instance.
     pub fn traffic_addr(&self, entry: &EntryExample) -> SocketAddr {
-        SocketAddr::new(entry.ip, self.listed(self.ports.traffic))
+        SocketAddr::new(entry.ip, self.advertised_port(self.ports.traffic))
     }
 
     /// Where operators reach an entry instance.
@@ -183,11 +183,11 @@
 
     /// The ports that a relay of an entry instance stands before, and its own.
     pub fn relayed_ports(&self) -> [(u16, u16); 2] {
-        [self.ports.traffic, self.ports.peers].map(|port| (port, port + RELAY_PORTS))
+        [self.ports.traffic, self.ports.peers].map(|port| (port, port + RELAY_PORT_OFFSET))
     }
 
-    fn listed(&self, port: u16) -> u16 {
-        if self.relays { port + RELAY_PORTS } else { port }
+    fn advertised_port(&self, port: u16) -> u16 {
+        if self.relays { port + RELAY_PORT_OFFSET } else { port }
     }
 
     /// What the platform lists when all is well.
@@ -196,8 +196,8 @@
             id: entry.id.clone(),
             zone: entry.zone.clone(),
             ip: entry.ip,
-            traffic_port: self.listed(self.ports.traffic),
-            peer_port: self.listed(self.ports.peers),
+            traffic_port: self.advertised_port(self.ports.traffic),
+            peer_port: self.advertised_port(self.ports.peers),
             liveness: Liveness::Live,
         });
         let backends = self.services.iter().flat_map(|service| self.backends(service));
@@ -209,21 +209,21 @@
         let entries = self.entries.iter().map(|e| (e.ip, Endpoint::Entry(e.zone.clone())));
         let zones = self.topology.zones();
         let clients = zones.flat_map(|zone| {
-            let ips = (0..CLIENTS).map(|rank| self.client_ip(zone, rank));
+            let ips = (0..CLIENTS_PER_ZONE).map(|rank| self.client_ip(zone, rank));
             ips.map(|ip| (ip, Endpoint::Clients(zone.clone())))
         });
         Network::new(self.topology.clone(), entries.chain(clients).collect())
     }
 
-    /// The IP number of one of the [`CLIENTS`] near an availability zone.
+    /// The IP number of one of the [`CLIENTS_PER_ZONE`] near an availability zone.
     pub fn client_ip(&self, zone: &ZoneName, rank: u8) -> IpAddr {
         let index = self.topology.zones().position(|z| z == zone).unwrap_or(0);
         let IpAddr::V4(platform) = self.platform_addr.ip() else {
             return self.platform_addr.ip();
         };
         let [a, b, c, _] = platform.octets();
-        let net = CLIENT_NETS.wrapping_add(u8::try_from(index).unwrap_or(u8::MAX));
-        IpAddr::from([a, b, c.wrapping_add(net), 1 + rank % CLIENTS])
+        let subnet = CLIENT_SUBNET_OFFSET.wrapping_add(u8::try_from(index).unwrap_or(u8::MAX));
+        IpAddr::from([a, b, c.wrapping_add(subnet), 1 + rank % CLIENTS_PER_ZONE])
     }
 
     /// The same example on other IP numbers of loopback.
@@ -231,8 +231,8 @@
     /// Each connection that was closed keeps its port for a minute. A run that
     /// opens thousands a second would leave none to the next one, whose
     /// connections then take seconds or fail.
-    pub fn on_loopback(&self, second_octet: u8) -> Example {
-        let moved = |ip: IpAddr| match ip {
+    pub fn with_loopback_subnet(&self, second_octet: u8) -> Example {
+        let replace = |ip: IpAddr| match ip {
             IpAddr::V4(ip) => {
                 let [first, _, third, fourth] = ip.octets();
                 IpAddr::from([first, second_octet, third, fourth])
@@ -240,12 +240,12 @@
             IpAddr::V6(_) => ip,
         };
         let mut example = self.clone();
-        example.platform_addr.set_ip(moved(example.platform_addr.ip()));
+        example.platform_addr.set_ip(replace(example.platform_addr.ip()));
         for entry in &mut example.entries {
-            entry.ip = moved(entry.ip);
+            entry.ip = replace(entry.ip);
         }
         for service in &mut example.services {
-            service.ip = moved(service.ip);
+            service.ip = replace(service.ip);
         }
         example
     }
@@ -272,7 +272,7 @@
     }
 
     /// A first policy for a service: nearness decides.
-    pub fn first_policy(&self, service: &ServiceExample) -> Policy {
+    pub fn initial_policy(&self, service: &ServiceExample) -> Policy {
         Policy {
             service: service.name.clone(),
             version: 1,
--- a/crates/azuregate-lab/src/load/mod.rs
+++ b/crates/azuregate-lab/src/load/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::{
     client::ClientError,
-    example::{CLIENTS, Example},
+    example::{CLIENTS_PER_ZONE, Example},
 };
 
 pub(crate) use conn::{Conn, SendError};
@@ -39,7 +39,7 @@
 pub use request::{Class, RequestOutcome, RequestRecord};
 
 /// Number of callers at each location.
-const CALLERS_PER_LOCATION: usize = CLIENTS as usize;
+const CALLERS_PER_LOCATION: usize = CLIENTS_PER_ZONE as usize;
 
 /// A location of callers.
 #[derive(Clone, Debug)]
@@ -106,7 +106,7 @@
             let near =
                 example.entries.iter().min_by_key(|e| example.topology.distance(zone, &e.zone));
             near.map(|entry| CallerLocation {
-                ips: (0..CLIENTS).map(|rank| example.client_ip(zone, rank)).collect(),
+                ips: (0..CLIENTS_PER_ZONE).map(|rank| example.client_ip(zone, rank)).collect(),
                 bootstrap_addr: example.traffic_addr(entry),
             })
         };
--- a/crates/azuregate-lab/src/measure/mod.rs
+++ b/crates/azuregate-lab/src/measure/mod.rs
@@ -60,7 +60,7 @@
         static NEXT: AtomicU32 = AtomicU32::new(0);
         let run = std::process::id().wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
         let octet = u8::try_from(run % OCTETS).unwrap_or(0);
-        self.example.on_loopback(1 + octet)
+        self.example.with_loopback_subnet(1 + octet)
     }
 }
 
--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -183,7 +183,7 @@
 pub fn start_platform(example: &Example) -> Server {
     let server = Server::new(example.instance_list());
     for service in &example.services {
-        let policy = example.first_policy(service);
+        let policy = example.initial_policy(service);
         let write = Write {
             table: Table::Policy,
             key: policy.service.to_string(),
--- a/crates/azuregate-lab/tests/lab/examples.rs
+++ b/crates/azuregate-lab/tests/lab/examples.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, path::Path};
 
-use azuregate_lab::example::{CLIENTS, Example};
+use azuregate_lab::example::{CLIENTS_PER_ZONE, Example};
 
 /// Name, number of entry instances, and services with their numbers of upstreams.
 type ExpectedSizes = (&'static str, usize, &'static [(&'static str, u16)]);
@@ -56,7 +56,7 @@
             assert!(seen.insert(addr), "{addr} is used twice");
         }
         for zone in example.topology.zones() {
-            for rank in 0..CLIENTS {
+            for rank in 0..CLIENTS_PER_ZONE {
                 let client = std::net::SocketAddr::new(example.client_ip(zone, rank), 0);
                 assert!(seen.iter().all(|addr| addr.ip() != client.ip()), "clients share {client}");
                 clients.push(client);
