--- a/crates/azuregate-lab/src/example.rs
+++ b/crates/azuregate-lab/src/example.rs
@@ -1,10 +1,10 @@
-//! A deployment to try things on: one file describes all of it.
+//! Example deployments, each described by one file.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
     fmt, fs,
-    path::Path,
     net::{IpAddr, SocketAddr},
+    path::Path,
 };
 
 use azuregate::settings::{PlatformSettings, Settings};
@@ -23,13 +23,13 @@
     network::{Endpoint, Network},
 };
 
-/// How many clients near each availability zone have an IP number of their own.
+/// Number of clients near each availability zone that have their own IP address.
 pub const CLIENTS_PER_ZONE: u8 = 10;
-/// How far the third part of the clients' IP numbers is from the platform's, for
-/// the first availability zone; those of the other zones follow.
+/// Offset of the third octet of the clients' IP addresses from the platform's, for
+/// the first availability zone. Each further zone adds one.
 const CLIENT_SUBNET_OFFSET: u8 = 100;
 
-/// A deployment.
+/// An example deployment.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Example {
@@ -37,23 +37,23 @@
     pub name: String,
     /// Regions, availability zones and the links between them.
     pub topology: Topology,
-    /// Where the platform's stand-in listens.
+    /// The address that the simulated platform listens on.
     pub platform_addr: SocketAddr,
     /// The ports of every entry instance.
     pub ports: Ports,
-    /// How long a planned stop goes on serving.
+    /// How long an entry instance continues to serve after a planned stop begins.
     pub stop_delay_ms: u64,
     /// The entry instances.
     pub entries: Vec<EntryExample>,
     /// The services with their backend servers.
     pub services: Vec<ServiceExample>,
-    /// Whether relays with the delays of the network stand before the entry
-    /// instances.
+    /// Whether the entry instances are behind relays that simulate network
+    /// delays.
     #[serde(skip)]
     pub relays: bool,
 }
 
-/// The ports of every entry instance; each has an IP number of its own.
+/// The ports of every entry instance, each of which has its own IP address.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Ports {
@@ -67,7 +67,7 @@
     pub status: u16,
 }
 
-/// How far the port of a relay is from the one that it stands before.
+/// Offset of the port of a relay from the port that it forwards to.
 const RELAY_PORT_OFFSET: u16 = 1_000;
 
 /// An entry instance.
@@ -78,7 +78,7 @@
     pub id: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Its IP number.
+    /// Its IP address.
     pub ip: IpAddr,
 }
 
@@ -88,25 +88,25 @@
 pub struct ServiceExample {
     /// Its name.
     pub name: ServiceName,
-    /// How many backend servers it has.
+    /// Number of backend servers.
     pub upstreams: u16,
-    /// How many requests each takes at once.
+    /// Number of concurrent requests that each backend server accepts.
     pub slots: u32,
-    /// How many connections each takes.
+    /// Number of connections that each backend server accepts.
     pub connections: usize,
-    /// Mean time that a request takes there.
+    /// Mean service time of a request.
     pub service_ms: u64,
-    /// How that time varies.
+    /// Distribution of the service times.
     #[serde(default)]
     pub distribution: Distribution,
-    /// The IP number of all of them.
+    /// The IP address of all backend servers.
     pub ip: IpAddr,
-    /// The port of the first; the others follow.
+    /// The port of the first backend server; the others use the ports after it.
     pub first_port: u16,
 }
 
 impl ServiceExample {
-    /// How its backend servers behave when all is well.
+    /// Returns the behaviour of its backend servers without injected faults.
     pub fn behaviour(&self) -> Behaviour {
         Behaviour {
             service_ms: self.service_ms,
@@ -115,14 +115,14 @@
         }
     }
 
-    /// Requests a second that fill all of its slots.
+    /// Returns the rate in requests per second that occupies all of its slots.
     pub fn capacity_per_s(&self) -> f64 {
         let slots = f64::from(u32::from(self.upstreams) * self.slots);
         slots * 1_000.0 / self.service_ms.max(1) as f64
     }
 }
 
-/// An example that cannot be used.
+/// The error of an example that cannot be loaded.
 #[derive(Debug)]
 pub struct ExampleError;
 
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     ///
-    /// When the file cannot be read or is not understood.
+    /// When the file cannot be read or parsed.
     pub fn load(path: &Path) -> Result<Example, Report<ExampleError>> {
         let text = fs::read_to_string(path)
             .change_context(ExampleError)
@@ -149,7 +149,7 @@
             .attach_with(|| path.display().to_string())
     }
 
-    /// The settings of one entry instance.
+    /// Returns the settings of an entry instance.
     pub fn settings(&self, entry: &EntryExample) -> Settings {
         Settings {
             instance: entry.id.clone(),
@@ -171,17 +171,18 @@
         }
     }
 
-    /// Where callers reach an entry instance.
+    /// Returns the address at which callers reach an entry instance.
     pub fn traffic_addr(&self, entry: &EntryExample) -> SocketAddr {
         SocketAddr::new(entry.ip, self.advertised_port(self.ports.traffic))
     }
 
-    /// Where operators reach an entry instance.
+    /// Returns the address at which operators reach an entry instance.
     pub fn operators_addr(&self, entry: &EntryExample) -> SocketAddr {
         SocketAddr::new(entry.ip, self.ports.operators)
     }
 
-    /// The ports that a relay of an entry instance stands before, and its own.
+    /// Returns the ports of an entry instance that have relays, each with the port
+    /// of its relay.
     pub fn relayed_ports(&self) -> [(u16, u16); 2] {
         [self.ports.traffic, self.ports.peers].map(|port| (port, port + RELAY_PORT_OFFSET))
     }
@@ -190,7 +191,8 @@
         if self.relays { port + RELAY_PORT_OFFSET } else { port }
     }
 
-    /// What the platform lists when all is well.
+    /// Returns the instance list in which every instance and backend server is
+    /// live.
     pub fn instance_list(&self) -> InstanceList {
         let instances = self.entries.iter().map(|entry| Instance {
             id: entry.id.clone(),
@@ -204,7 +206,7 @@
         InstanceList { instances: instances.collect(), backends: backends.collect() }
     }
 
-    /// Who is where.
+    /// Returns the network of the entry instances and clients.
     pub fn network(&self) -> Network {
         let entries = self.entries.iter().map(|e| (e.ip, Endpoint::Entry(e.zone.clone())));
         let zones = self.topology.zones();
@@ -215,7 +217,8 @@
         Network::new(self.topology.clone(), entries.chain(clients).collect())
     }
 
-    /// The IP number of one of the [`CLIENTS_PER_ZONE`] near an availability zone.
+    /// Returns the IP address of one of the [`CLIENTS_PER_ZONE`] clients near an
+    /// availability zone.
     pub fn client_ip(&self, zone: &ZoneName, rank: u8) -> IpAddr {
         let index = self.topology.zones().position(|z| z == zone).unwrap_or(0);
         let IpAddr::V4(platform) = self.platform_addr.ip() else {
@@ -226,11 +229,11 @@
         IpAddr::from([a, b, c.wrapping_add(subnet), 1 + rank % CLIENTS_PER_ZONE])
     }
 
-    /// The same example on other IP numbers of loopback.
+    /// Returns the same example on other loopback addresses, with this second
+    /// octet.
     ///
-    /// Each connection that was closed keeps its port for a minute. A run that
-    /// opens thousands a second would leave none to the next one, whose
-    /// connections then take seconds or fail.
+    /// Closed connections hold their ports in the `TIME_WAIT` state. Without other
+    /// addresses, a run after one that opened many connections runs out of ports.
     pub fn with_loopback_subnet(&self, second_octet: u8) -> Example {
         let replace = |ip: IpAddr| match ip {
             IpAddr::V4(ip) => {
@@ -250,12 +253,12 @@
         example
     }
 
-    /// The availability zone that the platform stands in: the first.
+    /// Returns the availability zone of the platform, which is the first one.
     pub fn platform_zone(&self) -> ZoneName {
         self.topology.zones().next().cloned().unwrap_or_else(|| ZoneName::new(""))
     }
 
-    /// The backend servers of a service.
+    /// Returns the backend servers of a service, spread evenly over all zones.
     pub fn backends(&self, service: &ServiceExample) -> Vec<BackendServer> {
         let zones: Vec<_> = self.topology.zones().collect();
         (0..service.upstreams)
@@ -271,7 +274,7 @@
             .collect()
     }
 
-    /// A first policy for a service: nearness decides.
+    /// Returns an initial policy for a service, without zone shares.
     pub fn initial_policy(&self, service: &ServiceExample) -> Policy {
         Policy {
             service: service.name.clone(),
