--- a/crates/azuregate-lab/benches/capacity_process.rs
+++ b/crates/azuregate-lab/benches/capacity_process.rs
@@ -37,7 +37,7 @@
 #[tokio::main]
 async fn main() -> Result<(), ClientError> {
     let example = example()?;
-    let lab = up::stand_ins(&example).await?;
+    let lab = up::start_simulators(&example).await?;
     let entry = Entry::start(&example).await?;
     idle_connections(&entry).await?;
     requests(&entry, &lab).await?;
--- a/crates/azuregate-lab/src/cli/mod.rs
+++ b/crates/azuregate-lab/src/cli/mod.rs
@@ -88,7 +88,7 @@
         Command::Up(args) => up::run(&args).await,
         Command::Platform(args) => run_platform(&load_example(&args.example)?).await,
         Command::Backends(args) => run_backends(&load_example(&args.example)?).await,
-        Command::StandIns(args) => run_stand_ins(&load_example(&args.example)?).await,
+        Command::StandIns(args) => run_simulators(&load_example(&args.example)?).await,
         Command::Settings(args) => write_settings(&args),
         Command::Load(args) => load::run(&args).await,
         Command::Measure(args) => measure::run(args).await,
@@ -113,8 +113,8 @@
     Ok(signal::ctrl_c().await?)
 }
 
-async fn run_stand_ins(example: &Example) -> Result<(), ClientError> {
-    let mut lab = crate::up::stand_ins(example).await?;
+async fn run_simulators(example: &Example) -> Result<(), ClientError> {
+    let mut lab = crate::up::start_simulators(example).await?;
     print_line(format_args!(
         "platform at {}, {} backend servers",
         example.platform_addr,
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -110,7 +110,7 @@
     config.duration_ms = PERIOD_MS;
     loop {
         let ended = load::run(&config).await?;
-        let audit = load::audit(&ended, &lab.ran());
+        let audit = load::audit(&ended, &lab.executions());
         let report = Report::new(&ended, PERIOD_MS, Some(audit));
         print_line(format_args!("{}", line(&report, &regions(lab, service))));
         // What was audited is forgotten, or a long run would fill the memory.
--- a/crates/azuregate-lab/src/measure/config.rs
+++ b/crates/azuregate-lab/src/measure/config.rs
@@ -47,7 +47,7 @@
 /// Measures changes with the platform up, slow, and going down.
 pub(crate) async fn measure(plan: &Plan) -> Result<Section, ClientError> {
     let example = plan.fresh_example();
-    let lab = up::stand_ins(&example).await?;
+    let lab = up::start_simulators(&example).await?;
     let entries = Entries::start(&example).await?;
     let mut operators = Vec::new();
     for entry in &example.entries {
--- a/crates/azuregate-lab/src/measure/overhead.rs
+++ b/crates/azuregate-lab/src/measure/overhead.rs
@@ -49,7 +49,7 @@
 pub(crate) async fn measure(plan: &Plan) -> Result<Section, ClientError> {
     let example = one_entry(plan.fresh_example())?;
     let service = example.services[0].clone();
-    let lab = up::stand_ins(&example).await?;
+    let lab = up::start_simulators(&example).await?;
     let entries = Entries::start(&example).await?;
     let direct = lab.backends[0].server.addr;
     let through = example.traffic_addr(&example.entries[0]);
--- a/crates/azuregate-lab/src/measure/recovery.rs
+++ b/crates/azuregate-lab/src/measure/recovery.rs
@@ -92,7 +92,7 @@
     let example = plan.fresh_example();
     let service = example.services.first().ok_or("the example has no service")?;
     let options = up::Options { delays: true, ..up::Options::default() };
-    let lab = up::stand_ins_with(&example, &options).await?;
+    let lab = up::start_simulators_with(&example, &options).await?;
     let mut entries = Entries::start(&example).await?;
     let entry = example.entries.last().ok_or("the example has no entry instance")?;
     let at = example.traffic_addr(entry);
@@ -105,7 +105,7 @@
     time::sleep(Duration::from_millis(EVENT_MS)).await;
     fail(&lab, &mut entries, service, failure).await?;
     let ended = loading.await??;
-    let audit = load::audit(&ended, &lab.ran());
+    let audit = load::audit(&ended, &lab.executions());
     drop(entries);
     lab.stop().await;
     Ok(judge(failure, &ended, duration_ms, audit))
--- a/crates/azuregate-lab/src/measure/shift.rs
+++ b/crates/azuregate-lab/src/measure/shift.rs
@@ -84,7 +84,7 @@
     let example = Example { stop_delay_ms: 0, ..plan.fresh_example() };
     let options = up::Options { delays: true, seed, ..up::Options::default() };
     let relayed = Example { relays: true, ..example };
-    let mut lab = up::stand_ins_with(&relayed, &options).await?;
+    let mut lab = up::start_simulators_with(&relayed, &options).await?;
     let from = half(&losing, &staying);
     change(&lab.platform, service, |policy| {
         let (zone_share_ppm, shift_delay_ms) = (from, DELAY_MS);
--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -34,7 +34,7 @@
     /// What is run.
     pub example: Example,
     status_addrs: Vec<SocketAddr>,
-    stand_ins: Vec<JoinHandle<()>>,
+    simulator_tasks: Vec<JoinHandle<()>>,
 }
 
 /// A running entry instance.
@@ -79,7 +79,7 @@
 /// When a port cannot be opened.
 pub async fn start_with(example: &Example, options: &Options) -> Result<Lab, ClientError> {
     let example = Example { relays: options.delays, ..example.clone() };
-    let mut lab = stand_ins_with(&example, options).await?;
+    let mut lab = start_simulators_with(&example, options).await?;
     lab.start_entries(&options.rule);
     Ok(lab)
 }
@@ -90,8 +90,8 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn stand_ins(example: &Example) -> Result<Lab, ClientError> {
-    stand_ins_with(example, &Options::default()).await
+pub async fn start_simulators(example: &Example) -> Result<Lab, ClientError> {
+    start_simulators_with(example, &Options::default()).await
 }
 
 /// Starts the platform, the backend servers and, where the example has them, the
@@ -100,13 +100,17 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn stand_ins_with(example: &Example, options: &Options) -> Result<Lab, ClientError> {
+pub async fn start_simulators_with(
+    example: &Example,
+    options: &Options,
+) -> Result<Lab, ClientError> {
     let network = options.delays.then(|| Arc::new(example.network()));
     let (platform, task) = serve_platform(example, network.as_ref()).await?;
-    let (backends, mut stand_ins) = serve_backends(example, network.as_ref(), options.seed).await?;
-    stand_ins.push(task);
+    let (backends, mut simulator_tasks) =
+        serve_backends(example, network.as_ref(), options.seed).await?;
+    simulator_tasks.push(task);
     if let Some(network) = network.filter(|_| example.relays) {
-        start_relays(example, &network, &mut stand_ins).await?;
+        start_relays(example, &network, &mut simulator_tasks).await?;
     }
     Ok(Lab {
         platform,
@@ -114,7 +118,7 @@
         entries: Vec::new(),
         example: example.clone(),
         status_addrs: Vec::new(),
-        stand_ins,
+        simulator_tasks,
     })
 }
 
@@ -127,7 +131,7 @@
     example: &Example,
     network: Option<&Arc<Network>>,
 ) -> Result<(Arc<Server>, JoinHandle<()>), ClientError> {
-    let mut server = start_platform(example);
+    let mut server = build_platform(example);
     if let Some(network) = network {
         server = server.with_network(Arc::clone(network), example.platform_zone());
     }
@@ -148,7 +152,7 @@
     seed: u64,
 ) -> Result<(Vec<Arc<Backend>>, Vec<JoinHandle<()>>), ClientError> {
     let (mut backends, mut tasks) = (Vec::new(), Vec::new());
-    for mut backend in make_backends(example, seed) {
+    for mut backend in build_backends(example, seed) {
         if let Some(network) = network {
             backend = backend.with_network(Arc::clone(network));
         }
@@ -163,7 +167,7 @@
 async fn start_relays(
     example: &Example,
     network: &Arc<Network>,
-    stand_ins: &mut Vec<JoinHandle<()>>,
+    simulator_tasks: &mut Vec<JoinHandle<()>>,
 ) -> Result<(), ClientError> {
     for entry in &example.entries {
         for (port, relay_port) in example.relayed_ports() {
@@ -173,14 +177,14 @@
                 zone: entry.zone.clone(),
                 upstream_addr: SocketAddr::new(entry.ip, port),
             };
-            stand_ins.push(spawn(relay.serve(listener)));
+            simulator_tasks.push(spawn(relay.serve(listener)));
         }
     }
     Ok(())
 }
 
 /// A platform that holds the first policy of each service.
-pub fn start_platform(example: &Example) -> Server {
+pub fn build_platform(example: &Example) -> Server {
     let server = Server::new(example.instance_list());
     for service in &example.services {
         let policy = example.initial_policy(service);
@@ -197,7 +201,7 @@
 }
 
 /// The backend servers of all services, with a seed for their service times.
-pub fn make_backends(example: &Example, seed: u64) -> Vec<Backend> {
+pub fn build_backends(example: &Example, seed: u64) -> Vec<Backend> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut backends = Vec::new();
     for service in &example.services {
@@ -262,28 +266,28 @@
         self.stop_within(Duration::MAX).await;
     }
 
-    /// As [`Lab::stop`], but ends what has not stopped after `patience`.
-    pub async fn stop_within(self, patience: Duration) {
+    /// As [`Lab::stop`], but ends what has not stopped after `timeout`.
+    pub async fn stop_within(self, timeout: Duration) {
         for entry in &self.entries {
             entry.stopper.stop();
         }
         let start = Instant::now();
         for entry in self.entries {
             let mut task = entry.task;
-            let left = patience.saturating_sub(start.elapsed());
-            if time::timeout(left, &mut task).await.is_err() {
+            let remaining = timeout.saturating_sub(start.elapsed());
+            if time::timeout(remaining, &mut task).await.is_err() {
                 task.abort();
                 let _ = task.await;
             }
         }
-        for task in self.stand_ins {
+        for task in self.simulator_tasks {
             task.abort();
             let _ = task.await;
         }
         let ports = self.example.ports;
         for entry in &self.example.entries {
             for port in [ports.traffic, ports.peers, ports.operators, ports.status] {
-                wait_free(SocketAddr::new(entry.ip, port)).await;
+                wait_port_free(SocketAddr::new(entry.ip, port)).await;
             }
         }
     }
@@ -297,19 +301,19 @@
     }
 
     /// How often each request ran, over all backend servers.
-    pub fn ran(&self) -> HashMap<String, u64> {
-        let mut all = HashMap::new();
+    pub fn executions(&self) -> HashMap<String, u64> {
+        let mut executions = HashMap::new();
         for backend in &self.backends {
             for (name, count) in &backend.counts().ran {
-                *all.entry(name.clone()).or_default() += count;
+                *executions.entry(name.clone()).or_default() += count;
             }
         }
-        all
+        executions
     }
 
     /// Waits until a stand-in ends, which none does by itself.
     pub async fn wait(&mut self) {
-        for task in &mut self.stand_ins {
+        for task in &mut self.simulator_tasks {
             let _ = task.await;
         }
     }
@@ -317,7 +321,7 @@
 
 /// Waits until a port can be opened again: the tasks of an instance end a
 /// moment after it has stopped.
-async fn wait_free(addr: SocketAddr) {
+async fn wait_port_free(addr: SocketAddr) {
     for _ in 0..200 {
         if TcpListener::bind(addr).await.is_ok() {
             return;
