--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -1,4 +1,4 @@
-//! Runs all of an example in one process.
+//! Runs an example deployment in one process.
 
 use std::{
     collections::HashMap,
@@ -25,13 +25,13 @@
 
 /// A running example.
 pub struct Lab {
-    /// The platform's stand-in.
+    /// The simulated platform.
     pub platform: Arc<Server>,
     /// The backend servers of all services.
     pub backends: Vec<Arc<Backend>>,
     /// The entry instances.
     pub entries: Vec<Entry>,
-    /// What is run.
+    /// The example that is running.
     pub example: Example,
     status_addrs: Vec<SocketAddr>,
     simulator_tasks: Vec<JoinHandle<()>>,
@@ -39,18 +39,18 @@
 
 /// A running entry instance.
 pub struct Entry {
-    /// As in the example.
+    /// The instance's entry in the example.
     pub example: EntryExample,
     stopper: stop::Stopper,
     task: JoinHandle<()>,
 }
 
-/// How an example is run.
+/// Options for running an example.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// How entry instances choose backend servers.
+    /// The rule by which entry instances choose backend servers.
     pub rule: Rule,
-    /// Whether the network has the delays of the example.
+    /// Whether to simulate the network delays of the example.
     pub delays: bool,
     /// Seed of the service times.
     pub seed: u64,
@@ -62,8 +62,7 @@
     }
 }
 
-/// Starts everything that an example describes, by the shipped rule and
-/// without delays.
+/// Starts an example with the default options.
 ///
 /// # Errors
 ///
@@ -72,7 +71,7 @@
     start_with(example, &Options::default()).await
 }
 
-/// Starts everything that an example describes.
+/// Starts an example with `options`.
 ///
 /// # Errors
 ///
@@ -85,7 +84,7 @@
 }
 
 /// Starts the platform and the backend servers of an example, without entry
-/// instances and without delays.
+/// instances, with the default options.
 ///
 /// # Errors
 ///
@@ -94,8 +93,8 @@
     start_simulators_with(example, &Options::default()).await
 }
 
-/// Starts the platform, the backend servers and, where the example has them, the
-/// relays, without entry instances.
+/// Starts the platform, the backend servers and, if [`Example::relays`] is set, the
+/// relays of an example, without entry instances.
 ///
 /// # Errors
 ///
@@ -122,7 +121,7 @@
     })
 }
 
-/// Starts the platform's stand-in of an example.
+/// Starts the simulated platform of an example.
 ///
 /// # Errors
 ///
@@ -183,7 +182,7 @@
     Ok(())
 }
 
-/// A platform that holds the first policy of each service.
+/// Returns a platform that holds the initial policy of each service.
 pub fn build_platform(example: &Example) -> Server {
     let server = Server::new(example.instance_list());
     for service in &example.services {
@@ -200,7 +199,8 @@
     server
 }
 
-/// The backend servers of all services, with a seed for their service times.
+/// Returns the backend servers of all services, with a seed for their service
+/// times.
 pub fn build_backends(example: &Example, seed: u64) -> Vec<Backend> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut backends = Vec::new();
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Waits until every entry instance says that it is ready.
+    /// Waits until every entry instance reports that it is ready.
     ///
     /// # Errors
     ///
@@ -261,12 +261,13 @@
         Ok(())
     }
 
-    /// Stops the entry instances as planned, then the stand-ins.
+    /// Performs a planned stop of the entry instances, then stops the simulators.
     pub async fn stop(self) {
         self.stop_within(Duration::MAX).await;
     }
 
-    /// As [`Lab::stop`], but ends what has not stopped after `timeout`.
+    /// As [`Lab::stop`], but aborts entry instances that have not stopped after
+    /// `timeout`.
     pub async fn stop_within(self, timeout: Duration) {
         for entry in &self.entries {
             entry.stopper.stop();
@@ -292,7 +293,7 @@
         }
     }
 
-    /// The backend servers of one service.
+    /// Returns the backend servers of one service.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -300,7 +301,8 @@
         self.backends.iter().filter(move |backend| backend.server.service == *service)
     }
 
-    /// How often each request ran, over all backend servers.
+    /// Returns the number of executions of each request over all backend servers,
+    /// by request ID.
     pub fn executions(&self) -> HashMap<String, u64> {
         let mut executions = HashMap::new();
         for backend in &self.backends {
@@ -311,7 +313,7 @@
         executions
     }
 
-    /// Waits until a stand-in ends, which none does by itself.
+    /// Waits for the tasks of the simulators, which do not end by themselves.
     pub async fn wait(&mut self) {
         for task in &mut self.simulator_tasks {
             let _ = task.await;
@@ -319,8 +321,8 @@
     }
 }
 
-/// Waits until a port can be opened again: the tasks of an instance end a
-/// moment after it has stopped.
+/// Waits until a port can be bound again, since the tasks of an instance end
+/// shortly after it has stopped.
 async fn wait_port_free(addr: SocketAddr) {
     for _ in 0..200 {
         if TcpListener::bind(addr).await.is_ok() {
