--- a/crates/azuregate-lab/src/baselines.rs
+++ b/crates/azuregate-lab/src/baselines.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 struct Server {
     id: BackendId,
-    open: bool,
+    available: bool,
     in_use: u32,
     report: Option<LoadReport>,
 }
@@ -46,15 +46,15 @@
 
 impl Servers {
     fn set(&mut self, servers: &[ServerStatus]) {
-        for known in &mut self.all {
-            known.open = false;
+        for existing in &mut self.all {
+            existing.available = false;
         }
         for ServerStatus { server, available } in servers {
-            match self.all.iter_mut().find(|known| known.id == server.id) {
-                Some(known) => known.open = *available,
+            match self.all.iter_mut().find(|existing| existing.id == server.id) {
+                Some(existing) => existing.available = *available,
                 None => self.all.push(Server {
                     id: server.id.clone(),
-                    open: *available,
+                    available: *available,
                     in_use: 0,
                     report: None,
                 }),
@@ -62,22 +62,22 @@
         }
     }
 
-    fn open(&self) -> impl Iterator<Item = usize> {
-        (0..self.all.len()).filter(|&key| self.all[key].open)
+    fn available(&self) -> impl Iterator<Item = usize> {
+        (0..self.all.len()).filter(|&key| self.all[key].available)
     }
 
-    fn take(&mut self, key: usize) -> usize {
+    fn acquire(&mut self, key: usize) -> usize {
         self.all[key].in_use += 1;
         key
     }
 
     /// They count no slots, and never make a request wait for one.
-    fn room(&self) -> Capacity {
-        let open = self.open().next().is_some();
-        if open { Capacity { free: u32::MAX, total: u32::MAX } } else { Capacity::default() }
+    fn capacity(&self) -> Capacity {
+        let available = self.available().next().is_some();
+        if available { Capacity { free: u32::MAX, total: u32::MAX } } else { Capacity::default() }
     }
 
-    fn finish(&mut self, key: usize) {
+    fn release(&mut self, key: usize) {
         let server = &mut self.all[key];
         server.in_use = server.in_use.saturating_sub(1);
     }
@@ -113,7 +113,7 @@
         }
 
         fn release(&mut self, key: usize, _completion: Completion, _now_ms: Millis) {
-            self.servers.finish(key);
+            self.servers.release(key);
         }
 
         fn record_load(&mut self, key: usize, report: LoadReport) {
@@ -121,7 +121,7 @@
         }
 
         fn capacity(&self) -> Capacity {
-            self.servers.room()
+            self.servers.capacity()
         }
     };
 }
@@ -130,10 +130,10 @@
     delegate!();
 
     fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
-        let count = self.servers.open().count();
+        let count = self.servers.available().count();
         let nth = if count == 0 { return None } else { rng.usize(..count) };
-        let key = self.servers.open().nth(nth)?;
-        Some(self.servers.take(key))
+        let key = self.servers.available().nth(nth)?;
+        Some(self.servers.acquire(key))
     }
 }
 
@@ -144,10 +144,10 @@
         // Instances that all start at the first server would move in step.
         let count = self.servers.all.len();
         let last = *self.last.get_or_insert_with(|| rng.usize(..count.max(1)));
-        let after = self.servers.open().find(|&key| key > last);
-        let key = after.or_else(|| self.servers.open().next())?;
+        let after = self.servers.available().find(|&key| key > last);
+        let key = after.or_else(|| self.servers.available().next())?;
         self.last = Some(key);
-        Some(self.servers.take(key))
+        Some(self.servers.acquire(key))
     }
 }
 
@@ -156,9 +156,9 @@
 
     fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
         let load = |key: usize| self.servers.all[key].report.map_or(0, |report| report.in_use);
-        let least = self.servers.open().map(load).min()?;
-        let ties: Vec<_> = self.servers.open().filter(|&key| load(key) == least).collect();
+        let least = self.servers.available().map(load).min()?;
+        let ties: Vec<_> = self.servers.available().filter(|&key| load(key) == least).collect();
         let key = ties[rng.usize(..ties.len())];
-        Some(self.servers.take(key))
+        Some(self.servers.acquire(key))
     }
 }
--- a/crates/azuregate-lab/tests/baselines.rs
+++ b/crates/azuregate-lab/tests/baselines.rs
@@ -21,8 +21,8 @@
     make()
 }
 
-fn set(router: &mut dyn Router, open: [bool; 3]) {
-    let servers = open.iter().enumerate().map(|(nth, &open)| {
+fn set_servers(router: &mut dyn Router, available: [bool; 3]) {
+    let servers = available.iter().enumerate().map(|(nth, &available)| {
         let server = BackendServer {
             id: BackendId::new(&format!("s{nth}")),
             service: ServiceName::new("svc"),
@@ -32,7 +32,7 @@
             slots: 3,
             liveness: Liveness::Live,
         };
-        ServerStatus { server, available: open }
+        ServerStatus { server, available }
     });
     let topology =
         Topology { regions: Vec::new(), zone_delay_ms: 0, region_delay_ms: 0, link_mbit_per_s: 0 };
@@ -53,10 +53,10 @@
 }
 
 #[test]
-fn each_rule_spreads_as_it_says() {
+fn baselines_distribute_requests_evenly() {
     for rule in ["random", "round-robin", "least-load"] {
         let mut router = router(rule);
-        set(router.as_mut(), [true; 3]);
+        set_servers(router.as_mut(), [true; 3]);
         let chosen = choose(router.as_mut(), 300);
         let even = chosen.values().all(|&times| (60..=140).contains(&times));
         assert!(chosen.len() == 3 && even, "{rule}: {chosen:?}");
@@ -65,13 +65,13 @@
 }
 
 #[test]
-fn a_closed_server_gets_nothing() {
+fn unavailable_servers_get_no_requests() {
     for rule in ["random", "round-robin", "least-load", "nearest"] {
         let mut router = router(rule);
-        set(router.as_mut(), [true; 3]);
-        set(router.as_mut(), [true, false, true]);
+        set_servers(router.as_mut(), [true; 3]);
+        set_servers(router.as_mut(), [true, false, true]);
         assert!(!choose(router.as_mut(), 100).contains_key(&1), "{rule}");
-        set(router.as_mut(), [false; 3]);
+        set_servers(router.as_mut(), [false; 3]);
         assert_eq!(router.acquire(NOW_MS, &mut fastrand::Rng::with_seed(1)), None, "{rule}");
     }
 }
@@ -79,9 +79,9 @@
 // The reason why this rule is only a baseline: whatever was sent meanwhile, all
 // go to the server whose last report was the smallest.
 #[test]
-fn least_load_follows_the_last_reports() {
+fn least_load_uses_the_last_reports() {
     let mut router = router("least-load");
-    set(router.as_mut(), [true; 3]);
+    set_servers(router.as_mut(), [true; 3]);
     for (key, in_use) in [(0, 3), (1, 0), (2, 2)] {
         router.record_load(key, LoadReport { in_use, slots: 3, at_ms: NOW_MS });
     }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn rules_go_by_name() {
+fn rules_parse_from_their_names() {
     for rule in ["random", "round-robin", "least-load", "nearest", "dispatcher"] {
         assert!(baselines::rule(rule).is_ok(), "{rule}");
     }
