--- a/crates/azuregate-lab/src/baselines.rs
+++ b/crates/azuregate-lab/src/baselines.rs
@@ -1,5 +1,5 @@
-//! Rules that the dispatchers are measured against: each instance chooses
-//! alone, among all backend servers of a service.
+//! Baseline load-balancing rules that the dispatchers are compared with. Each
+//! instance chooses independently among all backend servers of a service.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
     time::Millis,
 };
 
-/// The rule with this name.
+/// Returns the rule with this name.
 ///
 /// # Errors
 ///
-/// When there is none; the text lists those that there are.
+/// When there is none; the message lists the names.
 pub fn rule(name: &str) -> Result<Rule, String> {
     match name {
         "random" => Ok(Rule::Alone(Arc::new(|| Box::new(Random::default())))),
@@ -29,7 +29,7 @@
     }
 }
 
-/// What all baselines know of a server.
+/// The state that all baselines keep of a server.
 #[derive(Debug)]
 struct Server {
     id: BackendId,
@@ -38,7 +38,7 @@
     report: Option<LoadReport>,
 }
 
-/// The servers of a router, which keep their keys.
+/// The servers of a router. The key of a server is stable.
 #[derive(Debug, Default)]
 struct Servers {
     all: Vec<Server>,
@@ -71,7 +71,7 @@
         key
     }
 
-    /// They count no slots, and never make a request wait for one.
+    /// Baselines do not limit requests to slots, so a request never waits for one.
     fn capacity(&self) -> Capacity {
         let available = self.available().next().is_some();
         if available { Capacity { free: u32::MAX, total: u32::MAX } } else { Capacity::default() }
@@ -83,20 +83,20 @@
     }
 }
 
-/// Any server, with equal chances, whatever it is known to hold.
+/// Chooses uniformly at random.
 #[derive(Debug, Default)]
 pub struct Random {
     servers: Servers,
 }
 
-/// Each server in turn, whatever it is known to hold.
+/// Chooses each server in turn.
 #[derive(Debug, Default)]
 pub struct RoundRobin {
     servers: Servers,
     last: Option<usize>,
 }
 
-/// The server with the smallest load by its own last report.
+/// Chooses the server with the lowest load in its last report.
 #[derive(Debug, Default)]
 pub struct LeastLoad {
     servers: Servers,
@@ -141,7 +141,7 @@
     delegate!();
 
     fn acquire(&mut self, _now_ms: Millis, rng: &mut fastrand::Rng) -> Option<usize> {
-        // Instances that all start at the first server would move in step.
+        // A random start keeps instances from choosing the same servers in step.
         let count = self.servers.all.len();
         let last = *self.last.get_or_insert_with(|| rng.usize(..count.max(1)));
         let after = self.servers.available().find(|&key| key > last);
