--- a/crates/azuregate-lab/tests/baselines.rs
+++ b/crates/azuregate-lab/tests/baselines.rs
@@ -1,4 +1,4 @@
-//! The rules that the dispatchers are measured against do what their names say.
+//! Tests of the baseline load-balancing rules.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -40,7 +40,7 @@
     router.set_servers(locality, &servers.collect::<Vec<_>>());
 }
 
-/// How often each server was chosen in `count` choices.
+/// Returns how often each server was chosen in `count` choices.
 fn choose(router: &mut dyn Router, count: usize) -> BTreeMap<usize, usize> {
     let mut rng = fastrand::Rng::with_seed(7);
     let mut chosen = BTreeMap::new();
@@ -76,8 +76,7 @@
     }
 }
 
-// The reason why this rule is only a baseline: whatever was sent meanwhile, all
-// go to the server whose last report was the smallest.
+// Between reports, all requests go to the server with the lowest last report.
 #[test]
 fn least_load_uses_the_last_reports() {
     let mut router = router("least-load");
