--- a/crates/azuregate-lab/src/client.rs
+++ b/crates/azuregate-lab/src/client.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP client for callers and for the lab's own control paths.
+//! A minimal HTTP client, for callers and for the control paths of simulators.
 
 use std::net::SocketAddr;
 
@@ -8,14 +8,14 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// What went wrong with a call.
+/// The error of a call.
 pub type ClientError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Sends one request on a connection of its own and reads the whole answer.
+/// Sends one request on its own connection and reads the complete response.
 ///
 /// # Errors
 ///
-/// When the connection cannot be opened, or the answer is cut short.
+/// When the connection cannot be opened or closes before the response is complete.
 pub async fn call(
     addr: SocketAddr,
     mut request: Request<Full<Bytes>>,
@@ -36,7 +36,7 @@
     Ok(Response::from_parts(head, bytes))
 }
 
-/// Reads a path with `GET`.
+/// Sends a `GET` request.
 ///
 /// # Errors
 ///
@@ -45,7 +45,7 @@
     call(addr, Request::get(path).body(Full::default())?).await
 }
 
-/// Sends JSON with `POST`.
+/// Sends a `POST` request with `value` as JSON.
 ///
 /// # Errors
 ///
