--- a/crates/azuregate-lab/src/lib.rs
+++ b/crates/azuregate-lab/src/lib.rs
@@ -1,5 +1,5 @@
 /*!
-Stand-ins of the systems that azuregate works with, and a load tool.
+Simulators of the systems that azuregate works with, and a load generator.
 
 ```no_run
 use azuregate_lab::{example::Example, up};
@@ -13,7 +13,8 @@
 # }
 ```
 
-Nothing here is shipped, and no other crate depends on it.
+For tests and measurements only: it is not shipped, and no other crate depends on
+it.
 */
 
 pub mod backends;
