--- a/crates/azuregate-lab/src/cli/load.rs
+++ b/crates/azuregate-lab/src/cli/load.rs
@@ -82,12 +82,12 @@
 /// Runs `load`.
 pub(crate) async fn run(args: &LoadArgs) -> Result<(), ClientError> {
     let config = args.config()?;
-    let ended = load::run(&config).await?;
+    let records = load::run(&config).await?;
     let audit = match args.platform {
-        Some(platform) => Some(audit(platform, &config.service, &ended).await?),
+        Some(platform) => Some(audit(platform, &config.service, &records).await?),
         None => None,
     };
-    let report = Report::new(&ended, config.duration_ms, audit);
+    let report = Report::new(&records, config.duration_ms, audit);
     print!("{report}");
     if let Some(path) = &args.json {
         fs::write(path, serde_json::to_string_pretty(&report)?)?;
@@ -97,7 +97,7 @@
             "{} at {}/s for {} ms, seed {}",
             config.service, config.rate_per_s, config.duration_ms, config.seed
         );
-        fs::write(path, load::svg(&title, &ended))?;
+        fs::write(path, load::svg(&title, &records))?;
     }
     Ok(())
 }
@@ -105,11 +105,11 @@
 async fn audit(
     platform: SocketAddr,
     service: &ServiceName,
-    ended: &[RequestRecord],
+    records: &[RequestRecord],
 ) -> Result<Audit, ClientError> {
     let answer = client::get(platform, "/v1/instances").await?;
     let list: InstanceList = serde_json::from_slice(answer.body())?;
     let servers = list.backends.iter().filter(|server| server.service == *service);
     let addrs: Vec<_> = servers.map(|server| server.addr).collect();
-    Ok(load::audit(ended, &load::fetch_executions(&addrs).await?))
+    Ok(load::audit(records, &load::fetch_executions(&addrs).await?))
 }
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -16,7 +16,7 @@
 };
 
 /// How often figures are printed.
-const PERIOD_MS: u64 = 2_000;
+const REPORT_INTERVAL_MS: u64 = 2_000;
 
 /// Arguments of `up`.
 #[derive(Debug, Options)]
@@ -50,9 +50,9 @@
     };
     let lab = up::start_with(&example, &options).await?;
     lab.wait_ready().await?;
-    describe(&lab.example, service)?;
+    print_overview(&lab.example, service)?;
     tokio::select! {
-        moving = keep_moving(&lab, service, args.rate_per_s) => moving?,
+        finished = generate_load(&lab, service, args.rate_per_s) => finished?,
         stopped = signal::ctrl_c() => stopped?,
     }
     print_line(format_args!(
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-fn describe(example: &Example, service: &ServiceExample) -> Result<(), ClientError> {
+fn print_overview(example: &Example, service: &ServiceExample) -> Result<(), ClientError> {
     let entry = example.entries.first().ok_or("the example has no entry instance")?;
     let (ip, ports, name) = (entry.ip, example.ports, &service.name);
     let traffic = example.traffic_addr(entry);
@@ -95,7 +95,7 @@
 }
 
 /// Gives a light load without end and prints a line for each period of it.
-async fn keep_moving(
+async fn generate_load(
     lab: &Lab,
     service: &ServiceExample,
     rate_per_s: f64,
@@ -107,12 +107,12 @@
     let at = lab.example.traffic_addr(entry);
     let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     config.rate_per_s = rate_per_s;
-    config.duration_ms = PERIOD_MS;
+    config.duration_ms = REPORT_INTERVAL_MS;
     loop {
-        let ended = load::run(&config).await?;
-        let audit = load::audit(&ended, &lab.executions());
-        let report = Report::new(&ended, PERIOD_MS, Some(audit));
-        print_line(format_args!("{}", line(&report, &regions(lab, service))));
+        let records = load::run(&config).await?;
+        let audit = load::audit(&records, &lab.executions());
+        let report = Report::new(&records, REPORT_INTERVAL_MS, Some(audit));
+        print_line(format_args!("{}", format_line(&report, &region_shares(lab, service))));
         // What was audited is forgotten, or a long run would fill the memory.
         for backend in &lab.backends {
             backend.counts().clear_details();
@@ -121,11 +121,11 @@
     }
 }
 
-fn line(report: &Report, regions: &str) -> String {
+fn format_line(report: &Report, regions: &str) -> String {
     let reads = report.latency.get(&Class::Read).copied().unwrap_or_default();
-    let doubled = report.audit.as_ref().map_or(0, |audit| audit.duplicates.len());
+    let duplicates = report.audit.as_ref().map_or(0, |audit| audit.duplicates.len());
     format!(
-        "{:>4}/s answered  {:>3} refused  {:>3} failed  {doubled} doubled  \
+        "{:>4}/s answered  {:>3} refused  {:>3} failed  {duplicates} doubled  \
          reads p50 {:.0} ms p99 {:.0} ms  {regions}",
         report.goodput_per_s.round(),
         report.refused_count(),
@@ -136,15 +136,15 @@
 }
 
 /// What share of the requests ran in each region.
-fn regions(lab: &Lab, service: &ServiceExample) -> String {
+fn region_shares(lab: &Lab, service: &ServiceExample) -> String {
     let mut ran: BTreeMap<String, u64> = BTreeMap::new();
     for backend in lab.backends_of(&service.name) {
         let region = lab.example.topology.region_of(&backend.server.zone);
         let name = region.map_or_else(String::new, ToString::to_string);
-        let buckets: u64 = backend.counts().buckets.values().map(|bucket| bucket.ran).sum();
-        *ran.entry(name).or_default() += buckets;
+        let executions: u64 = backend.counts().buckets.values().map(|bucket| bucket.ran).sum();
+        *ran.entry(name).or_default() += executions;
     }
-    let all = ran.values().sum::<u64>().max(1);
-    let shares = ran.iter().map(|(region, count)| format!("{region} {}%", count * 100 / all));
+    let total = ran.values().sum::<u64>().max(1);
+    let shares = ran.iter().map(|(region, count)| format!("{region} {}%", count * 100 / total));
     shares.collect::<Vec<_>>().join("  ")
 }
