--- a/crates/azuregate-lab/src/cli/load.rs
+++ b/crates/azuregate-lab/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: gives load and reports.
+//! `load`: generates load and reports the outcomes.
 
 use std::{fs, net::SocketAddr, path::PathBuf};
 
@@ -20,38 +20,38 @@
     at: Option<SocketAddr>,
     #[options(required, help = "the service")]
     service: String,
-    #[options(help = "put callers near every availability zone of this example")]
+    #[options(help = "locate callers near every availability zone of this example")]
     example: Option<PathBuf>,
-    #[options(no_short, help = "let two entry instances of the example get half of all callers")]
+    #[options(no_short, help = "make half of all callers use two entry instances of the example")]
     skew: bool,
-    #[options(help = "requests a second", default = "100")]
+    #[options(help = "requests per second", default = "100")]
     rate_per_s: f64,
-    #[options(help = "how long, in milliseconds", default = "5000")]
+    #[options(help = "duration of the run in milliseconds", default = "5000")]
     duration_ms: u64,
-    #[options(help = "how many in a hundred are keyed orders", default = "10")]
+    #[options(help = "percentage of orders with an idempotency key", default = "10")]
     keyed_percent: u8,
-    #[options(help = "how many in a hundred are uploads", default = "0")]
+    #[options(help = "percentage of uploads", default = "0")]
     upload_percent: u8,
-    #[options(no_short, help = "the size of an upload", default = "100000")]
+    #[options(no_short, help = "size of an upload in bytes", default = "100000")]
     upload_bytes: usize,
-    #[options(help = "how long a caller waits, in milliseconds", default = "5000")]
+    #[options(help = "timeout of a request in milliseconds", default = "5000")]
     timeout_ms: u64,
-    #[options(no_short, help = "come back up to three times when a refusal as not run says when")]
+    #[options(no_short, help = "retry up to three times after a not-run refusal with Retry-After")]
     retry: bool,
-    #[options(no_short, help = "seed of the arrivals, part of the requests' names", default = "1")]
+    #[options(no_short, help = "seed of the arrivals, part of the request IDs", default = "1")]
     seed: u64,
     #[options(
-        help = "the platform's address: check the answers against what ran at the backend servers \
-                that it lists"
+        help = "the platform's address: audit the outcomes against the executions at the backend \
+                servers that it lists"
     )]
     platform: Option<SocketAddr>,
-    #[options(help = "write the report here as JSON")]
+    #[options(help = "write the report to this file as JSON")]
     json: Option<PathBuf>,
-    #[options(no_short, help = "draw the run here as SVG")]
+    #[options(no_short, help = "plot the run to this file as SVG")]
     plot: Option<PathBuf>,
 }
 
-/// How often a caller comes back with `--retry`.
+/// Maximum number of retries with `--retry`.
 const RETRIES: u32 = 3;
 
 impl LoadArgs {
