--- a/crates/azuregate-lab/src/cli/measure.rs
+++ b/crates/azuregate-lab/src/cli/measure.rs
@@ -1,4 +1,4 @@
-//! `measure`: figures for docs/MEASUREMENTS.md.
+//! `measure`: takes the measurements for docs/MEASUREMENTS.md.
 
 use std::{
     fs,
@@ -17,7 +17,7 @@
 
 /// The examples that `measure all` uses.
 const EXAMPLES: [&str; 2] = ["examples/kvas.jsonc", "examples/pawprint.jsonc"];
-/// The rules that are measured side by side.
+/// The rules that are compared by default.
 const RULES: &str = "dispatcher,nearest,random,round-robin,least-load";
 
 /// Arguments of `measure`.
@@ -27,19 +27,19 @@
     help: bool,
     #[options(free, help = "latency, drain, shift, config, recovery, overhead or all")]
     what: Option<String>,
-    #[options(free, help = "the example's file; examples/kvas.jsonc if left out")]
+    #[options(free, help = "the example's file, by default examples/kvas.jsonc")]
     example: Option<PathBuf>,
-    #[options(no_short, help = "write markdown and JSON to this folder")]
+    #[options(no_short, help = "write Markdown and JSON to this directory")]
     out: Option<PathBuf>,
-    #[options(no_short, help = "rules of latency, separated by commas")]
+    #[options(no_short, help = "comma-separated rules for latency")]
     rules: Option<String>,
-    #[options(no_short, help = "loads of latency in percent of all slots, separated by commas")]
+    #[options(no_short, help = "comma-separated loads for latency, in percent of all slots")]
     loads: Option<String>,
-    #[options(no_short, help = "how many seeds, from 1", default = "2")]
+    #[options(no_short, help = "number of seeds, starting from 1", default = "2")]
     seeds: u64,
-    #[options(no_short, help = "length of each run of latency in milliseconds", default = "3000")]
+    #[options(no_short, help = "length of each latency run in milliseconds", default = "3000")]
     run_ms: u64,
-    #[options(no_short, help = "let two entry instances get half of all callers")]
+    #[options(no_short, help = "make half of all callers use two entry instances")]
     skew: bool,
 }
 
@@ -84,7 +84,8 @@
     })
 }
 
-/// All experiments with the first example; latency with both, and with skew.
+/// Runs all experiments with the first example, and latency also with the second
+/// and with skew.
 async fn run_all(args: &MeasureArgs) -> Result<(), ClientError> {
     let out = args.out.clone().ok_or("measure all needs --out DIR")?;
     let [first, second] = EXAMPLES.map(|file| plan(args, file.as_ref()));
