--- a/crates/azuregate-lab/src/cli/mod.rs
+++ b/crates/azuregate-lab/src/cli/mod.rs
@@ -26,19 +26,19 @@
 
 #[derive(Debug, Options)]
 enum Command {
-    #[options(help = "run all of an example in one process, under a light load")]
+    #[options(help = "run an example in one process under a light load")]
     Up(up::UpArgs),
-    #[options(help = "run the platform of an example")]
+    #[options(help = "run the simulated platform of an example")]
     Platform(ExampleArgs),
-    #[options(help = "run the backend servers of an example")]
+    #[options(help = "run the simulated backend servers of an example")]
     Backends(ExampleArgs),
     #[options(help = "run the platform and the backend servers of an example, without entries")]
     StandIns(ExampleArgs),
     #[options(help = "write the settings file of each entry instance of an example")]
     Settings(SettingsArgs),
-    #[options(help = "give load to a service and report")]
+    #[options(help = "generate load for a service and report the outcomes")]
     Load(load::LoadArgs),
-    #[options(help = "measure what users notice, and write tables")]
+    #[options(help = "run measurements and write tables")]
     Measure(measure::MeasureArgs),
 }
 
@@ -56,11 +56,11 @@
     help: bool,
     #[options(free, required, help = "the example's file")]
     example: PathBuf,
-    #[options(required, help = "the folder to write to")]
+    #[options(required, help = "the directory to write to")]
     out: PathBuf,
 }
 
-/// Runs the command line of this process.
+/// Runs the command line with the arguments of this process.
 pub fn main() -> ExitCode {
     let args = Args::parse_args_default_or_exit();
     let Some(command) = args.command else {
