--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: all of an example in one process.
+//! `up`: runs an example in one process.
 
 use std::{collections::BTreeMap, path::PathBuf};
 
@@ -15,7 +15,7 @@
     up::{self, Lab},
 };
 
-/// How often figures are printed.
+/// Interval between printed reports.
 const REPORT_INTERVAL_MS: u64 = 2_000;
 
 /// Arguments of `up`.
@@ -26,13 +26,13 @@
     #[options(free, required, help = "the example's file")]
     example: PathBuf,
     #[options(
-        help = "how entries choose: random, round-robin, least-load, nearest or dispatcher",
+        help = "how entries choose servers: random, round-robin, least-load, nearest or dispatcher",
         default = "dispatcher"
     )]
     rule: String,
-    #[options(no_short, help = "requests a second of the load; 0 for none", default = "200")]
+    #[options(no_short, help = "requests per second of the load; 0 for none", default = "200")]
     rate_per_s: f64,
-    #[options(no_short, help = "leave out the delays of the network")]
+    #[options(no_short, help = "do not simulate network delays")]
     no_delays: bool,
 }
 
@@ -56,8 +56,8 @@
         stopped = signal::ctrl_c() => stopped?,
     }
     print_line(format_args!(
-        "stopping as planned: entry instances go on for {} ms, then finish what is in progress; \
-         Ctrl-C again ends at once",
+        "planned stop: entry instances serve for another {} ms, then finish requests in progress; \
+         Ctrl-C again exits at once",
         example.stop_delay_ms
     ));
     tokio::select! {
@@ -94,7 +94,7 @@
     Ok(())
 }
 
-/// Gives a light load without end and prints a line for each period of it.
+/// Generates load indefinitely and prints a line per [`REPORT_INTERVAL_MS`].
 async fn generate_load(
     lab: &Lab,
     service: &ServiceExample,
@@ -113,7 +113,7 @@
         let audit = load::audit(&records, &lab.executions());
         let report = Report::new(&records, REPORT_INTERVAL_MS, Some(audit));
         print_line(format_args!("{}", format_line(&report, &region_shares(lab, service))));
-        // What was audited is forgotten, or a long run would fill the memory.
+        // Without this, the memory use of a long run would grow without bound.
         for backend in &lab.backends {
             backend.counts().clear_details();
         }
@@ -135,7 +135,7 @@
     )
 }
 
-/// What share of the requests ran in each region.
+/// Returns the share of executions in each region.
 fn region_shares(lab: &Lab, service: &ServiceExample) -> String {
     let mut ran: BTreeMap<String, u64> = BTreeMap::new();
     for backend in lab.backends_of(&service.name) {
