--- a/crates/azuregate-lab/src/network/delay.rs
+++ b/crates/azuregate-lab/src/network/delay.rs
@@ -20,7 +20,7 @@
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Stream for T {}
 
-/// A boxed [`Stream`].
+/// A boxed bidirectional byte stream.
 pub type BoxStream = Box<dyn Stream>;
 
 /// Returns a stream that delays the bytes of `stream` by `one_way_delay` in each
