--- a/crates/azuregate-lab/tests/lab/backends.rs
+++ b/crates/azuregate-lab/tests/lab/backends.rs
@@ -73,7 +73,7 @@
         ("leaving", Behaviour { leaving: true, ..quick() }, Ok("200 - 0/3 close"), 1),
         ("silent", Behaviour { silent: true, ..quick() }, Err("silent"), 0),
         ("cut", Behaviour { cut: true, ..quick() }, Err("incomplete response"), 1),
-        ("lie", Behaviour { report_lie: Some(2), ..quick() }, Ok("200 - 2/3 -"), 1),
+        ("false report", Behaviour { report_lie: Some(2), ..quick() }, Ok("200 - 2/3 -"), 1),
         ("past deadline", Behaviour { service_ms: 60_000, ..quick() }, Ok("504 - - -"), 1),
     ];
     for (case, behaviour, expected, runs) in table {
