--- a/crates/azuregate-lab/src/example.rs
+++ b/crates/azuregate-lab/src/example.rs
@@ -128,7 +128,7 @@
 
 impl fmt::Display for ExampleError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the example cannot be used")
+        f.write_str("cannot load the example")
     }
 }
 
