--- a/crates/azuregate-lab/src/backends/mod.rs
+++ b/crates/azuregate-lab/src/backends/mod.rs
@@ -1,23 +1,24 @@
 /*!
-Stand-ins of backend servers: slots, bounded connections, service times, load
-reports, and everything that can go wrong with them.
+Simulated backend servers with slots, a connection limit, service times, load
+reports and injected faults.
 
-`POST /lab/behaviour` replaces the [`Behaviour`]; `POST /lab/silence` makes all
-open connections silent for good. `GET /lab/ran`, `/lab/keys` and `/lab/stats`
-tell what truly ran.
+`POST /lab/behaviour` replaces the [`Behaviour`]; `POST /lab/silence` stops
+responses on all open connections. `GET /lab/ran` and `/lab/keys` return how
+often each request and idempotency key was executed, and `/lab/stats` returns
+the [`Stats`].
 */
 
-mod answers;
 mod behaviour;
-mod count;
+mod counts;
 mod load;
+mod responses;
 mod server;
-mod timing;
+mod service_times;
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 pub use behaviour::{Behaviour, Distribution};
-pub use count::{BUCKET_MS, Bucket, Counts, Stats, epoch_ms};
+pub use counts::{BUCKET_MS, Bucket, Counts, Stats, epoch_ms};
 pub use server::{Backend, serve};
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/azuregate-lab/src/cli/load.rs
+++ b/crates/azuregate-lab/src/cli/load.rs
@@ -1,4 +1,4 @@
-//! `load`: gives load and reports.
+//! `load`: generates load and reports the outcomes.
 
 use std::{fs, net::SocketAddr, path::PathBuf};
 
@@ -8,7 +8,7 @@
 use crate::{
     cli::load_example,
     client::{self, ClientError},
-    load::{self, Audit, Ended, Report},
+    load::{self, Audit, Report, RequestRecord},
 };
 
 /// Arguments of `load`.
@@ -20,38 +20,38 @@
     at: Option<SocketAddr>,
     #[options(required, help = "the service")]
     service: String,
-    #[options(help = "put callers near every availability zone of this example")]
+    #[options(help = "locate callers near every availability zone of this example")]
     example: Option<PathBuf>,
-    #[options(no_short, help = "let two entry instances of the example get half of all callers")]
+    #[options(no_short, help = "make half of all callers use two entry instances of the example")]
     skew: bool,
-    #[options(help = "requests a second", default = "100")]
+    #[options(help = "requests per second", default = "100")]
     rate_per_s: f64,
-    #[options(help = "how long, in milliseconds", default = "5000")]
+    #[options(help = "duration of the run in milliseconds", default = "5000")]
     duration_ms: u64,
-    #[options(help = "how many in a hundred are keyed orders", default = "10")]
+    #[options(help = "percentage of orders with an idempotency key", default = "10")]
     keyed_percent: u8,
-    #[options(help = "how many in a hundred are uploads", default = "0")]
+    #[options(help = "percentage of uploads", default = "0")]
     upload_percent: u8,
-    #[options(no_short, help = "the size of an upload", default = "100000")]
+    #[options(no_short, help = "size of an upload in bytes", default = "100000")]
     upload_bytes: usize,
-    #[options(help = "how long a caller waits, in milliseconds", default = "5000")]
+    #[options(help = "timeout of a request in milliseconds", default = "5000")]
     timeout_ms: u64,
-    #[options(no_short, help = "come back up to three times when a refusal as not run says when")]
+    #[options(no_short, help = "retry up to three times after a not-run refusal with Retry-After")]
     retry: bool,
-    #[options(no_short, help = "seed of the arrivals, part of the requests' names", default = "1")]
+    #[options(no_short, help = "seed of the arrivals, part of the request IDs", default = "1")]
     seed: u64,
     #[options(
-        help = "the platform's address: check the answers against what ran at the backend servers \
-                that it lists"
+        help = "the platform's address: audit the outcomes against the executions at the backend \
+                servers that it lists"
     )]
     platform: Option<SocketAddr>,
-    #[options(help = "write the report here as JSON")]
+    #[options(help = "write the report to this file as JSON")]
     json: Option<PathBuf>,
-    #[options(no_short, help = "draw the run here as SVG")]
+    #[options(no_short, help = "plot the run to this file as SVG")]
     plot: Option<PathBuf>,
 }
 
-/// How often a caller comes back with `--retry`.
+/// Maximum number of retries with `--retry`.
 const RETRIES: u32 = 3;
 
 impl LoadArgs {
@@ -60,7 +60,7 @@
         let mut config = load::Config::new(at, &ServiceName::new(&self.service));
         if let Some(path) = &self.example {
             let example = load_example(path)?;
-            config = config.with_places_of(&example);
+            config = config.with_locations_of(&example);
             if self.skew {
                 config = config.with_skew(&example);
             }
@@ -82,12 +82,12 @@
 /// Runs `load`.
 pub(crate) async fn run(args: &LoadArgs) -> Result<(), ClientError> {
     let config = args.config()?;
-    let ended = load::run(&config).await?;
+    let records = load::run(&config).await?;
     let audit = match args.platform {
-        Some(platform) => Some(audit(platform, &config.service, &ended).await?),
+        Some(platform) => Some(audit(platform, &config.service, &records).await?),
         None => None,
     };
-    let report = Report::new(&ended, config.duration_ms, audit);
+    let report = Report::new(&records, config.duration_ms, audit);
     print!("{report}");
     if let Some(path) = &args.json {
         fs::write(path, serde_json::to_string_pretty(&report)?)?;
@@ -97,7 +97,7 @@
             "{} at {}/s for {} ms, seed {}",
             config.service, config.rate_per_s, config.duration_ms, config.seed
         );
-        fs::write(path, load::svg(&title, &ended))?;
+        fs::write(path, load::svg(&title, &records))?;
     }
     Ok(())
 }
@@ -105,11 +105,11 @@
 async fn audit(
     platform: SocketAddr,
     service: &ServiceName,
-    ended: &[Ended],
+    records: &[RequestRecord],
 ) -> Result<Audit, ClientError> {
     let answer = client::get(platform, "/v1/instances").await?;
     let list: InstanceList = serde_json::from_slice(answer.body())?;
     let servers = list.backends.iter().filter(|server| server.service == *service);
     let addrs: Vec<_> = servers.map(|server| server.addr).collect();
-    Ok(load::audit(ended, &load::ran_at(&addrs).await?))
+    Ok(load::audit(records, &load::fetch_executions(&addrs).await?))
 }
--- a/crates/azuregate-lab/src/cli/up.rs
+++ b/crates/azuregate-lab/src/cli/up.rs
@@ -1,4 +1,4 @@
-//! `up`: all of an example in one process.
+//! `up`: runs an example in one process.
 
 use std::{collections::BTreeMap, path::PathBuf};
 
@@ -15,8 +15,8 @@
     up::{self, Lab},
 };
 
-/// How often figures are printed.
-const PERIOD_MS: u64 = 2_000;
+/// Interval between printed reports.
+const REPORT_INTERVAL_MS: u64 = 2_000;
 
 /// Arguments of `up`.
 #[derive(Debug, Options)]
@@ -26,13 +26,13 @@
     #[options(free, required, help = "the example's file")]
     example: PathBuf,
     #[options(
-        help = "how entries choose: random, round-robin, least-load, nearest or dispatcher",
+        help = "how entries choose servers: random, round-robin, least-load, nearest or dispatcher",
         default = "dispatcher"
     )]
     rule: String,
-    #[options(no_short, help = "requests a second of the load; 0 for none", default = "200")]
+    #[options(no_short, help = "requests per second of the load; 0 for none", default = "200")]
     rate_per_s: f64,
-    #[options(no_short, help = "leave out the delays of the network")]
+    #[options(no_short, help = "do not simulate network delays")]
     no_delays: bool,
 }
 
@@ -50,14 +50,14 @@
     };
     let lab = up::start_with(&example, &options).await?;
     lab.wait_ready().await?;
-    describe(&lab.example, service)?;
+    print_overview(&lab.example, service)?;
     tokio::select! {
-        moving = keep_moving(&lab, service, args.rate_per_s) => moving?,
+        finished = generate_load(&lab, service, args.rate_per_s) => finished?,
         stopped = signal::ctrl_c() => stopped?,
     }
     print_line(format_args!(
-        "stopping as planned: entry instances go on for {} ms, then finish what is in progress; \
-         Ctrl-C again ends at once",
+        "planned stop: entry instances serve for another {} ms, then finish requests in progress; \
+         Ctrl-C again exits at once",
         example.stop_delay_ms
     ));
     tokio::select! {
@@ -67,7 +67,7 @@
     Ok(())
 }
 
-fn describe(example: &Example, service: &ServiceExample) -> Result<(), ClientError> {
+fn print_overview(example: &Example, service: &ServiceExample) -> Result<(), ClientError> {
     let entry = example.entries.first().ok_or("the example has no entry instance")?;
     let (ip, ports, name) = (entry.ip, example.ports, &service.name);
     let traffic = example.traffic_addr(entry);
@@ -94,8 +94,8 @@
     Ok(())
 }
 
-/// Gives a light load without end and prints a line for each period of it.
-async fn keep_moving(
+/// Generates load indefinitely and prints a line per [`REPORT_INTERVAL_MS`].
+async fn generate_load(
     lab: &Lab,
     service: &ServiceExample,
     rate_per_s: f64,
@@ -105,27 +105,27 @@
     }
     let entry = lab.example.entries.first().ok_or("the example has no entry instance")?;
     let at = lab.example.traffic_addr(entry);
-    let mut config = load::Config::new(at, &service.name).with_places_of(&lab.example);
+    let mut config = load::Config::new(at, &service.name).with_locations_of(&lab.example);
     config.rate_per_s = rate_per_s;
-    config.duration_ms = PERIOD_MS;
+    config.duration_ms = REPORT_INTERVAL_MS;
     loop {
-        let ended = load::run(&config).await?;
-        let audit = load::audit(&ended, &lab.ran());
-        let report = Report::new(&ended, PERIOD_MS, Some(audit));
-        print_line(format_args!("{}", line(&report, &regions(lab, service))));
-        // What was audited is forgotten, or a long run would fill the memory.
+        let records = load::run(&config).await?;
+        let audit = load::audit(&records, &lab.executions());
+        let report = Report::new(&records, REPORT_INTERVAL_MS, Some(audit));
+        print_line(format_args!("{}", format_line(&report, &region_shares(lab, service))));
+        // Without this, the memory use of a long run would grow without bound.
         for backend in &lab.backends {
-            backend.counts().forget();
+            backend.counts().clear_details();
         }
         config.seed += 1;
     }
 }
 
-fn line(report: &Report, regions: &str) -> String {
+fn format_line(report: &Report, regions: &str) -> String {
     let reads = report.latency.get(&Class::Read).copied().unwrap_or_default();
-    let doubled = report.audit.as_ref().map_or(0, |audit| audit.duplicates.len());
+    let duplicates = report.audit.as_ref().map_or(0, |audit| audit.duplicates.len());
     format!(
-        "{:>4}/s answered  {:>3} refused  {:>3} failed  {doubled} doubled  \
+        "{:>4}/s answered  {:>3} refused  {:>3} failed  {duplicates} doubled  \
          reads p50 {:.0} ms p99 {:.0} ms  {regions}",
         report.goodput_per_s.round(),
         report.refused_count(),
@@ -135,16 +135,16 @@
     )
 }
 
-/// What share of the requests ran in each region.
-fn regions(lab: &Lab, service: &ServiceExample) -> String {
+/// Returns the share of executions in each region.
+fn region_shares(lab: &Lab, service: &ServiceExample) -> String {
     let mut ran: BTreeMap<String, u64> = BTreeMap::new();
     for backend in lab.backends_of(&service.name) {
         let region = lab.example.topology.region_of(&backend.server.zone);
         let name = region.map_or_else(String::new, ToString::to_string);
-        let buckets: u64 = backend.counts().buckets.values().map(|bucket| bucket.ran).sum();
-        *ran.entry(name).or_default() += buckets;
+        let executions: u64 = backend.counts().buckets.values().map(|bucket| bucket.ran).sum();
+        *ran.entry(name).or_default() += executions;
     }
-    let all = ran.values().sum::<u64>().max(1);
-    let shares = ran.iter().map(|(region, count)| format!("{region} {}%", count * 100 / all));
+    let total = ran.values().sum::<u64>().max(1);
+    let shares = ran.iter().map(|(region, count)| format!("{region} {}%", count * 100 / total));
     shares.collect::<Vec<_>>().join("  ")
 }
--- a/crates/azuregate-lab/src/load/mod.rs
+++ b/crates/azuregate-lab/src/load/mod.rs
@@ -1,19 +1,19 @@
 /*!
-Open-loop load: requests start when they are due, whether or not earlier ones
-have been answered.
+An open-loop load generator: requests start when they are due, whether or not
+earlier ones have been answered.
 
-Callers stand near availability zones, ask an entry instance which ones to use,
-keep the answer for as long as it says, and keep their connections alive.
-[`run`] gives the load, [`Report`] sums it up, and [`audit`] checks it against
-what truly ran.
+Callers are located near availability zones. They fetch the list of entry
+instances, cache it for its max-age, and use persistent connections. [`run`]
+generates the load, [`Report`] summarises the outcomes, and [`audit`] checks them
+against the executions at the backend servers.
 */
 
 mod audit;
 mod caller;
 mod conn;
-mod ended;
 mod plot;
 mod report;
+mod request;
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -27,64 +27,65 @@
 
 use crate::{
     client::ClientError,
-    example::{CLIENTS, Example},
+    example::{CLIENTS_PER_ZONE, Example},
 };
 
-pub(crate) use conn::{Conn, Lost};
+pub(crate) use conn::{Conn, SendError};
 
-pub use audit::{Audit, audit, ran_at};
+pub use audit::{Audit, audit, fetch_executions};
 pub use caller::Caller;
-pub use ended::{Class, Ended, Ending};
 pub use plot::svg;
 pub use report::{Latency, Report};
+pub use request::{Class, RequestOutcome, RequestRecord};
 
-/// How many callers there are near each place.
-const CALLERS_PER_PLACE: usize = CLIENTS as usize;
+/// Number of callers at each location.
+const CALLERS_PER_LOCATION: usize = CLIENTS_PER_ZONE as usize;
 
-/// Where some of the callers stand.
+/// A location of callers.
 #[derive(Clone, Debug)]
-pub struct Place {
-    /// The IP numbers that they come from, one after the other; any if empty.
+pub struct CallerLocation {
+    /// Source IP addresses, assigned in turn; any address if empty.
     pub ips: Vec<IpAddr>,
-    /// The entry instance that they ask first.
-    pub ask: SocketAddr,
+    /// The entry instance that the first list of entries is fetched from.
+    pub bootstrap_addr: SocketAddr,
 }
 
-/// What load to give.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Where the callers stand, the same number at each.
-    pub places: Vec<Place>,
-    /// Entry instances that get `favoured_percent` of the callers, whatever
-    /// the answer of `/v1/entries` prefers.
+    /// Locations, each with the same number of callers.
+    pub locations: Vec<CallerLocation>,
+    /// Entry instances that `favoured_percent` of the callers use, whatever the
+    /// order of `/v1/entries`.
     pub favoured: Vec<SocketAddr>,
-    /// How many callers in a hundred use the favoured instances.
+    /// Percentage of callers that use the favoured instances.
     pub favoured_percent: usize,
-    /// The service.
+    /// The service to send requests to.
     pub service: ServiceName,
-    /// Requests a second.
+    /// Mean arrival rate in requests per second.
     pub rate_per_s: f64,
-    /// How long.
+    /// Duration of the run.
     pub duration_ms: u64,
-    /// How many in a hundred are orders with an idempotency key.
+    /// Percentage of requests that are orders with an idempotency key.
     pub keyed_percent: u8,
-    /// How many in a hundred are uploads.
+    /// Percentage of requests that are uploads.
     pub upload_percent: u8,
-    /// The size of an upload.
+    /// Size of an upload.
     pub upload_bytes: usize,
-    /// How long a caller waits, in milliseconds.
+    /// Timeout of a request.
     pub timeout_ms: u64,
-    /// How often a caller comes back after a refusal that says when.
+    /// Maximum number of retries after refusals with a `Retry-After`.
     pub retries: u32,
-    /// Seed of the arrivals; it is part of the requests' names.
+    /// Seed of the arrivals; it is part of the request IDs.
     pub seed: u64,
 }
 
 impl Config {
-    /// Reads and a few orders for a service, from callers that ask `at`.
+    /// Returns the default parameters: reads and a few orders for `service`, from
+    /// callers that fetch their first list of entries from `at`.
     pub fn new(at: SocketAddr, service: &ServiceName) -> Config {
         Config {
-            places: vec![Place { ips: Vec::new(), ask: at }],
+            locations: vec![CallerLocation { ips: Vec::new(), bootstrap_addr: at }],
             favoured: Vec::new(),
             favoured_percent: 0,
             service: service.clone(),
@@ -99,21 +100,21 @@
         }
     }
 
-    /// Puts callers near every availability zone of an example.
-    pub fn with_places_of(mut self, example: &Example) -> Config {
-        let place = |zone| {
+    /// Locates callers near every availability zone of an example.
+    pub fn with_locations_of(mut self, example: &Example) -> Config {
+        let location = |zone| {
             let near =
                 example.entries.iter().min_by_key(|e| example.topology.distance(zone, &e.zone));
-            near.map(|entry| Place {
-                ips: (0..CLIENTS).map(|rank| example.client_ip(zone, rank)).collect(),
-                ask: example.traffic_addr(entry),
+            near.map(|entry| CallerLocation {
+                ips: (0..CLIENTS_PER_ZONE).map(|rank| example.client_ip(zone, rank)).collect(),
+                bootstrap_addr: example.traffic_addr(entry),
             })
         };
-        self.places = example.topology.zones().filter_map(place).collect();
+        self.locations = example.topology.zones().filter_map(location).collect();
         self
     }
 
-    /// Gives half of all callers to the first two entry instances.
+    /// Makes half of the callers use the first two entry instances.
     pub fn with_skew(mut self, example: &Example) -> Config {
         let first = example.entries.iter().take(2);
         self.favoured = first.map(|entry| example.traffic_addr(entry)).collect();
@@ -122,18 +123,24 @@
     }
 
     fn callers(&self) -> Vec<Arc<Caller>> {
-        let count = self.places.len() * CALLERS_PER_PLACE;
+        let count = self.locations.len() * CALLERS_PER_LOCATION;
         let caller = |index: usize| {
-            let place = &self.places[index % self.places.len()];
-            let rank = index / self.places.len();
-            let ip = place.ips.get(rank % place.ips.len().max(1)).copied();
-            let rank_percent = rank * 100 / CALLERS_PER_PLACE;
+            let location = &self.locations[index % self.locations.len()];
+            let rank = index / self.locations.len();
+            let ip = location.ips.get(rank % location.ips.len().max(1)).copied();
+            let rank_percent = rank * 100 / CALLERS_PER_LOCATION;
             let favoured = if rank_percent < self.favoured_percent {
                 self.favoured.get(index % self.favoured.len().max(1)).copied()
             } else {
                 None
             };
-            Arc::new(Caller::new(ip, place.ask, favoured, &self.service, self.timeout_ms))
+            Arc::new(Caller::new(
+                ip,
+                location.bootstrap_addr,
+                favoured,
+                &self.service,
+                self.timeout_ms,
+            ))
         };
         (0..count).map(caller).collect()
     }
@@ -150,28 +157,30 @@
     }
 }
 
-/// Gives load until its time is over and the last answers are in; returns how
-/// each request ended.
+/// Generates load for the configured duration, waits for the last responses, and
+/// returns the record of each request.
 ///
 /// # Errors
 ///
-/// When there is nowhere to start from, or no entry instance can be learnt.
-pub async fn run(config: &Config) -> Result<Vec<Ended>, ClientError> {
-    if config.places.is_empty() {
+/// When there are no locations, or a caller cannot fetch the list of entries.
+pub async fn run(config: &Config) -> Result<Vec<RequestRecord>, ClientError> {
+    if config.locations.is_empty() {
         return Err("there is no entry instance to ask".into());
     }
     let callers = config.callers();
-    future::try_join_all(callers.iter().map(|caller| caller.learn())).await?;
-    let renewals: Vec<_> =
-        callers.iter().map(|caller| tokio::spawn(Arc::clone(caller).renew())).collect();
-    let ended = give(config, &callers).await;
-    for renewal in renewals {
-        renewal.abort();
+    future::try_join_all(callers.iter().map(|caller| caller.discover())).await?;
+    let refreshes: Vec<_> = callers
+        .iter()
+        .map(|caller| tokio::spawn(Arc::clone(caller).refresh_periodically()))
+        .collect();
+    let records = generate(config, &callers).await;
+    for refresh in refreshes {
+        refresh.abort();
     }
-    Ok(ended)
+    Ok(records)
 }
 
-async fn give(config: &Config, callers: &[Arc<Caller>]) -> Vec<Ended> {
+async fn generate(config: &Config, callers: &[Arc<Caller>]) -> Vec<RequestRecord> {
     let (sender, mut receiver) = mpsc::unbounded_channel();
     let mut rng = fastrand::Rng::with_seed(config.seed);
     let start = Instant::now();
@@ -179,7 +188,7 @@
     let mut due = start;
     let mut sequence = 0_u64;
     loop {
-        // Exponential gaps make a Poisson process.
+        // Exponential gaps make the arrivals a Poisson process.
         let gap_s = -(1.0 - rng.f64()).ln() / config.rate_per_s;
         due += Duration::from_secs_f64(gap_s);
         if due >= end {
@@ -196,18 +205,24 @@
         let caller = Arc::clone(&callers[rng.usize(..callers.len())]);
         let sender = sender.clone();
         tokio::spawn(async move {
-            let (ending, tries) = caller.serve(&job).await;
+            let (ending, tries) = caller.execute(&job).await;
             let latency_us = u64::try_from(due.elapsed().as_micros()).unwrap_or(u64::MAX);
             let due_ms = u64::try_from((due - start).as_millis()).unwrap_or(u64::MAX);
-            let ended =
-                Ended { name: job.name, class: job.class, due_ms, latency_us, tries, ending };
-            let _ = sender.send(ended);
+            let record = RequestRecord {
+                name: job.name,
+                class: job.class,
+                due_ms,
+                latency_us,
+                tries,
+                ending,
+            };
+            let _ = sender.send(record);
         });
     }
     drop(sender);
-    let mut all = Vec::new();
-    while let Some(ended) = receiver.recv().await {
-        all.push(ended);
+    let mut records = Vec::new();
+    while let Some(record) = receiver.recv().await {
+        records.push(record);
     }
-    all
+    records
 }
--- a/crates/azuregate-lab/src/network/delay.rs
+++ b/crates/azuregate-lab/src/network/delay.rs
@@ -1,4 +1,5 @@
-//! Delays the bytes of a connection without holding back those behind them.
+//! Adds latency to a connection without limiting its throughput to one chunk per
+//! delay.
 
 use std::time::Duration;
 
@@ -9,67 +10,77 @@
     time::{self, Instant},
 };
 
-/// The largest piece that is read at once.
-const PIECE_BYTES: usize = 64 << 10;
-/// How many pieces are on their way at the most.
-const PIECES: usize = 128;
+/// The maximum size of a chunk.
+const CHUNK_BYTES: usize = 64 << 10;
+/// The maximum number of chunks in flight in each direction.
+const MAX_CHUNKS_IN_FLIGHT: usize = 128;
 
-/// Any connection.
+/// A bidirectional byte stream.
 pub trait Stream: AsyncRead + AsyncWrite + Send + Unpin {}
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin> Stream for T {}
 
-/// A connection whose kind does not matter.
+/// A boxed bidirectional byte stream.
 pub type BoxStream = Box<dyn Stream>;
 
-/// A connection that behaves as `stream` does, with `one_way` of delay in each
-/// direction; the end of either direction is delayed as well.
-pub fn stretch(stream: impl Stream + 'static, one_way: Duration) -> BoxStream {
-    if one_way.is_zero() {
+/// Returns a stream that delays the bytes of `stream` by `one_way_delay` in each
+/// direction. End of stream is delayed as well.
+pub fn with_delay(stream: impl Stream + 'static, one_way_delay: Duration) -> BoxStream {
+    if one_way_delay.is_zero() {
         return Box::new(stream);
     }
-    let (near, far) = tokio::io::duplex(PIECE_BYTES);
-    tokio::spawn(carry(stream, far, one_way));
-    Box::new(near)
+    let (local, remote) = tokio::io::duplex(CHUNK_BYTES);
+    tokio::spawn(forward(stream, remote, one_way_delay));
+    Box::new(local)
 }
 
-/// Carries bytes between two connections until both directions have ended.
-pub(crate) async fn carry(a: impl Stream, b: impl Stream, one_way: Duration) {
+/// Forwards bytes between two streams until both directions have ended.
+pub(crate) async fn forward(a: impl Stream, b: impl Stream, one_way_delay: Duration) {
     let (a_read, a_write) = tokio::io::split(a);
     let (b_read, b_write) = tokio::io::split(b);
-    tokio::join!(pump(a_read, b_write, one_way), pump(b_read, a_write, one_way));
+    tokio::join!(
+        copy_with_delay(a_read, b_write, one_way_delay),
+        copy_with_delay(b_read, a_write, one_way_delay)
+    );
 }
 
-async fn pump(reader: impl AsyncRead + Unpin, writer: impl AsyncWrite + Unpin, one_way: Duration) {
-    let (sender, receiver) = mpsc::channel(PIECES);
-    tokio::join!(take(reader, sender, one_way), put(receiver, writer));
+async fn copy_with_delay(
+    reader: impl AsyncRead + Unpin,
+    writer: impl AsyncWrite + Unpin,
+    one_way_delay: Duration,
+) {
+    let (sender, receiver) = mpsc::channel(MAX_CHUNKS_IN_FLIGHT);
+    tokio::join!(read_chunks(reader, sender, one_way_delay), write_chunks(receiver, writer));
 }
 
-async fn take(
+async fn read_chunks(
     mut reader: impl AsyncRead + Unpin,
     sender: mpsc::Sender<(Instant, Bytes)>,
-    one_way: Duration,
+    one_way_delay: Duration,
 ) {
-    let mut buffer = vec![0; PIECE_BYTES];
+    let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let count = tokio::select! {
             read = reader.read(&mut buffer) => read.unwrap_or(0),
-            // Nobody reads at the other end any more.
+            // The other end no longer reads.
             () = sender.closed() => return,
         };
-        let piece = Bytes::copy_from_slice(&buffer[..count]);
-        // The empty piece stands for the end.
-        let sent = sender.send((Instant::now() + one_way, piece)).await;
+        let chunk = Bytes::copy_from_slice(&buffer[..count]);
+        // An empty chunk marks the end of the stream.
+        let sent = sender.send((Instant::now() + one_way_delay, chunk)).await;
         if count == 0 || sent.is_err() {
             return;
         }
     }
 }
 
-async fn put(mut receiver: mpsc::Receiver<(Instant, Bytes)>, mut writer: impl AsyncWrite + Unpin) {
-    while let Some((due, piece)) = receiver.recv().await {
+async fn write_chunks(
+    mut receiver: mpsc::Receiver<(Instant, Bytes)>,
+    mut writer: impl AsyncWrite + Unpin,
+) {
+    while let Some((due, chunk)) = receiver.recv().await {
         time::sleep_until(due).await;
-        if piece.is_empty() || writer.write_all(&piece).await.is_err() {
+        if chunk.is_empty() || writer.write_all(&chunk).await.is_err() {
             break;
         }
     }
--- a/crates/azuregate-lab/src/network/relay.rs
+++ b/crates/azuregate-lab/src/network/relay.rs
@@ -1,4 +1,4 @@
-//! Puts delay in front of a process.
+//! A TCP proxy that delays the traffic of a process.
 
 use std::{convert::Infallible, io, net::SocketAddr, sync::Arc};
 
@@ -10,41 +10,41 @@
 
 use crate::network::{Network, delay};
 
-/// Takes connections for a process in an availability zone and passes them on
-/// with the delay of the way that they came.
+/// A TCP proxy in front of a process in an availability zone. It adds the delay
+/// between the client and that zone.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Who is where.
+    /// The network that delays follow from.
     pub network: Arc<Network>,
-    /// Where the process is.
+    /// The availability zone of the process.
     pub zone: ZoneName,
-    /// Where it listens.
-    pub to: SocketAddr,
+    /// The address that the process listens on.
+    pub upstream_addr: SocketAddr,
 }
 
 impl Relay {
-    /// Serves until the task is aborted.
+    /// Accepts and relays connections until the task is aborted.
     pub async fn serve(self, listener: TcpListener) -> Infallible {
         loop {
             let Ok((stream, caller)) = listener.accept().await else {
                 continue;
             };
             let _ = stream.set_nodelay(true);
-            tokio::spawn(self.clone().pass_on(stream, caller));
+            tokio::spawn(self.clone().relay_connection(stream, caller));
         }
     }
 
-    async fn pass_on(self, stream: TcpStream, caller: SocketAddr) {
-        let one_way = self.network.one_way(caller.ip(), &self.zone);
-        time::sleep(self.network.opening(caller.ip(), &self.zone)).await;
-        let Ok(onward) = connect_from(caller, self.to).await else {
+    async fn relay_connection(self, stream: TcpStream, caller: SocketAddr) {
+        let one_way_delay = self.network.one_way_delay(caller.ip(), &self.zone);
+        time::sleep(self.network.connect_delay(caller.ip(), &self.zone)).await;
+        let Ok(upstream) = connect_from(caller, self.upstream_addr).await else {
             return;
         };
-        delay::carry(stream, onward, one_way).await;
+        delay::forward(stream, upstream, one_way_delay).await;
     }
 }
 
-/// Connects from the caller's own IP number, which the process then sees.
+/// Connects from the caller's IP address, so that the process sees it.
 async fn connect_from(caller: SocketAddr, to: SocketAddr) -> io::Result<TcpStream> {
     let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.bind(SocketAddr::new(caller.ip(), 0))?;
--- a/crates/azuregate-lab/src/platform/store.rs
+++ b/crates/azuregate-lab/src/platform/store.rs
@@ -1,52 +1,53 @@
-//! The tables, objects and the list, in memory.
+//! In-memory storage of tables, objects and the instance list.
 
 use std::collections::BTreeMap;
 
 use azuregate::platform::{Changes, Commit, Expect, Row, Write};
 use bytes::Bytes;
 
-use crate::platform::LaggingList;
+use crate::platform::DelayedInstanceList;
 
-/// Everything that the stand-in keeps.
+/// The data of the simulated platform.
 #[derive(Debug, Default)]
 pub struct Store {
     tables: BTreeMap<String, Table>,
     objects: BTreeMap<String, Bytes>,
     /// The list of live and leaving instances.
-    pub list: LaggingList,
+    pub list: DelayedInstanceList,
 }
 
 #[derive(Debug, Default)]
 struct Table {
     sequence: u64,
-    rows: BTreeMap<String, Kept>,
+    rows: BTreeMap<String, StoredRow>,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct StoredRow {
     sequence: u64,
     row: Row,
 }
 
 impl Store {
-    /// Reads one row.
+    /// Returns the row of `table` with this key.
     pub fn read(&self, table: &str, key: &str) -> Option<Row> {
         Some(self.tables.get(table)?.rows.get(key)?.row.clone())
     }
 
-    /// Reads the rows that changed after a point.
+    /// Returns the rows of `table` that changed after `since_sequence`, oldest
+    /// change first.
     pub fn changes(&self, table: &str, since_sequence: u64) -> Changes {
         let Some(table) = self.tables.get(table) else {
             return Changes::default();
         };
-        let mut kept: Vec<_> =
-            table.rows.values().filter(|kept| kept.sequence > since_sequence).collect();
-        kept.sort_by_key(|kept| kept.sequence);
-        let rows = kept.into_iter().map(|kept| kept.row.clone()).collect();
+        let mut stored: Vec<_> =
+            table.rows.values().filter(|stored| stored.sequence > since_sequence).collect();
+        stored.sort_by_key(|stored| stored.sequence);
+        let rows = stored.into_iter().map(|stored| stored.row.clone()).collect();
         Changes { sequence: table.sequence, rows }
     }
 
-    /// Commits all of `writes` or none.
+    /// Commits all of `writes`, or none if the expectation of one is not met.
     pub fn transact(&mut self, writes: &[Write]) -> Commit {
         for (index, write) in writes.iter().enumerate() {
             let row = self.read(write.table.as_str(), &write.key);
@@ -68,18 +69,18 @@
             table.rows.remove(&write.key);
             return 0;
         };
-        let version = table.rows.get(&write.key).map_or(1, |kept| kept.row.version + 1);
+        let version = table.rows.get(&write.key).map_or(1, |stored| stored.row.version + 1);
         let row = Row { key: write.key.clone(), version, value };
-        table.rows.insert(write.key.clone(), Kept { sequence: table.sequence, row });
+        table.rows.insert(write.key.clone(), StoredRow { sequence: table.sequence, row });
         version
     }
 
-    /// Keeps an object.
+    /// Stores an object, replacing any of the same name.
     pub fn put_object(&mut self, name: &str, bytes: Bytes) {
         self.objects.insert(name.to_owned(), bytes);
     }
 
-    /// Reads an object.
+    /// Returns the object with this name.
     pub fn get_object(&self, name: &str) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -1,4 +1,4 @@
-//! Runs all of an example in one process.
+//! Runs an example deployment in one process.
 
 use std::{
     collections::HashMap,
@@ -25,32 +25,32 @@
 
 /// A running example.
 pub struct Lab {
-    /// The platform's stand-in.
+    /// The simulated platform.
     pub platform: Arc<Server>,
     /// The backend servers of all services.
     pub backends: Vec<Arc<Backend>>,
     /// The entry instances.
     pub entries: Vec<Entry>,
-    /// What is run.
+    /// The example that is running.
     pub example: Example,
     status_addrs: Vec<SocketAddr>,
-    stand_ins: Vec<JoinHandle<()>>,
+    simulator_tasks: Vec<JoinHandle<()>>,
 }
 
 /// A running entry instance.
 pub struct Entry {
-    /// As in the example.
+    /// The instance's entry in the example.
     pub example: EntryExample,
     stopper: stop::Stopper,
     task: JoinHandle<()>,
 }
 
-/// How an example is run.
+/// Options for running an example.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// How entry instances choose backend servers.
+    /// The rule by which entry instances choose backend servers.
     pub rule: Rule,
-    /// Whether the network has the delays of the example.
+    /// Whether to simulate the network delays of the example.
     pub delays: bool,
     /// Seed of the service times.
     pub seed: u64,
@@ -62,8 +62,7 @@
     }
 }
 
-/// Starts everything that an example describes, by the shipped rule and
-/// without delays.
+/// Starts an example with the default options.
 ///
 /// # Errors
 ///
@@ -72,41 +71,45 @@
     start_with(example, &Options::default()).await
 }
 
-/// Starts everything that an example describes.
+/// Starts an example with `options`.
 ///
 /// # Errors
 ///
 /// When a port cannot be opened.
 pub async fn start_with(example: &Example, options: &Options) -> Result<Lab, ClientError> {
     let example = Example { relays: options.delays, ..example.clone() };
-    let mut lab = stand_ins_with(&example, options).await?;
+    let mut lab = start_simulators_with(&example, options).await?;
     lab.start_entries(&options.rule);
     Ok(lab)
 }
 
 /// Starts the platform and the backend servers of an example, without entry
-/// instances and without delays.
+/// instances, with the default options.
 ///
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn stand_ins(example: &Example) -> Result<Lab, ClientError> {
-    stand_ins_with(example, &Options::default()).await
+pub async fn start_simulators(example: &Example) -> Result<Lab, ClientError> {
+    start_simulators_with(example, &Options::default()).await
 }
 
-/// Starts the platform, the backend servers and, where the example has them, the
-/// relays, without entry instances.
+/// Starts the platform, the backend servers and, if [`Example::relays`] is set, the
+/// relays of an example, without entry instances.
 ///
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn stand_ins_with(example: &Example, options: &Options) -> Result<Lab, ClientError> {
+pub async fn start_simulators_with(
+    example: &Example,
+    options: &Options,
+) -> Result<Lab, ClientError> {
     let network = options.delays.then(|| Arc::new(example.network()));
     let (platform, task) = serve_platform(example, network.as_ref()).await?;
-    let (backends, mut stand_ins) = serve_backends(example, network.as_ref(), options.seed).await?;
-    stand_ins.push(task);
+    let (backends, mut simulator_tasks) =
+        serve_backends(example, network.as_ref(), options.seed).await?;
+    simulator_tasks.push(task);
     if let Some(network) = network.filter(|_| example.relays) {
-        start_relays(example, &network, &mut stand_ins).await?;
+        start_relays(example, &network, &mut simulator_tasks).await?;
     }
     Ok(Lab {
         platform,
@@ -114,11 +117,11 @@
         entries: Vec::new(),
         example: example.clone(),
         status_addrs: Vec::new(),
-        stand_ins,
+        simulator_tasks,
     })
 }
 
-/// Starts the platform's stand-in of an example.
+/// Starts the simulated platform of an example.
 ///
 /// # Errors
 ///
@@ -127,7 +130,7 @@
     example: &Example,
     network: Option<&Arc<Network>>,
 ) -> Result<(Arc<Server>, JoinHandle<()>), ClientError> {
-    let mut server = start_platform(example);
+    let mut server = build_platform(example);
     if let Some(network) = network {
         server = server.with_network(Arc::clone(network), example.platform_zone());
     }
@@ -148,7 +151,7 @@
     seed: u64,
 ) -> Result<(Vec<Arc<Backend>>, Vec<JoinHandle<()>>), ClientError> {
     let (mut backends, mut tasks) = (Vec::new(), Vec::new());
-    for mut backend in make_backends(example, seed) {
+    for mut backend in build_backends(example, seed) {
         if let Some(network) = network {
             backend = backend.with_network(Arc::clone(network));
         }
@@ -163,7 +166,7 @@
 async fn start_relays(
     example: &Example,
     network: &Arc<Network>,
-    stand_ins: &mut Vec<JoinHandle<()>>,
+    simulator_tasks: &mut Vec<JoinHandle<()>>,
 ) -> Result<(), ClientError> {
     for entry in &example.entries {
         for (port, relay_port) in example.relayed_ports() {
@@ -171,19 +174,19 @@
             let relay = Relay {
                 network: Arc::clone(network),
                 zone: entry.zone.clone(),
-                to: SocketAddr::new(entry.ip, port),
+                upstream_addr: SocketAddr::new(entry.ip, port),
             };
-            stand_ins.push(spawn(relay.serve(listener)));
+            simulator_tasks.push(spawn(relay.serve(listener)));
         }
     }
     Ok(())
 }
 
-/// A platform that holds the first policy of each service.
-pub fn start_platform(example: &Example) -> Server {
+/// Returns a platform that holds the initial policy of each service.
+pub fn build_platform(example: &Example) -> Server {
     let server = Server::new(example.instance_list());
     for service in &example.services {
-        let policy = example.first_policy(service);
+        let policy = example.initial_policy(service);
         let write = Write {
             table: Table::Policy,
             key: policy.service.to_string(),
@@ -196,8 +199,9 @@
     server
 }
 
-/// The backend servers of all services, with a seed for their service times.
-pub fn make_backends(example: &Example, seed: u64) -> Vec<Backend> {
+/// Returns the backend servers of all services, with a seed for their service
+/// times.
+pub fn build_backends(example: &Example, seed: u64) -> Vec<Backend> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut backends = Vec::new();
     for service in &example.services {
@@ -238,7 +242,7 @@
         }
     }
 
-    /// Waits until every entry instance says that it is ready.
+    /// Waits until every entry instance reports that it is ready.
     ///
     /// # Errors
     ///
@@ -257,38 +261,39 @@
         Ok(())
     }
 
-    /// Stops the entry instances as planned, then the stand-ins.
+    /// Performs a planned stop of the entry instances, then stops the simulators.
     pub async fn stop(self) {
         self.stop_within(Duration::MAX).await;
     }
 
-    /// As [`Lab::stop`], but ends what has not stopped after `patience`.
-    pub async fn stop_within(self, patience: Duration) {
+    /// As [`Lab::stop`], but aborts entry instances that have not stopped after
+    /// `timeout`.
+    pub async fn stop_within(self, timeout: Duration) {
         for entry in &self.entries {
             entry.stopper.stop();
         }
         let start = Instant::now();
         for entry in self.entries {
             let mut task = entry.task;
-            let left = patience.saturating_sub(start.elapsed());
-            if time::timeout(left, &mut task).await.is_err() {
+            let remaining = timeout.saturating_sub(start.elapsed());
+            if time::timeout(remaining, &mut task).await.is_err() {
                 task.abort();
                 let _ = task.await;
             }
         }
-        for task in self.stand_ins {
+        for task in self.simulator_tasks {
             task.abort();
             let _ = task.await;
         }
         let ports = self.example.ports;
         for entry in &self.example.entries {
             for port in [ports.traffic, ports.peers, ports.operators, ports.status] {
-                wait_free(SocketAddr::new(entry.ip, port)).await;
+                wait_port_free(SocketAddr::new(entry.ip, port)).await;
             }
         }
     }
 
-    /// The backend servers of one service.
+    /// Returns the backend servers of one service.
     pub fn backends_of<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -296,28 +301,29 @@
         self.backends.iter().filter(move |backend| backend.server.service == *service)
     }
 
-    /// How often each request ran, over all backend servers.
-    pub fn ran(&self) -> HashMap<String, u64> {
-        let mut all = HashMap::new();
+    /// Returns the number of executions of each request over all backend servers,
+    /// by request ID.
+    pub fn executions(&self) -> HashMap<String, u64> {
+        let mut executions = HashMap::new();
         for backend in &self.backends {
             for (name, count) in &backend.counts().ran {
-                *all.entry(name.clone()).or_default() += count;
+                *executions.entry(name.clone()).or_default() += count;
             }
         }
-        all
+        executions
     }
 
-    /// Waits until a stand-in ends, which none does by itself.
+    /// Waits for the tasks of the simulators, which do not end by themselves.
     pub async fn wait(&mut self) {
-        for task in &mut self.stand_ins {
+        for task in &mut self.simulator_tasks {
             let _ = task.await;
         }
     }
 }
 
-/// Waits until a port can be opened again: the tasks of an instance end a
-/// moment after it has stopped.
-async fn wait_free(addr: SocketAddr) {
+/// Waits until a port can be bound again, since the tasks of an instance end
+/// shortly after it has stopped.
+async fn wait_port_free(addr: SocketAddr) {
     for _ in 0..200 {
         if TcpListener::bind(addr).await.is_ok() {
             return;
--- a/crates/azuregate-lab/tests/lab/reports.rs
+++ b/crates/azuregate-lab/tests/lab/reports.rs
@@ -1,27 +1,27 @@
-//! The forms of a report.
+//! Snapshots of the output formats of a report.
 
-use azuregate_lab::load::{Class, Ended, Ending, Report, audit, svg};
+use azuregate_lab::load::{Class, Report, RequestOutcome, RequestRecord, audit, svg};
 
 use crate::audit::{ended, refused};
 
-fn run() -> Vec<Ended> {
+fn ended_requests() -> Vec<RequestRecord> {
     let mut all: Vec<_> = (0..98)
         .map(|i| {
-            let mut request = ended(&format!("r{i}"), Class::Read, Ending::Answered);
+            let mut request = ended(&format!("r{i}"), Class::Read, RequestOutcome::Answered);
             request.due_ms = i * 20;
             request.latency_us = 10_000 + i * 1_000;
             request
         })
         .collect();
-    all.push(ended("o1", Class::Keyed, Ending::Answered));
+    all.push(ended("o1", Class::Keyed, RequestOutcome::Answered));
     all.push(ended("o2", Class::Keyed, refused(503, "not-run")));
-    all.push(ended("o3", Class::Keyed, Ending::Failed("cut short".to_owned())));
-    all.push(ended("o4", Class::Keyed, Ending::MixedUp));
+    all.push(ended("o3", Class::Keyed, RequestOutcome::Failed("cut short".to_owned())));
+    all.push(ended("o4", Class::Keyed, RequestOutcome::MixedUp));
     all
 }
 
 fn report() -> Report {
-    let ended = run();
+    let ended = ended_requests();
     let mut ran: std::collections::HashMap<_, _> =
         ended.iter().map(|request| (request.name.clone(), 1)).collect();
     ran.remove("o2");
@@ -41,6 +41,6 @@
 }
 
 #[test]
-fn as_a_drawing() {
-    insta::assert_snapshot!(svg("kvas <1> & more", &run()[..3]));
+fn as_svg() {
+    insta::assert_snapshot!(svg("kvas <1> & more", &ended_requests()[..3]));
 }
--- a/crates/azuregate-lab/tests/platform/main.rs
+++ b/crates/azuregate-lab/tests/platform/main.rs
@@ -1,8 +1,8 @@
-//! The contract of the border to the platform, passed by `HttpPlatform` against
-//! the stand-in and by a small fake in memory.
+//! Contract tests of the `Platform` trait, run on `HttpPlatform` with the
+//! simulated platform and on an in-memory fake.
 
 #![allow(missing_docs, clippy::unwrap_used, reason = "tests")]
 
 mod contract;
 mod fake;
-mod subjects;
+mod under_test;
--- a/crates/azuregate-lab/tests/platform/subjects.rs
+++ b/crates/azuregate-lab/tests/platform/under_test.rs
@@ -1,4 +1,4 @@
-//! The platforms under test, each of which can be told to fail.
+//! The platforms under test, with fault injection.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,40 +12,40 @@
 
 use crate::fake::FakePlatform;
 
-/// How long the client waits for an answer.
+/// The client's timeout.
 const TIMEOUT_MS: u64 = 300;
 
-/// What goes wrong with the calls of a case.
+/// A fault injected into calls.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub(crate) enum Fault {
     #[default]
     None,
-    /// Every call is refused.
+    /// Every call is rejected.
     Down,
-    /// Nobody listens.
+    /// The port is closed.
     Unreachable,
-    /// Answers take a while, but come in time.
+    /// Responses are delayed, but arrive within the timeout.
     Slow,
-    /// Calls are taken and never answered.
+    /// Calls are accepted but never answered.
     Silent,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their responses are lost.
     AnswerLost,
-    /// The connection ends in the middle of an answer.
+    /// The connection closes in the middle of a response.
     Cut,
-    /// What is answered is no answer.
+    /// The response body is not valid.
     Garbage,
 }
 
 /// A platform under test.
-pub(crate) trait Subject {
-    /// The platform while this goes wrong.
-    fn with(&self, fault: Fault) -> Arc<dyn Platform>;
+pub(crate) trait PlatformUnderTest {
+    /// Returns the platform with `fault` injected.
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform>;
 }
 
 pub(crate) struct InMemory(pub(crate) Arc<FakePlatform>);
 
-impl Subject for InMemory {
-    fn with(&self, fault: Fault) -> Arc<dyn Platform> {
+impl PlatformUnderTest for InMemory {
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform> {
         *self.0.fault.lock().unwrap() = fault;
         Arc::clone(&self.0) as _
     }
@@ -59,8 +59,8 @@
     closed_addr: SocketAddr,
 }
 
-impl Subject for OverHttp {
-    fn with(&self, fault: Fault) -> Arc<dyn Platform> {
+impl PlatformUnderTest for OverHttp {
+    fn with_fault(&self, fault: Fault) -> Arc<dyn Platform> {
         let mut faults = Faults::default();
         let mut addr = self.addr;
         match fault {
@@ -84,8 +84,10 @@
     tokio::spawn(serve(listener, Arc::clone(&server)));
     let (closed, closed_addr) = listen().await;
     drop(closed);
-    let cut_addr = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"done\":").await;
-    let garbage_addr = answers(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[}7!").await;
+    let cut_addr =
+        fixed_response_server(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{\"done\":").await;
+    let garbage_addr =
+        fixed_response_server(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\n[}7!").await;
     OverHttp { server, addr, cut_addr, garbage_addr, closed_addr }
 }
 
@@ -95,8 +97,8 @@
     (listener, addr)
 }
 
-/// A server that gives the same bytes to everyone and closes.
-pub(crate) async fn answers(bytes: &'static [u8]) -> SocketAddr {
+/// Starts a server that sends `bytes` on each connection and closes it.
+pub(crate) async fn fixed_response_server(bytes: &'static [u8]) -> SocketAddr {
     let (listener, addr) = listen().await;
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
