--- a/crates/azuregate/src/cli/call.rs
+++ b/crates/azuregate/src/cli/call.rs
@@ -187,7 +187,7 @@
         addrs.retain(|addr| !addr.is_empty());
     }
     if addrs.is_empty() {
-        return Err(Failure::usage(format!("say which instance by --at or {ADDRESSES_VARIABLE}")));
+        return Err(Failure::usage(format!("no instance given: use --at or {ADDRESSES_VARIABLE}")));
     }
     let parse = |text: &String| {
         text.parse().map_err(|_| {
--- a/crates/azuregate/src/cli/commands.rs
+++ b/crates/azuregate/src/cli/commands.rs
@@ -27,19 +27,19 @@
             Some(PolicyCommand::List(args)) => list_policies(args).await,
             Some(PolicyCommand::Set(args)) => set_policy(args).await,
             Some(PolicyCommand::History(args)) => history(args).await,
-            None => Err(Failure::usage("say which: get, list, set or history")),
+            None => Err(Failure::usage("missing subcommand: get, list, set or history")),
         },
         Command::Shift(args) => match args.command {
             Some(ShiftCommand::Start(args)) => start_shift(args).await,
             Some(ShiftCommand::Stop(args)) => stop_shift(args).await,
             Some(ShiftCommand::Show(args)) => show_shift(args).await,
-            None => Err(Failure::usage("say which: start, stop or show")),
+            None => Err(Failure::usage("missing subcommand: start, stop or show")),
         },
         Command::Drain(args) => match args.command {
             Some(DrainCommand::Start(args)) => start_drain(args).await,
             Some(DrainCommand::Stop(args)) => stop_drain(args).await,
             Some(DrainCommand::Show(args)) => show_drains(args).await,
-            None => Err(Failure::usage("say which: start, stop or show")),
+            None => Err(Failure::usage("missing subcommand: start, stop or show")),
         },
         Command::Entries(args) => entries(args).await,
         Command::Histograms(args) => histograms(args).await,
@@ -127,7 +127,7 @@
     let based_on = args.based_on.or((policy.version > 0).then_some(policy.version));
     let Some(based_on_version) = based_on else {
         return Err(Failure::usage(
-            "the file has no version: say --based-on N, with 0 to create the policy",
+            "the file has no version: give --based-on N, or --based-on 0 to create the policy",
         ));
     };
     let request = v1::SetPolicyRequest {
