--- a/crates/azuregate-core/src/blocks/codec.rs
+++ b/crates/azuregate-core/src/blocks/codec.rs
@@ -1,17 +1,19 @@
-//! Snapshots of a block map: the form kept as one object of the platform.
+//! Encoding of a block map as one object of the platform.
 //!
-//! A magic number, then for each family the count of blocks and the blocks in
-//! order, then a checksum of all before it. Of each block: the gap to the start
-//! of the one before in units of the family's smallest block, the length, the
-//! site. Gaps are small, so that most blocks take four or five bytes.
+//! A snapshot consists of a magic number, the blocks of each family, and a checksum
+//! of everything before it. Each family is the number of its blocks followed by the
+//! blocks in order. Each block is the difference of its start to that of the
+//! previous block, in units of the family's smallest block, then the prefix length
+//! and the site. Numbers are encoded as LEB128, so most blocks take four or five
+//! bytes.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::blocks::{BlockMap, BlocksError, SiteId, chunk::Entry, family::Family};
+use crate::blocks::{BlockMap, BlocksError, SiteId, chunk::Entry, family::FamilyMap};
 
 const MAGIC: &[u8; 8] = b"azgblk01";
 const CHECKSUM_BYTES: usize = size_of::<u64>();
-/// The number of low bits that no start of an IPv4 block uses.
+/// Number of low bits that are zero in each start of an IPv4 block.
 const V4_SHIFT: u32 = 32;
 const V6_SHIFT: u32 = 0;
 
@@ -26,37 +28,37 @@
 
 pub(crate) fn decode(bytes: &[u8]) -> Result<BlockMap, BlocksError> {
     let Some(body_bytes) = bytes.len().checked_sub(CHECKSUM_BYTES) else {
-        return Err(BlocksError::garbage(0, "it is too short"));
+        return Err(BlocksError::malformed(0, "too short"));
     };
     let (body, checksum) = bytes.split_at(body_bytes);
     if xxh3_64(body).to_le_bytes() != *checksum {
-        return Err(BlocksError::garbage(body_bytes, "the checksum does not match"));
+        return Err(BlocksError::malformed(body_bytes, "checksum mismatch"));
     }
-    let mut reader = Reader { bytes: body, at: 0 };
+    let mut reader = Reader { bytes: body, position: 0 };
     if reader.take(MAGIC.len())? != MAGIC {
-        return Err(BlocksError::garbage(0, "it does not start as a block snapshot"));
+        return Err(BlocksError::malformed(0, "wrong magic number"));
     }
     let v4 = reader.family(V4_SHIFT)?;
     let v6 = reader.family(V6_SHIFT)?;
-    if reader.at != body.len() {
-        return Err(BlocksError::garbage(reader.at, "bytes follow the last block"));
+    if reader.position != body.len() {
+        return Err(BlocksError::malformed(reader.position, "trailing bytes after the last block"));
     }
     Ok(BlockMap { v4, v6 })
 }
 
-fn put_family(bytes: &mut Vec<u8>, family: &Family, shift: u32) {
-    put(bytes, family.len() as u64);
-    let mut before = 0;
-    for Entry { start, len, site } in family.entries() {
-        put(bytes, (start - before) >> shift);
-        bytes.push(len);
-        put(bytes, u64::from(site.0));
-        before = start;
+fn put_family(bytes: &mut Vec<u8>, family: &FamilyMap, shift: u32) {
+    put_varint(bytes, family.len() as u64);
+    let mut previous = 0;
+    for Entry { start, prefix_len, site } in family.entries() {
+        put_varint(bytes, (start - previous) >> shift);
+        bytes.push(prefix_len);
+        put_varint(bytes, u64::from(site.0));
+        previous = start;
     }
 }
 
-/// Writes a number in groups of seven bits, the lowest first (LEB128).
-fn put(bytes: &mut Vec<u8>, mut number: u64) {
+/// Appends a number in LEB128 encoding.
+fn put_varint(bytes: &mut Vec<u8>, mut number: u64) {
     while number >= 0x80 {
         bytes.push(number as u8 | 0x80);
         number >>= 7;
@@ -66,15 +68,15 @@
 
 struct Reader<'a> {
     bytes: &'a [u8],
-    at: usize,
+    position: usize,
 }
 
 impl<'a> Reader<'a> {
     fn take(&mut self, count: usize) -> Result<&'a [u8], BlocksError> {
-        let Some(taken) = self.bytes.get(self.at..self.at + count) else {
-            return Err(BlocksError::garbage(self.at, "it ends early"));
+        let Some(taken) = self.bytes.get(self.position..self.position + count) else {
+            return Err(BlocksError::malformed(self.position, "unexpected end of input"));
         };
-        self.at += count;
+        self.position += count;
         Ok(taken)
     }
 
@@ -82,7 +84,7 @@
         Ok(self.take(1)?[0])
     }
 
-    fn number(&mut self) -> Result<u64, BlocksError> {
+    fn varint(&mut self) -> Result<u64, BlocksError> {
         let mut number = 0;
         for shift in (0..u64::BITS).step_by(7) {
             let byte = self.byte()?;
@@ -91,40 +93,43 @@
                 return Ok(number);
             }
         }
-        Err(BlocksError::garbage(self.at, "a number has too many bytes"))
+        Err(BlocksError::malformed(self.position, "varint too long"))
     }
 
-    fn family(&mut self, shift: u32) -> Result<Family, BlocksError> {
-        let count = self.number()?;
-        // A count that lies must not make room for more than the bytes hold.
+    fn family(&mut self, shift: u32) -> Result<FamilyMap, BlocksError> {
+        let count = self.varint()?;
+        // A corrupt count must not allocate more than the input can fill.
         let mut entries = Vec::with_capacity((count as usize).min(self.bytes.len()));
         let mut start = 0_u64;
         for _ in 0..count {
-            let at = self.at;
-            let gap = self.number()?;
-            let shifted = gap.checked_mul(1 << shift);
-            let next = shifted.and_then(|gap| start.checked_add(gap));
-            let Some(next) = next else {
-                return Err(BlocksError::garbage(at, "a block starts beyond all addresses"));
+            let offset = self.position;
+            let difference = self.varint()?;
+            let shifted = difference.checked_mul(1 << shift);
+            let next_start = shifted.and_then(|difference| start.checked_add(difference));
+            let Some(next_start) = next_start else {
+                return Err(BlocksError::malformed(
+                    offset,
+                    "block starts beyond the address space",
+                ));
             };
-            start = next;
+            start = next_start;
             entries.push(self.entry(start, shift)?);
         }
-        Ok(Family::from_entries(entries))
+        Ok(FamilyMap::from_entries(entries))
     }
 
     fn entry(&mut self, start: u64, shift: u32) -> Result<Entry, BlocksError> {
-        let at = self.at;
-        let len = self.byte()?;
-        if u32::from(len) > u64::BITS - shift {
-            return Err(BlocksError::garbage(at, "a block is too long"));
+        let offset = self.position;
+        let prefix_len = self.byte()?;
+        if u32::from(prefix_len) > u64::BITS - shift {
+            return Err(BlocksError::malformed(offset, "prefix length out of range"));
         }
-        let host_bits = u64::MAX.checked_shr(u32::from(len)).unwrap_or(0);
+        let host_bits = u64::MAX.checked_shr(u32::from(prefix_len)).unwrap_or(0);
         if start & host_bits != 0 {
-            return Err(BlocksError::garbage(at, "a block does not start on its boundary"));
+            return Err(BlocksError::malformed(offset, "host bits of a block are not zero"));
         }
-        let site = u16::try_from(self.number()?);
-        let site = site.map_err(|_| BlocksError::garbage(at, "a site is out of range"))?;
-        Ok(Entry { start, len, site: SiteId(site) })
+        let site = u16::try_from(self.varint()?);
+        let site = site.map_err(|_| BlocksError::malformed(offset, "site out of range"))?;
+        Ok(Entry { start, prefix_len, site: SiteId(site) })
     }
 }
--- a/crates/azuregate-core/src/home.rs
+++ b/crates/azuregate-core/src/home.rs
@@ -1,9 +1,9 @@
-//! Idempotency keys that belong to one start of one instance.
+//! Idempotency keys that are held in memory by one start of one instance.
 //!
-//! The caller names the home of a key in `Azuregate-Home`, as `/v1/entries` gave
-//! it, and names the same one again in each repeat. Only that start may run the
-//! request, from memory, with no write to the platform. When it is gone, nobody
-//! may.
+//! The caller names the home of a key in `Azuregate-Home`, as returned by
+//! `/v1/entries`, and names the same home in each repeat. Only that start of the
+//! instance may run the request, and it needs no write to the platform. Once it is
+//! gone, the request is never run again.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -12,20 +12,20 @@
 };
 
 use crate::{
-    claim::{self, Settled, Verdict},
+    claim::{self, Decision, Settled},
     error::ErrorKind,
     names::{InstanceId, StartNumber},
     time::Millis,
 };
 
-/// The home of an idempotency key, as `entry-1.1733184000123.1733184060000`.
+/// The home of an idempotency key, written as `entry-1.1733184000123.1733184060000`.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct HomeToken {
     /// The instance.
     pub instance: InstanceId,
     /// Its start number.
     pub start: StartNumber,
-    /// When the token was given out, in milliseconds since the Unix epoch.
+    /// When the token was issued, in milliseconds since the Unix epoch.
     pub issued_at_ms: Millis,
 }
 
@@ -35,47 +35,47 @@
     }
 }
 
-/// A text that names no home.
+/// The error of parsing a text that is not a home token.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ParseHomeError;
+pub struct ParseHomeTokenError;
 
 impl FromStr for HomeToken {
-    type Err = ParseHomeError;
+    type Err = ParseHomeTokenError;
 
-    fn from_str(text: &str) -> Result<HomeToken, ParseHomeError> {
-        // From the right, since the name of an instance may hold dots.
-        let (rest, issued) = text.rsplit_once('.').ok_or(ParseHomeError)?;
-        let (instance, start) = rest.rsplit_once('.').ok_or(ParseHomeError)?;
+    fn from_str(text: &str) -> Result<HomeToken, ParseHomeTokenError> {
+        // Splits from the right, since the name of an instance may contain dots.
+        let (rest, issued) = text.rsplit_once('.').ok_or(ParseHomeTokenError)?;
+        let (instance, start) = rest.rsplit_once('.').ok_or(ParseHomeTokenError)?;
         if instance.is_empty() {
-            return Err(ParseHomeError);
+            return Err(ParseHomeTokenError);
         }
         Ok(HomeToken {
             instance: InstanceId::new(instance),
-            start: StartNumber(start.parse().map_err(|_| ParseHomeError)?),
-            issued_at_ms: Millis(issued.parse().map_err(|_| ParseHomeError)?),
+            start: StartNumber(start.parse().map_err(|_| ParseHomeTokenError)?),
+            issued_at_ms: Millis(issued.parse().map_err(|_| ParseHomeTokenError)?),
         })
     }
 }
 
-/// How much a home remembers.
+/// The limits of a home table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Config {
-    /// How long a token may be used after it was given out.
+    /// How long a token is valid after it was issued.
     pub validity_ms: u64,
-    /// How far the clock of the instance that gave it out may be ahead.
+    /// How far the clock of the issuing instance may be ahead.
     pub skew_ms: u64,
-    /// How many keys are remembered at the most.
-    pub limit_keys: usize,
-    /// How much all kept answers may take together, in bytes.
-    pub limit_bytes: usize,
+    /// Maximum number of keys.
+    pub max_keys: usize,
+    /// Maximum size of all stored answers together, in bytes.
+    pub max_answer_bytes: usize,
 }
 
 impl Config {
-    /// How long a key is remembered.
+    /// Returns how long a key is kept.
     ///
-    /// A key is first seen no earlier than its token was given out, less the
-    /// skew. So a key that is forgotten after validity and twice the skew can
-    /// only come back with a token that has expired, and is refused.
+    /// A key is first used no earlier than its token was issued, less the skew. After
+    /// the validity and twice the skew, its token has expired and is rejected, so the
+    /// key can be evicted without the risk that its request runs again.
     fn retention_ms(&self) -> u64 {
         self.validity_ms + 2 * self.skew_ms
     }
@@ -83,19 +83,24 @@
 
 impl Default for Config {
     fn default() -> Config {
-        Config { validity_ms: 600_000, skew_ms: 60_000, limit_keys: 100_000, limit_bytes: 32 << 20 }
+        Config {
+            validity_ms: 600_000,
+            skew_ms: 60_000,
+            max_keys: 100_000,
+            max_answer_bytes: 32 << 20,
+        }
     }
 }
 
-/// The keys that one start of an instance is the home of.
+/// The idempotency keys that are held by one start of an instance.
 #[derive(Debug)]
 pub struct HomeTable {
     config: Config,
     keys: HashMap<String, Entry>,
-    /// Keys in the order in which they were first seen.
-    seen: VecDeque<(Millis, String, u64)>,
-    /// Keys in the order in which their answers came.
-    answers: VecDeque<(String, u64)>,
+    /// Keys in the order of their first use.
+    expiry_queue: VecDeque<(Millis, String, u64)>,
+    /// Keys in the order in which their answers were stored.
+    answer_queue: VecDeque<(String, u64)>,
     answer_bytes: usize,
     next_sequence: u64,
 }
@@ -108,103 +113,104 @@
 }
 
 impl HomeTable {
-    /// A home that has seen no key.
+    /// Creates an empty table.
     pub fn new(config: Config) -> HomeTable {
         HomeTable {
             config,
             keys: HashMap::new(),
-            seen: VecDeque::new(),
-            answers: VecDeque::new(),
+            expiry_queue: VecDeque::new(),
+            answer_queue: VecDeque::new(),
             answer_bytes: 0,
             next_sequence: 0,
         }
     }
 
-    /// Decides for a request; with [`Verdict::Run`] comes the number that names
-    /// this claim.
+    /// Decides about a request. The number identifies the claim if the decision is
+    /// [`Decision::Run`].
     ///
-    /// `now_ms` never goes back, and agrees with the Unix epoch but for the skew.
+    /// `now_ms` must not go back, and must agree with the Unix epoch within the skew.
     pub fn claim(
         &mut self,
         key: &str,
         fingerprint: u64,
         issued_at_ms: Millis,
         now_ms: Millis,
-    ) -> (Verdict, u64) {
-        self.forget_old(now_ms);
+    ) -> (Decision, u64) {
+        self.evict_expired(now_ms);
         if let Some(entry) = self.keys.get(key) {
-            let same = entry.fingerprint == fingerprint;
+            let is_same_request = entry.fingerprint == fingerprint;
             let settled = entry.settled.as_ref();
-            let verdict = claim::judge_settled(same, settled, ErrorKind::ClaimInProgress);
-            return (verdict, entry.sequence);
+            let decision =
+                claim::decide_settled(is_same_request, settled, ErrorKind::ClaimInProgress);
+            return (decision, entry.sequence);
         }
-        // The failure: a key that was forgotten comes back, and runs again. A
-        // token too old, or from a clock too far ahead, could be of such a key.
-        let ahead = issued_at_ms > now_ms + Millis(self.config.skew_ms);
-        if ahead || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
-            return (Verdict::Refuse(ErrorKind::HomeExpired), 0);
+        // An evicted key must not run again. A token that has expired, or was issued by
+        // a clock too far ahead, could belong to such a key.
+        let is_from_future = issued_at_ms > now_ms + Millis(self.config.skew_ms);
+        if is_from_future || now_ms.since(issued_at_ms).0 > self.config.validity_ms {
+            return (Decision::Reject(ErrorKind::HomeExpired), 0);
         }
-        if self.keys.len() >= self.config.limit_keys {
-            return (Verdict::Refuse(ErrorKind::ClaimsFull), 0);
+        if self.keys.len() >= self.config.max_keys {
+            return (Decision::Reject(ErrorKind::ClaimsFull), 0);
         }
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         let entry = Entry { sequence, fingerprint, settled: None };
         self.keys.insert(key.to_owned(), entry);
-        self.seen.push_back((now_ms, key.to_owned(), sequence));
-        (Verdict::Run, sequence)
+        self.expiry_queue.push_back((now_ms, key.to_owned(), sequence));
+        (Decision::Run, sequence)
     }
 
-    /// Keeps how the request of a claim ended.
+    /// Records how the request of a claim ended.
     pub fn settle(&mut self, key: &str, sequence: u64, settled: Settled) {
         let Some(entry) = self.keys.get_mut(key).filter(|entry| entry.sequence == sequence) else {
             return;
         };
         if let Settled::Answer(answer) = &settled {
             self.answer_bytes += answer.size_bytes();
-            self.answers.push_back((key.to_owned(), sequence));
+            self.answer_queue.push_back((key.to_owned(), sequence));
         }
         entry.settled = Some(settled);
-        self.drop_answers();
+        self.evict_answers();
     }
 
-    /// Gives up a claim whose request certainly did not run.
+    /// Releases a claim whose request certainly did not run.
     pub fn release(&mut self, key: &str, sequence: u64) {
         if self.keys.get(key).is_some_and(|entry| entry.sequence == sequence) {
             self.keys.remove(key);
         }
     }
 
-    /// When the oldest key will be forgotten, in milliseconds from `now_ms`: when a
-    /// full home has room again.
-    pub fn room_in_ms(&self, now_ms: Millis) -> u64 {
-        let oldest = self.seen.front();
-        oldest.map_or(0, |(seen_ms, ..)| {
-            (*seen_ms + Millis(self.config.retention_ms())).since(now_ms).0
+    /// Returns the time until the oldest key expires, in milliseconds from `now_ms`:
+    /// when a full table has room again.
+    pub fn next_expiry_in_ms(&self, now_ms: Millis) -> u64 {
+        let oldest = self.expiry_queue.front();
+        oldest.map_or(0, |(first_used_at_ms, ..)| {
+            (*first_used_at_ms + Millis(self.config.retention_ms())).since(now_ms).0
         })
     }
 
-    /// How many keys are remembered.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether the table holds no key.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// What the kept answers take, in bytes.
+    /// Returns the size of all stored answers, in bytes.
     pub fn answer_bytes(&self) -> usize {
         self.answer_bytes
     }
 
-    fn forget_old(&mut self, now_ms: Millis) {
+    fn evict_expired(&mut self, now_ms: Millis) {
         let retention_ms = self.config.retention_ms();
-        while let Some((seen_ms, _, _)) = self.seen.front()
-            && now_ms.since(*seen_ms).0 > retention_ms
+        while let Some((first_used_at_ms, _, _)) = self.expiry_queue.front()
+            && now_ms.since(*first_used_at_ms).0 > retention_ms
         {
-            let Some((_, key, sequence)) = self.seen.pop_front() else { return };
+            let Some((_, key, sequence)) = self.expiry_queue.pop_front() else { return };
             if self.keys.get(&key).is_none_or(|entry| entry.sequence != sequence) {
                 continue;
             }
@@ -215,10 +221,10 @@
         }
     }
 
-    /// Drops the oldest answers while they take too much; their keys stay.
-    fn drop_answers(&mut self) {
-        while self.answer_bytes > self.config.limit_bytes {
-            let Some((key, sequence)) = self.answers.pop_front() else { return };
+    /// Evicts the oldest answers while they exceed the limit; their keys are kept.
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > self.config.max_answer_bytes {
+            let Some((key, sequence)) = self.answer_queue.pop_front() else { return };
             let Some(entry) = self.keys.get_mut(&key) else { continue };
             if entry.sequence != sequence {
                 continue;
--- a/crates/azuregate-core/src/neighbours.rs
+++ b/crates/azuregate-core/src/neighbours.rs
@@ -1,12 +1,12 @@
 /*!
-Which instances keep links to each other.
+The links between instances.
 
-A small deployment is a full mesh. A large one is a random graph of bounded
-degree that every instance works out from the names alone: each picks a few
-instances of its own zone and one in each of some other zones by rendezvous
-hashing, and a link exists where either side picked the other. Such a graph
-stays connected when many instances die at once, and a change crosses 680
-instances in a few hops (see `examples/spread.rs`).
+A small deployment is a full mesh. A large one is a random graph of bounded degree that
+every instance computes from the instance names alone: each instance picks a few
+instances of its own zone and one in each of several other zones by rendezvous hashing,
+and a link exists where either side picked the other. Such a graph stays connected when
+many instances fail at once, and a change reaches 680 instances in a few hops (see
+`examples/spread.rs`).
 */
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,28 +17,28 @@
     snapshot::Instance,
 };
 
-/// Up to this many instances, all keep links to all.
-pub const FULL_MESH: usize = 24;
-/// How many instances of its own zone each picks.
-const PICKS_AT_HOME: usize = 2;
-/// In how many other zones each picks one instance.
-const PICKS_AWAY: usize = 6;
+/// Largest number of instances that form a full mesh.
+pub const MAX_FULL_MESH: usize = 24;
+/// Number of instances that each instance picks in its own zone.
+const SAME_ZONE_LINKS: usize = 2;
+/// Number of other zones in which each instance picks one instance.
+const OTHER_ZONE_LINKS: usize = 6;
 
-/// The links of a whole deployment: the neighbours of each instance.
-pub type Graph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
+/// The neighbours of each instance of a deployment.
+pub type LinkGraph = BTreeMap<InstanceId, BTreeSet<InstanceId>>;
 
-/// The neighbours of `me` among `instances`.
-pub fn neighbours(me: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
-    graph(instances).remove(me).unwrap_or_default()
+/// Returns the neighbours of `self_id` among `instances`.
+pub fn neighbours(self_id: &InstanceId, instances: &[Instance]) -> BTreeSet<InstanceId> {
+    link_graph(instances).remove(self_id).unwrap_or_default()
 }
 
-/// All links among `instances`; each stands at both of its ends.
-pub fn graph(instances: &[Instance]) -> Graph {
+/// Returns all links among `instances`; each link is listed at both of its ends.
+pub fn link_graph(instances: &[Instance]) -> LinkGraph {
     let zones = by_zone(instances);
-    let mut graph: Graph =
+    let mut graph: LinkGraph =
         instances.iter().map(|instance| (instance.id.clone(), BTreeSet::new())).collect();
     for instance in instances {
-        for picked in picks(instance, instances, &zones) {
+        for picked in picked_links(instance, instances, &zones) {
             if let Some(linked) = graph.get_mut(picked) {
                 linked.insert(instance.id.clone());
             }
@@ -60,29 +60,33 @@
     zones
 }
 
-fn picks<'a>(this: &Instance, instances: &'a [Instance], zones: &Zones<'a>) -> Vec<&'a InstanceId> {
-    if instances.len() <= FULL_MESH {
-        let others = instances.iter().filter(|other| other.id != this.id);
+fn picked_links<'a>(
+    instance: &Instance,
+    instances: &'a [Instance],
+    zones: &Zones<'a>,
+) -> Vec<&'a InstanceId> {
+    if instances.len() <= MAX_FULL_MESH {
+        let others = instances.iter().filter(|other| other.id != instance.id);
         return others.map(|other| &other.id).collect();
     }
-    let score = |name: &str| hash::stable_hash(&[this.id.as_str(), name]);
-    let mut away: Vec<_> = zones.keys().filter(|zone| ***zone != this.zone).collect();
-    away.sort_by_cached_key(|zone| score(zone.as_str()));
-    away.truncate(PICKS_AWAY);
+    let score = |name: &str| hash::stable_hash(&[instance.id.as_str(), name]);
+    let mut other_zones: Vec<_> = zones.keys().filter(|zone| ***zone != instance.zone).collect();
+    other_zones.sort_by_cached_key(|zone| score(zone.as_str()));
+    other_zones.truncate(OTHER_ZONE_LINKS);
     let first = |zone: &&&ZoneName| {
         let members = zones[**zone].iter().copied();
         members.min_by_key(|id| score(id.as_str()))
     };
-    let mut picked: Vec<_> = away.iter().filter_map(first).collect();
-    let mut home = zones[&this.zone].clone();
-    home.retain(|id| **id != this.id);
-    home.sort_by_cached_key(|id| score(id.as_str()));
-    picked.extend(home.into_iter().take(PICKS_AT_HOME));
+    let mut picked: Vec<_> = other_zones.iter().filter_map(first).collect();
+    let mut same_zone = zones[&instance.zone].clone();
+    same_zone.retain(|id| **id != instance.id);
+    same_zone.sort_by_cached_key(|id| score(id.as_str()));
+    picked.extend(same_zone.into_iter().take(SAME_ZONE_LINKS));
     picked
 }
 
-/// The instances that watch something named `name`: the first `count` in the
-/// order of rendezvous hashing.
+/// Returns the instances that watch the item `name`: the first `count` in the order of
+/// rendezvous hashing.
 pub fn watchers<'a>(
     name: &str,
     instances: impl Iterator<Item = &'a InstanceId>,
--- a/crates/azuregate-core/src/route/dispatch/updates.rs
+++ b/crates/azuregate-core/src/route/dispatch/updates.rs
@@ -57,7 +57,7 @@
     /// Returns the indexes of instances that `snapshot` lists as away and that
     /// hold requests of this instance.
     pub fn away_peers_with_requests(&self, snapshot: &Snapshot) -> Vec<usize> {
-        let known = snapshot.away.iter().filter_map(|id| self.peers.find(id));
+        let known = snapshot.unavailable.iter().filter_map(|id| self.peers.find(id));
         known.filter(|&peer| self.peers.has_requests(peer)).collect()
     }
 
--- a/crates/azuregate-core/tests/blocks.rs
+++ b/crates/azuregate-core/tests/blocks.rs
@@ -1,4 +1,4 @@
-//! The block map against a list that is searched from end to end.
+//! The block map, compared with a linear scan.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
@@ -8,11 +8,11 @@
 use ipnet::IpNet;
 use proptest::prelude::*;
 
-/// The plain answer: the longest block that holds the address.
+/// A reference implementation that finds the longest match by a linear scan.
 #[derive(Clone, Debug, Default)]
-struct Plain(BTreeMap<IpNet, SiteId>);
+struct LinearMap(BTreeMap<IpNet, SiteId>);
 
-impl Plain {
+impl LinearMap {
     fn lookup(&self, addr: IpAddr) -> Option<SiteId> {
         let holding = self.0.iter().filter(|(block, _)| block.contains(&addr));
         holding.max_by_key(|(block, _)| block.prefix_len()).map(|(_, &site)| site)
@@ -28,7 +28,7 @@
     }
 }
 
-/// Blocks crowded into few addresses, so that they nest and meet.
+/// Blocks within a small address range, so that they nest and adjoin.
 fn block() -> impl Strategy<Value = IpNet> {
     let v4 = (0_u32..1 << 14, 8_u8..=32)
         .prop_map(|(low, len)| IpNet::new(IpAddr::V4((0x0a00_0000 + low * 64).into()), len));
@@ -54,28 +54,28 @@
     #![proptest_config(ProptestConfig { cases: 48, ..ProptestConfig::default() })]
 
     #[test]
-    fn lookups_and_deltas_match_the_plain_list(
+    fn lookups_and_deltas_match_a_linear_scan(
         first in prop::collection::vec((block(), 0_u16..140), 0..1_500),
         rounds in prop::collection::vec(prop::collection::vec(delta(), 1..300), 0..4),
     ) {
-        let mut plain = Plain(first.iter().map(|&(block, site)| (block, SiteId(site))).collect());
+        let mut linear = LinearMap(first.iter().map(|&(block, site)| (block, SiteId(site))).collect());
         let blocks = first.iter().map(|&(block, site)| (block, SiteId(site))).collect();
         let mut map = BlockMap::from_blocks(blocks).unwrap();
         for deltas in &rounds {
-            plain.apply(deltas);
+            linear.apply(deltas);
             map = map.apply(deltas).unwrap();
         }
-        prop_assert_eq!(map.len(), plain.0.len());
-        let gone = rounds.iter().flatten().map(|delta| match *delta {
+        prop_assert_eq!(map.len(), linear.0.len());
+        let changed = rounds.iter().flatten().map(|delta| match *delta {
             Delta::Set { block, .. } | Delta::Remove { block } => block,
         });
-        for addr in addresses(plain.0.keys().copied().chain(gone)) {
-            prop_assert_eq!(map.lookup(addr), plain.lookup(addr), "at {}", addr);
+        for addr in addresses(linear.0.keys().copied().chain(changed)) {
+            prop_assert_eq!(map.lookup(addr), linear.lookup(addr), "at {}", addr);
         }
     }
 
     #[test]
-    fn a_snapshot_is_read_back_whole(
+    fn snapshot_round_trips(
         blocks in prop::collection::vec((block(), 0_u16..140), 0..600),
     ) {
         let blocks: Vec<_> = blocks.into_iter().map(|(block, site)| (block, SiteId(site))).collect();
@@ -87,10 +87,10 @@
         }
     }
 
-    // The platform hands back an object that was cut short or changed. It is
-    // refused, so that no client is steered by half a map.
+    // Guards against directing clients by a snapshot that was truncated or corrupted in
+    // storage.
     #[test]
-    fn a_damaged_snapshot_is_refused(
+    fn damaged_snapshot_is_rejected(
         blocks in prop::collection::vec((block(), 0_u16..140), 1..50),
         at in any::<prop::sample::Index>(),
         flip in 1_u8..,
@@ -105,13 +105,13 @@
 }
 
 #[test]
-fn an_ipv6_block_longer_than_a_link_is_refused() {
+fn ipv6_block_longer_than_64_bits_is_rejected() {
     let error = BlockMap::from_blocks(vec![("2001:db8::/65".parse().unwrap(), SiteId(1))]);
     assert_eq!(error.unwrap_err().to_string(), "block 2001:db8::/65 is longer than /64");
 }
 
 #[test]
-fn an_older_map_is_not_changed_by_deltas() {
+fn apply_leaves_the_original_map_unchanged() {
     let block = "10.0.0.0/8".parse().unwrap();
     let old = BlockMap::from_blocks(vec![(block, SiteId(1))]).unwrap();
     let new = old.apply(&[Delta::Set { block, site: SiteId(2) }]).unwrap();
--- a/crates/azuregate-core/tests/home.rs
+++ b/crates/azuregate-core/tests/home.rs
@@ -1,11 +1,11 @@
-//! Keys that belong to one start of an instance, against a model.
+//! The home table, checked against a model.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 use std::collections::{HashMap, HashSet};
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody, Settled, Verdict},
+    claim::{Decision, Settled, StoredBody, StoredResponse},
     error::ErrorKind,
     home::{Config, HomeTable, HomeToken},
     names::{InstanceId, StartNumber},
@@ -13,23 +13,23 @@
 };
 use proptest::prelude::*;
 
-const SMALL: Config = Config { validity_ms: 100, skew_ms: 10, limit_keys: 5, limit_bytes: 50 };
+const SMALL: Config = Config { validity_ms: 100, skew_ms: 10, max_keys: 5, max_answer_bytes: 50 };
 
 fn answer(bytes: usize) -> Settled {
-    let body = KeptBody::Inline(vec![0; bytes]);
-    Settled::Answer(KeptAnswer { status: 200, headers: Vec::new(), body })
+    let body = StoredBody::Inline(vec![0; bytes]);
+    Settled::Answer(StoredResponse { status: 200, headers: Vec::new(), body })
 }
 
-/// One step of a caller, or of time.
+/// One step of the callers or of the clock.
 #[derive(Clone, Debug)]
 enum Step {
     Wait(u64),
-    /// A new key, with a token of a clock that is off by so much.
+    /// A new key, with a token whose clock is off by this much.
     New {
         off_ms: i64,
     },
-    /// An earlier key again, with its token.
-    Again(usize),
+    /// A repeat of an earlier key, with its token.
+    Repeat(usize),
     Settle(usize, usize),
     Release(usize),
 }
@@ -38,16 +38,16 @@
     prop_oneof![
         (0_u64..90).prop_map(Step::Wait),
         (-200_i64..200).prop_map(|off_ms| Step::New { off_ms }),
-        (0_usize..100).prop_map(Step::Again),
+        (0_usize..100).prop_map(Step::Repeat),
         (0_usize..100, 0_usize..40).prop_map(|(key, bytes)| Step::Settle(key, bytes)),
         (0_usize..100).prop_map(Step::Release),
     ]
 }
 
 proptest! {
-    // Callers repeat keys for as long as they like, with clocks that are off,
-    // while keys and answers are forgotten for want of room. A key runs again
-    // only after it was given up.
+    // Guards against a key that runs twice although callers repeat keys at any time,
+    // clocks are off, and keys and answers are evicted. A key may run again only after
+    // its claim was released.
     #[test]
     fn no_key_runs_twice(steps in prop::collection::vec(step(), 1..200)) {
         let mut table = HomeTable::new(SMALL);
@@ -62,7 +62,7 @@
                     tokens.push(Millis(now_ms.0.saturating_add_signed(off_ms)));
                     tokens.len() - 1
                 }
-                Step::Again(key) if key < tokens.len() => key,
+                Step::Repeat(key) if key < tokens.len() => key,
                 Step::Settle(key, bytes) => {
                     if let Some(sequence) = running.remove(&key) {
                         table.settle(&key.to_string(), sequence, answer(bytes));
@@ -76,20 +76,20 @@
                     }
                     continue
                 }
-                Step::Again(_) => continue,
+                Step::Repeat(_) => continue,
             };
-            let (verdict, sequence) = table.claim(&key.to_string(), 7, tokens[key], now_ms);
-            if verdict == Verdict::Run {
+            let (decision, sequence) = table.claim(&key.to_string(), 7, tokens[key], now_ms);
+            if decision == Decision::Run {
                 prop_assert!(ran.insert(key), "key {key} ran twice");
                 running.insert(key, sequence);
             }
-            prop_assert!(table.len() <= SMALL.limit_keys);
-            prop_assert!(table.answer_bytes() <= SMALL.limit_bytes);
+            prop_assert!(table.len() <= SMALL.max_keys);
+            prop_assert!(table.answer_bytes() <= SMALL.max_answer_bytes);
         }
     }
 
     #[test]
-    fn a_token_is_read_as_it_was_written(name in "[a-z][a-z0-9.-]{0,20}", start: u64, issued: u64) {
+    fn token_round_trips(name in "[a-z][a-z0-9.-]{0,20}", start: u64, issued: u64) {
         let (instance, start) = (InstanceId::new(&name), StartNumber(start));
         let token = HomeToken { instance, start, issued_at_ms: Millis(issued) };
         prop_assert_eq!(token.to_string().parse(), Ok(token));
@@ -97,30 +97,30 @@
 }
 
 #[test]
-fn texts_that_name_no_home_are_refused() {
+fn malformed_tokens_are_rejected() {
     for text in ["", "entry-1", "entry-1.1", ".1.2", "entry-1.x.2", "entry-1.1.", "e.1.-2"] {
         assert!(text.parse::<HomeToken>().is_err(), "{text:?}");
     }
 }
 
 #[test]
-fn a_full_home_refuses_new_keys_and_drops_old_answers() {
+fn full_table_rejects_new_keys_and_evicts_old_answers() {
     let mut table = HomeTable::new(SMALL);
     let now_ms = Millis(1_000);
     for key in 0..5 {
-        let (verdict, sequence) = table.claim(&key.to_string(), 7, now_ms, now_ms);
-        assert_eq!(verdict, Verdict::Run);
+        let (decision, sequence) = table.claim(&key.to_string(), 7, now_ms, now_ms);
+        assert_eq!(decision, Decision::Run);
         table.settle(&key.to_string(), sequence, answer(20));
     }
     let full = table.claim("5", 7, now_ms, now_ms).0;
-    assert_eq!(full, Verdict::Refuse(ErrorKind::ClaimsFull));
+    assert_eq!(full, Decision::Reject(ErrorKind::ClaimsFull));
     let oldest = table.claim("0", 7, now_ms, now_ms).0;
-    assert_eq!(oldest, Verdict::Refuse(ErrorKind::AnswerNotKept));
-    assert!(matches!(table.claim("4", 7, now_ms, now_ms).0, Verdict::Repeat(_)));
+    assert_eq!(oldest, Decision::Reject(ErrorKind::AnswerNotKept));
+    assert!(matches!(table.claim("4", 7, now_ms, now_ms).0, Decision::Replay(_)));
     let other = table.claim("4", 8, now_ms, now_ms).0;
-    assert_eq!(other, Verdict::Refuse(ErrorKind::ClaimMismatch));
-    for (after_ms, verdict) in [(0, Verdict::Refuse(ErrorKind::ClaimsFull)), (1, Verdict::Run)] {
-        let then_ms = now_ms + Millis(table.room_in_ms(now_ms) + after_ms);
-        assert_eq!(table.claim("5", 7, then_ms, then_ms).0, verdict);
+    assert_eq!(other, Decision::Reject(ErrorKind::ClaimMismatch));
+    for (after_ms, decision) in [(0, Decision::Reject(ErrorKind::ClaimsFull)), (1, Decision::Run)] {
+        let then_ms = now_ms + Millis(table.next_expiry_in_ms(now_ms) + after_ms);
+        assert_eq!(table.claim("5", 7, then_ms, then_ms).0, decision);
     }
 }
--- a/crates/azuregate/tests/docs.rs
+++ b/crates/azuregate/tests/docs.rs
@@ -49,7 +49,7 @@
 fn every_error_kind_is_documented() {
     let page = fs::read_to_string(format!("{ROOT}/docs/OPERATING.md")).unwrap();
     for kind in ErrorKind::ALL {
-        let answer = kind.answer();
+        let answer = kind.response();
         let row = format!("| `{kind}` | {} | {} |", answer.status, answer.outcome.as_str());
         assert!(page.contains(&row), "docs/OPERATING.md lacks {row}");
     }
