--- a/crates/azuregate/src/claims/cleanup.rs
+++ b/crates/azuregate/src/claims/cleanup.rs
@@ -13,16 +13,16 @@
 };
 
 /// How often one instance looks for old claims.
-const EVERY_MS: u64 = 10_000;
+const SWEEP_INTERVAL_MS: u64 = 10_000;
 /// How many rows are read and deleted at once.
 const PAGE_ROWS: usize = 200;
 /// How old a page may be when its rows are deleted, in milliseconds.
-const PAGE_AGE_MS: u64 = 2_000;
+const MAX_PAGE_AGE_MS: u64 = 2_000;
 /// How many pages are gone through at each look: 100 rows a second at the most.
-const PAGES: usize = 5;
+const MAX_PAGES_PER_SWEEP: usize = 5;
 
 /// Deletes claims that are past their retention, a bounded number at a time.
-pub struct Cleaner {
+pub struct ClaimCleaner {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Where the claims are.
@@ -35,17 +35,17 @@
     pub timer: Timer,
 }
 
-impl Cleaner {
+impl ClaimCleaner {
     /// Serves until the task is aborted.
     pub async fn serve(self) {
-        let mut ticks = self.timer.subscribe(EVERY_MS);
+        let mut ticks = self.timer.subscribe(SWEEP_INTERVAL_MS);
         while ticks.recv().await.is_some() {
-            self.look().await;
+            self.sweep().await;
         }
     }
 
     /// Deletes what is old, if it is this instance's turn.
-    pub async fn look(&self) {
+    pub async fn sweep(&self) {
         let snapshot = self.snapshots.current();
         let now_ms = self.clock.epoch();
         // Instances whose clocks or lists differ may both look, or none for a
@@ -54,7 +54,7 @@
         if claim::cleaner(&snapshot.instances, now_ms) != Some(&self.instance) {
             return;
         }
-        for _ in 0..PAGES {
+        for _ in 0..MAX_PAGES_PER_SWEEP {
             match self.delete_page().await {
                 Ok(deleted) if deleted < PAGE_ROWS => return,
                 Ok(_) => {}
@@ -86,7 +86,7 @@
         // The failure: the process is paused here, another instance deletes a row,
         // its key is claimed anew, and the new row gets the version of the old
         // one. On waking, this delete would take the new claim away.
-        if self.clock.now().since(asked_at_ms).0 > PAGE_AGE_MS {
+        if self.clock.now().since(asked_at_ms).0 > MAX_PAGE_AGE_MS {
             return Ok(0);
         }
         match self.platform.transact(&writes).await? {
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -9,7 +9,7 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-use crate::{claims::Wanted, clock::SharedClock};
+use crate::{claims::ClaimRequest, clock::SharedClock};
 
 /// A handle to the task that owns the keys.
 pub(crate) struct Home {
@@ -47,12 +47,12 @@
 
     pub(crate) async fn claim(
         &self,
-        wanted: Wanted<'_>,
+        request: ClaimRequest<'_>,
         issued_at_ms: Millis,
     ) -> Result<(Verdict, HeldKey), Error> {
-        let key = format!("{}/{}", wanted.service, wanted.key);
+        let key = format!("{}/{}", request.service, request.key);
         let (reply, answer) = oneshot::channel();
-        let fingerprint = wanted.fingerprint;
+        let fingerprint = request.fingerprint;
         let _ =
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -27,12 +27,12 @@
 
 use crate::{body::Body, clock::SharedClock, config::Snapshots, platform::SharedPlatform};
 
-pub use cleanup::Cleaner;
+pub use cleanup::ClaimCleaner;
 
 use self::{held::HeldRow, home::Home, rows::Rows};
 
 /// How long a planned stop waits for the platform.
-const FINISH_LIMIT: Duration = Duration::from_secs(10);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Makes and settles claims.
 pub struct Claims {
@@ -46,7 +46,7 @@
 
 /// A request that wants to run.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct ClaimRequest<'a> {
     /// The service.
     pub service: &'a ServiceName,
     /// The caller's key.
@@ -69,7 +69,7 @@
 
 /// What a request with a key may do, and what it holds while it does.
 #[derive(Debug)]
-pub enum Claimed {
+pub enum ClaimDecision {
     /// Run it, and settle the claim.
     Run(HeldClaim),
     /// Give the kept answer.
@@ -100,7 +100,7 @@
     }
 
     /// Whether `home` names this instance, by whatever start.
-    pub fn is_here(&self, home: &HomeToken) -> bool {
+    pub fn is_local(&self, home: &HomeToken) -> bool {
         home.instance == self.instance
     }
 
@@ -112,12 +112,12 @@
     /// not known; in none of these cases has anything been sent.
     pub async fn claim(
         &self,
-        wanted: Wanted<'_>,
+        request: ClaimRequest<'_>,
         home: Option<&HomeToken>,
-    ) -> Result<Claimed, Error> {
+    ) -> Result<ClaimDecision, Error> {
         let (verdict, held) = match home {
             None => {
-                let (verdict, held) = self.rows.claim(wanted).await?;
+                let (verdict, held) = self.rows.claim(request).await?;
                 (verdict, Held::Row(held))
             }
             Some(home) if home.start != self.start => {
@@ -126,15 +126,15 @@
                 return Err(Error::new(ErrorKind::HomeGone, detail));
             }
             Some(home) => {
-                let (verdict, held) = self.home.claim(wanted, home.issued_at_ms).await?;
+                let (verdict, held) = self.home.claim(request, home.issued_at_ms).await?;
                 (verdict, Held::Home(held))
             }
         };
         match verdict {
-            Verdict::Run => Ok(Claimed::Run(HeldClaim(held))),
-            Verdict::Repeat(kept) => Ok(Claimed::Repeat(kept)),
+            Verdict::Run => Ok(ClaimDecision::Run(HeldClaim(held))),
+            Verdict::Repeat(kept) => Ok(ClaimDecision::Repeat(kept)),
             Verdict::Refuse(kind) => {
-                Err(Error::new(kind, format!("the idempotency key is {:?}", wanted.key)))
+                Err(Error::new(kind, format!("the idempotency key is {:?}", request.key)))
             }
         }
     }
@@ -188,8 +188,8 @@
     }
 
     /// Waits until the platform has what it is to keep, for a limited time.
-    pub async fn finish(&self) {
-        if time::timeout(FINISH_LIMIT, self.rows.finish()).await.is_err() {
+    pub async fn flush(&self) {
+        if time::timeout(FLUSH_TIMEOUT, self.rows.flush()).await.is_err() {
             log::warn!("claims left that the platform did not take");
         }
     }
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     claims::{
-        Wanted,
+        ClaimRequest,
         held::HeldRow,
         upkeep::{Upkeep, Work},
     },
@@ -65,19 +65,22 @@
     }
 
     /// Inserts the claim of a request, or judges the one that is there.
-    pub(crate) async fn claim(&self, wanted: Wanted<'_>) -> Result<(Verdict, HeldRow), Error> {
+    pub(crate) async fn claim(
+        &self,
+        request: ClaimRequest<'_>,
+    ) -> Result<(Verdict, HeldRow), Error> {
         let attempt = AttemptId {
             instance: self.owner.instance.clone(),
             start: self.owner.start,
             sequence: self.sequence.fetch_add(1, Ordering::Relaxed),
         };
         let made_at_ms = self.clock.epoch();
-        let until_ms = made_at_ms + Millis(wanted.remaining_ms + SETTLE_GRACE_MS);
-        let fingerprint = wanted.fingerprint;
+        let until_ms = made_at_ms + Millis(request.remaining_ms + SETTLE_GRACE_MS);
+        let fingerprint = request.fingerprint;
         let claim = Claim { attempt, fingerprint, made_at_ms, until_ms, settled: None };
-        let key = format!("{}/{}", wanted.service, wanted.key);
+        let key = format!("{}/{}", request.service, request.key);
         let held = HeldRow { key, row_version: 1, claim };
-        let limit = Duration::from_millis(wanted.remaining_ms);
+        let limit = Duration::from_millis(request.remaining_ms);
         let inserted = time::timeout(limit, self.insert(held.clone())).await;
         inserted.unwrap_or_else(|_| {
             self.upkeep.add(Work::Release(held));
@@ -165,8 +168,8 @@
     }
 
     /// Waits until all that was to be caught up with is written.
-    pub(crate) async fn finish(&self) {
-        self.upkeep.finish().await;
+    pub(crate) async fn flush(&self) {
+        self.upkeep.flush().await;
     }
 
     /// Gives up a claim whose request certainly did not run, without keeping its
--- a/crates/azuregate/src/claims/upkeep.rs
+++ b/crates/azuregate/src/claims/upkeep.rs
@@ -89,7 +89,7 @@
     }
 
     /// Waits until all work is done.
-    pub(crate) async fn finish(&self) {
+    pub(crate) async fn flush(&self) {
         let (sender, finished) = oneshot::channel();
         if self.sender.send(Message::Finish(sender)).await.is_ok() {
             let _ = finished.await;
--- a/crates/azuregate/src/gateway/keyed.rs
+++ b/crates/azuregate/src/gateway/keyed.rs
@@ -14,7 +14,7 @@
 use crate::{
     backend::BackendConn,
     body::{self, Body},
-    claims::{Claimed, Wanted},
+    claims::{ClaimDecision, ClaimRequest},
     gateway::{
         Parts,
         forward::Forward,
@@ -46,7 +46,7 @@
     ) -> Result<Response<Body>, Error> {
         let running = orders.spawn(async move {
             match &self.home {
-                Some(home) if !self.forward.parts.claims.is_here(home) => {
+                Some(home) if !self.forward.parts.claims.is_local(home) => {
                     pass_on(&self.forward.parts, home, head, payload, self.forward.remaining_ms())
                         .await
                 }
@@ -63,7 +63,7 @@
         payload: Payload,
     ) -> Result<Response<Body>, Error> {
         let attributes = &self.forward.attributes;
-        let wanted = Wanted {
+        let wanted = ClaimRequest {
             service: &attributes.service,
             key: &self.key,
             fingerprint: payload.fingerprint(attributes.fingerprint),
@@ -71,11 +71,11 @@
         };
         let claims = &self.forward.parts.claims;
         match claims.claim(wanted, self.home.as_ref()).await? {
-            Claimed::Run(held) => {
+            ClaimDecision::Run(held) => {
                 let result = self.forward.run(&head, payload).await;
                 claims.settle(held, result).await
             }
-            Claimed::Repeat(kept) => claims.replay(kept).await,
+            ClaimDecision::Repeat(kept) => claims.replay(kept).await,
         }
     }
 }
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -91,7 +91,7 @@
     pub async fn finish(&self) {
         self.orders.close();
         self.orders.wait().await;
-        self.parts.claims.finish().await;
+        self.parts.claims.flush().await;
     }
 
     /// Answers one request of the caller at `caller`.
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     backend::{HttpDialer, Pool, SharedDialer},
-    claims::{Claims, Cleaner},
+    claims::{ClaimCleaner, Claims},
     clock::{SharedClock, SystemClock},
     config::{Config, Snapshots},
     dispatch::{Exchange, Rule},
@@ -100,8 +100,8 @@
         }
     }
 
-    pub(super) fn cleaner(&self) -> Cleaner {
-        Cleaner {
+    pub(super) fn cleaner(&self) -> ClaimCleaner {
+        ClaimCleaner {
             instance: self.settings.instance.clone(),
             platform: Arc::clone(&self.platform),
             clock: Arc::clone(&self.clock),
--- a/crates/azuregate/tests/outcomes/claims.rs
+++ b/crates/azuregate/tests/outcomes/claims.rs
@@ -255,7 +255,7 @@
         world.send(order("k", None)).await;
         world.clock.jump(age_ms);
         for instance in ["entry-1", "entry-2"] {
-            world.cleaner(instance).look().await;
+            world.cleaner(instance).sweep().await;
         }
         assert_eq!(world.platform.state().rows.len(), left, "after {age_ms} ms");
     }
@@ -273,7 +273,7 @@
     world.platform.state().in_read = Some(Box::new(move || clock.jump(60_000)));
     for instance in ["entry-1", "entry-2"] {
         let cleaner = world.cleaner(instance);
-        cleaner.look().await;
+        cleaner.sweep().await;
         if world.platform.state().in_read.is_none() {
             break;
         }
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -12,7 +12,7 @@
 use azuregate::{
     backend::{HttpDialer, Pool, SharedDialer},
     body::{self, Body},
-    claims::{Claims, Cleaner},
+    claims::{ClaimCleaner, Claims},
     clock::{Clock, SharedClock, SystemClock},
     config::{Change, Config, Snapshots, Source},
     dispatch::{Exchange, Rule},
@@ -178,8 +178,8 @@
     }
 
     /// Deletes old claims as this instance or another one does.
-    pub(crate) fn cleaner(&self, instance: &str) -> Cleaner {
-        Cleaner {
+    pub(crate) fn cleaner(&self, instance: &str) -> ClaimCleaner {
+        ClaimCleaner {
             instance: InstanceId::new(instance),
             platform: Arc::new(self.platform.clone()),
             clock: self.clock.clone(),
