--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -19,18 +19,18 @@
 use crate::clock::{SharedClock, SystemClock};
 
 /// A process that did not get to run for this long may have missed changes.
-pub const PAUSE_MS: u64 = 2_000;
+pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
 
 /// The highest step that a peer's version may take over the one in force. One
 /// frame with an absurd version would keep out all later changes for good.
-const VERSION_STEP: u64 = 1_000_000;
+const MAX_PEER_VERSION_STEP: u64 = 1_000_000;
 
 /// Reads the newest snapshot; cheap to clone.
 #[derive(Clone)]
 pub struct Snapshots {
     receiver: watch::Receiver<Arc<Snapshot>>,
     clock: SharedClock,
-    beat_at_ms: Arc<AtomicU64>,
+    last_tick_at_ms: Arc<AtomicU64>,
 }
 
 impl Snapshots {
@@ -44,9 +44,9 @@
         if !snapshot.ready || !self.was_paused() {
             return snapshot;
         }
-        let mut woken = Snapshot::clone(&snapshot);
-        woken.set_readiness(Readiness::Woken);
-        Arc::new(woken)
+        let mut unconfirmed = Snapshot::clone(&snapshot);
+        unconfirmed.set_readiness(Readiness::Woken);
+        Arc::new(unconfirmed)
     }
 
     /// Tells of each new snapshot.
@@ -55,8 +55,9 @@
     }
 
     fn was_paused(&self) -> bool {
-        let beat_at_ms = self.beat_at_ms.load(Ordering::Relaxed);
-        beat_at_ms > 0 && self.clock.now().0.saturating_sub(beat_at_ms) > PAUSE_MS
+        let last_tick_at_ms = self.last_tick_at_ms.load(Ordering::Relaxed);
+        last_tick_at_ms > 0
+            && self.clock.now().0.saturating_sub(last_tick_at_ms) > PAUSE_THRESHOLD_MS
     }
 }
 
@@ -85,7 +86,7 @@
     /// The platform's list.
     List(InstanceList),
     /// A peer's copy of the platform's list; ignored if there is one already.
-    ListOfPeer(InstanceList),
+    PeerList(InstanceList),
     /// A backend server that is leaving, by any sign.
     Leaving(BackendId, StartNumber, Source),
     /// A backend server that closed a connection after its first answer.
@@ -93,7 +94,7 @@
     /// A server that closes an idle connection, or one that has carried enough
     /// requests, says nothing about itself; one that closes fresh connections
     /// wants no more work.
-    Closed(BackendId, StartNumber),
+    ConnectionClosed(BackendId, StartNumber),
     /// A start of an instance, as it told itself.
     Started(InstanceId, StartNumber),
     /// An instance that has started a planned stop.
@@ -107,9 +108,9 @@
     /// The platform is down, and so many peers serve with the same versions.
     ConfirmedByPeers(usize),
     /// This process was paused.
-    Woken,
+    PauseDetected,
     /// This process runs, at this monotonic time.
-    Beat(u64),
+    WatchdogTick(u64),
 }
 
 /// A handle to the configuration's task; cheap to clone.
@@ -128,9 +129,9 @@
     pub fn start_with_clock(first: Snapshot, clock: SharedClock) -> (Config, Snapshots) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let (publish, snapshots) = watch::channel(Arc::new(first));
-        let beat_at_ms = Arc::new(AtomicU64::new(0));
-        tokio::spawn(serve(receiver, publish, Arc::clone(&beat_at_ms)));
-        (Config { sender }, Snapshots { receiver: snapshots, clock, beat_at_ms })
+        let last_tick_at_ms = Arc::new(AtomicU64::new(0));
+        tokio::spawn(serve(receiver, publish, Arc::clone(&last_tick_at_ms)));
+        (Config { sender }, Snapshots { receiver: snapshots, clock, last_tick_at_ms })
     }
 
     /// Sends a change to the task.
@@ -143,11 +144,11 @@
 async fn serve(
     mut receiver: mpsc::UnboundedReceiver<Change>,
     publish: watch::Sender<Arc<Snapshot>>,
-    beat_at_ms: Arc<AtomicU64>,
+    last_tick_at_ms: Arc<AtomicU64>,
 ) {
     while let Some(change) = receiver.recv().await {
-        if let Change::Beat(at_ms) = change {
-            beat_at_ms.store(at_ms, Ordering::Relaxed);
+        if let Change::WatchdogTick(at_ms) = change {
+            last_tick_at_ms.store(at_ms, Ordering::Relaxed);
             continue;
         }
         let mut snapshot = Snapshot::clone(&publish.borrow());
@@ -161,18 +162,19 @@
     match change {
         Change::Policy(policy, source) => apply_policy(snapshot, *policy, &source),
         Change::List(list) => snapshot.set_list(list),
-        Change::ListOfPeer(list) => snapshot.listed.is_empty() && snapshot.set_list(list),
-        Change::Leaving(backend, start, source) => leave(snapshot, &backend, start, &source),
-        Change::Closed(backend, start) => {
-            most_stay(snapshot, &backend) && leave(snapshot, &backend, start, &Source::Backend)
+        Change::PeerList(list) => snapshot.listed.is_empty() && snapshot.set_list(list),
+        Change::Leaving(backend, start, source) => mark_leaving(snapshot, &backend, start, &source),
+        Change::ConnectionClosed(backend, start) => {
+            most_others_available(snapshot, &backend)
+                && mark_leaving(snapshot, &backend, start, &Source::Backend)
         }
         Change::Started(instance, start) => snapshot.add_start(&instance, start),
         Change::Stopping(instance, start) => {
-            let fresh = snapshot.stopping.insert((instance.clone(), start));
-            if fresh {
+            let is_new = snapshot.stopping.insert((instance.clone(), start));
+            if is_new {
                 log::info!(instance:% = instance, start:% = start; "instance stopping");
             }
-            fresh
+            is_new
         }
         Change::Away(away) => {
             let changed = snapshot.set_away(away);
@@ -186,15 +188,15 @@
         Change::ConfirmedByPeers(count) => {
             !snapshot.ready && set_readiness(snapshot, Readiness::Peers(count))
         }
-        Change::Woken => set_readiness(snapshot, Readiness::Woken),
-        Change::Beat(_) => false,
+        Change::PauseDetected => set_readiness(snapshot, Readiness::Woken),
+        Change::WatchdogTick(_) => false,
     }
 }
 
 fn apply_policy(snapshot: &mut Snapshot, policy: Policy, source: &Source) -> bool {
     let in_force = snapshot.policies.get(&policy.service).map_or(0, |p| p.version);
     let (service, version) = (policy.service.clone(), policy.version);
-    if *source == Source::Peer && version.saturating_sub(in_force) > VERSION_STEP {
+    if *source == Source::Peer && version.saturating_sub(in_force) > MAX_PEER_VERSION_STEP {
         log::error!(service:% = service, version = version, in_force = in_force; "policy of a peer refused");
         return false;
     }
@@ -212,23 +214,23 @@
     applied
 }
 
-fn leave(
+fn mark_leaving(
     snapshot: &mut Snapshot,
     backend: &BackendId,
     start: StartNumber,
     source: &Source,
 ) -> bool {
-    let fresh = snapshot.add_leaving(backend, start);
-    if fresh {
+    let is_new = snapshot.add_leaving(backend, start);
+    if is_new {
         log::info!(backend:% = backend, start:% = start, source:? = source; "backend server leaving");
     }
-    fresh
+    is_new
 }
 
 /// Whether most servers of a service would still take work without `backend`.
 ///
 /// If most close their connections, that is their habit and no sign of leaving.
-fn most_stay(snapshot: &Snapshot, backend: &BackendId) -> bool {
+fn most_others_available(snapshot: &Snapshot, backend: &BackendId) -> bool {
     let Some(server) = snapshot.backend(backend) else {
         return false;
     };
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -193,7 +193,7 @@
         if headers::is_refusal(headers) {
             self.parts.config.change(Change::Leaving(backend, start, Source::Backend));
         } else if !pooled {
-            self.parts.config.change(Change::Closed(backend, start));
+            self.parts.config.change(Change::ConnectionClosed(backend, start));
         }
         self.parts.pool.forget(lease.addr);
         true
--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     clock::SharedClock,
-    config::{Change, Config, PAUSE_MS, Snapshots},
+    config::{Change, Config, PAUSE_THRESHOLD_MS, Snapshots},
     timer::Timer,
 };
 
@@ -151,10 +151,10 @@
             // Whatever was decided meanwhile is not known here yet.
             log::warn!(paused_ms = now_ms.since(self.looked_at_ms).0; "process was paused");
             self.membership.woke(now_ms);
-            self.parts.config.change(Change::Woken);
+            self.parts.config.change(Change::PauseDetected);
         }
         self.looked_at_ms = now_ms;
-        self.parts.config.change(Change::Beat(now_ms.0));
+        self.parts.config.change(Change::WatchdogTick(now_ms.0));
         let snapshot = self.parts.snapshots.current();
         self.watch(&snapshot, now_ms);
         self.tell_away(now_ms);
@@ -162,7 +162,7 @@
     }
 
     fn was_paused(&self, now_ms: Millis) -> bool {
-        now_ms.since(self.looked_at_ms).0 > PAUSE_MS
+        now_ms.since(self.looked_at_ms).0 > PAUSE_THRESHOLD_MS
     }
 
     fn tell_away(&mut self, now_ms: Millis) {
--- a/crates/azuregate/src/peer/link.rs
+++ b/crates/azuregate/src/peer/link.rs
@@ -196,7 +196,7 @@
                 *version = policy.version.max(*version);
                 self.context.config.change(Change::Policy(policy, Source::Peer));
             }
-            Frame::List(list) => self.context.config.change(Change::ListOfPeer(list)),
+            Frame::List(list) => self.context.config.change(Change::PeerList(list)),
             Frame::Leaving { backend, start } => {
                 self.remote.leaving.insert((backend.clone(), start));
                 self.context.config.change(Change::Leaving(backend, start, Source::Peer));
--- a/crates/azuregate/src/poll.rs
+++ b/crates/azuregate/src/poll.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     clock::SharedClock,
-    config::{Change, Config, PAUSE_MS, Snapshots, Source},
+    config::{Change, Config, PAUSE_THRESHOLD_MS, Snapshots, Source},
     membership::Members,
     platform::{Changes, Row, SharedPlatform, Table},
     timer::Timer,
@@ -123,7 +123,7 @@
         }
         // An answer that waited while this process was paused is as old as the
         // pause is long.
-        let was_paused = self.clock.now().since(asked_at_ms).0 > PAUSE_MS;
+        let was_paused = self.clock.now().since(asked_at_ms).0 > PAUSE_THRESHOLD_MS;
         if is_newest && has_list && !was_paused {
             self.members.platform_read();
         }
--- a/crates/azuregate/tests/configuration/config.rs
+++ b/crates/azuregate/tests/configuration/config.rs
@@ -1,6 +1,6 @@
 //! What the configuration takes in.
 
-use azuregate::config::{Change, PAUSE_MS, Source};
+use azuregate::config::{Change, PAUSE_THRESHOLD_MS, Source};
 use azuregate_core::{names::StartNumber, policy::Cap, snapshot::Readiness};
 
 use crate::world::{JumpClock, list, policy, ready, server, settle, version};
@@ -34,16 +34,16 @@
 async fn after_a_pause_nothing_is_served_until_confirmed() {
     let clock = JumpClock::start();
     let (config, snapshots) = ready(&clock, list(&[]));
-    config.change(Change::Beat(1_000));
+    config.change(Change::WatchdogTick(1_000));
     settle().await;
     assert!(snapshots.current().ready);
 
-    clock.jump(PAUSE_MS + 1);
+    clock.jump(PAUSE_THRESHOLD_MS + 1);
     let woken = snapshots.current();
     assert_eq!((woken.ready, woken.readiness), (false, Readiness::Woken));
 
-    config.change(Change::Woken);
-    config.change(Change::Beat(1_000 + PAUSE_MS + 1));
+    config.change(Change::PauseDetected);
+    config.change(Change::WatchdogTick(1_000 + PAUSE_THRESHOLD_MS + 1));
     settle().await;
     assert!(!snapshots.current().ready, "running again is no confirmation");
 
@@ -59,7 +59,7 @@
 async fn closing_is_a_sign_only_while_most_stay() {
     let (config, snapshots) = ready(&JumpClock::start(), list(&[]));
     for index in 0..4 {
-        config.change(Change::Closed(server(index).id, StartNumber(1)));
+        config.change(Change::ConnectionClosed(server(index).id, StartNumber(1)));
     }
     settle().await;
     let snapshot = snapshots.current();
--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -6,7 +6,7 @@
 };
 
 use azuregate::{
-    config::{Config, PAUSE_MS, Snapshots},
+    config::{Config, PAUSE_THRESHOLD_MS, Snapshots},
     membership::{self, Members},
     platform::Row,
     poll::{Poller, READS_PER_S},
@@ -73,7 +73,12 @@
         ("lagging", vec![Ok(3, vec![row(5)]), Ok(2, vec![row(4)])], 5, Readiness::Platform),
         ("garbage", vec![Ok(3, vec![row(5)]), Ok(4, vec![garbage()])], 5, Readiness::Platform),
         ("row deleted", vec![Ok(3, vec![row(5)]), Ok(4, vec![])], 5, Readiness::Platform),
-        ("an old answer", vec![Paused(3, vec![row(5)], PAUSE_MS + 1), Down], 5, Readiness::Woken),
+        (
+            "an old answer",
+            vec![Paused(3, vec![row(5)], PAUSE_THRESHOLD_MS + 1), Down],
+            5,
+            Readiness::Woken,
+        ),
     ];
     for (case, readings, in_force, readiness) in cases {
         let world = start(&instances(3), &readings);
