--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -17,7 +17,7 @@
 };
 
 /// How often beliefs are looked over.
-const LOOK_MS: u64 = 250;
+const CHECK_INTERVAL_MS: u64 = 250;
 
 /// A handle to the membership's task; cheap to clone.
 #[derive(Clone, Debug)]
@@ -28,9 +28,9 @@
 
 #[derive(Debug)]
 enum Message {
-    Heard(InstanceId, StartNumber, Heartbeat),
+    Heartbeat(InstanceId, StartNumber, Heartbeat),
     PlatformRead,
-    PlatformFailed,
+    PlatformReadFailed,
 }
 
 /// What the task works with.
@@ -57,7 +57,7 @@
             membership: Membership::new(&parts.instance),
             listed: Arc::from([]),
             away: BTreeSet::new(),
-            looked_at_ms: parts.clock.now(),
+            last_check_at_ms: parts.clock.now(),
             platform_down: false,
             publish,
             parts,
@@ -67,8 +67,8 @@
     }
 
     /// Passes on a neighbour's heartbeat.
-    pub fn heard(&self, id: &InstanceId, start: StartNumber, heartbeat: Heartbeat) {
-        self.send(Message::Heard(id.clone(), start, heartbeat));
+    pub fn heartbeat_received(&self, id: &InstanceId, start: StartNumber, heartbeat: Heartbeat) {
+        self.send(Message::Heartbeat(id.clone(), start, heartbeat));
     }
 
     /// Tells that all that the platform holds was read and sent to the
@@ -78,8 +78,8 @@
     }
 
     /// Tells that the platform could not be read.
-    pub fn platform_failed(&self) {
-        self.send(Message::PlatformFailed);
+    pub fn platform_read_failed(&self) {
+        self.send(Message::PlatformReadFailed);
     }
 
     /// When the versions in force were last known to be the platform's newest.
@@ -98,25 +98,25 @@
     membership: Membership,
     listed: Arc<[Instance]>,
     away: BTreeSet<InstanceId>,
-    looked_at_ms: Millis,
+    last_check_at_ms: Millis,
     platform_down: bool,
     publish: watch::Sender<Option<Millis>>,
 }
 
 impl Task {
     async fn serve(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
-        let mut ticks = self.parts.timer.subscribe(LOOK_MS);
+        let mut ticks = self.parts.timer.subscribe(CHECK_INTERVAL_MS);
         loop {
             tokio::select! {
                 message = receiver.recv() => {
                     let Some(message) = message else { return };
-                    self.take(message);
+                    self.handle_message(message);
                 }
                 tick = ticks.recv() => {
                     if tick.is_none() {
                         return;
                     }
-                    self.look();
+                    self.check();
                 }
             }
             let now_ms = self.parts.clock.now();
@@ -125,10 +125,10 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now_ms = self.parts.clock.now();
         match message {
-            Message::Heard(id, start, heartbeat) => {
+            Message::Heartbeat(id, start, heartbeat) => {
                 let digest = self.parts.snapshots.current().digest();
                 self.membership.heard(&id, start, heartbeat, digest, now_ms);
             }
@@ -138,34 +138,34 @@
                 self.membership.confirmed(now_ms);
                 // In this order, or an instance that has just started would be
                 // ready while it still calls itself away.
-                self.tell_away(now_ms);
+                self.publish_away(now_ms);
                 self.parts.config.change(Change::Confirmed);
             }
-            Message::PlatformFailed => self.platform_down = true,
+            Message::PlatformReadFailed => self.platform_down = true,
         }
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         let now_ms = self.parts.clock.now();
         if self.was_paused(now_ms) {
             // Whatever was decided meanwhile is not known here yet.
-            log::warn!(paused_ms = now_ms.since(self.looked_at_ms).0; "process was paused");
+            log::warn!(paused_ms = now_ms.since(self.last_check_at_ms).0; "process was paused");
             self.membership.woke(now_ms);
             self.parts.config.change(Change::PauseDetected);
         }
-        self.looked_at_ms = now_ms;
+        self.last_check_at_ms = now_ms;
         self.parts.config.change(Change::WatchdogTick(now_ms.0));
         let snapshot = self.parts.snapshots.current();
-        self.watch(&snapshot, now_ms);
-        self.tell_away(now_ms);
-        self.get_ready(&snapshot, now_ms);
+        self.update_neighbours(&snapshot, now_ms);
+        self.publish_away(now_ms);
+        self.confirm_by_peers(&snapshot, now_ms);
     }
 
     fn was_paused(&self, now_ms: Millis) -> bool {
-        now_ms.since(self.looked_at_ms).0 > PAUSE_THRESHOLD_MS
+        now_ms.since(self.last_check_at_ms).0 > PAUSE_THRESHOLD_MS
     }
 
-    fn tell_away(&mut self, now_ms: Millis) {
+    fn publish_away(&mut self, now_ms: Millis) {
         let away = self.membership.away(now_ms);
         if away != self.away {
             self.away = away.clone();
@@ -173,7 +173,7 @@
         }
     }
 
-    fn watch(&mut self, snapshot: &Snapshot, now_ms: Millis) {
+    fn update_neighbours(&mut self, snapshot: &Snapshot, now_ms: Millis) {
         if !Arc::ptr_eq(&self.listed, &snapshot.listed) {
             self.listed = Arc::clone(&snapshot.listed);
             let neighbours = neighbours::neighbours(&self.parts.instance, &self.listed);
@@ -188,11 +188,11 @@
 
     /// With the platform down, the word of several peers is enough to serve:
     /// no change can be made that they do not know of.
-    fn get_ready(&self, snapshot: &Snapshot, now_ms: Millis) {
-        let needed = READY_PEERS.min(self.listed.len().saturating_sub(1)).max(1);
-        let agreeing = self.membership.agreeing(now_ms);
-        if self.platform_down && !snapshot.ready && agreeing >= needed {
-            self.parts.config.change(Change::ConfirmedByPeers(agreeing));
+    fn confirm_by_peers(&self, snapshot: &Snapshot, now_ms: Millis) {
+        let required_peers = READY_PEERS.min(self.listed.len().saturating_sub(1)).max(1);
+        let agreeing_peers = self.membership.agreeing(now_ms);
+        if self.platform_down && !snapshot.ready && agreeing_peers >= required_peers {
+            self.parts.config.change(Change::ConfirmedByPeers(agreeing_peers));
         }
     }
 }
--- a/crates/azuregate/src/peer/link.rs
+++ b/crates/azuregate/src/peer/link.rs
@@ -183,7 +183,7 @@
         match frame {
             Frame::Hello { .. } => {}
             Frame::Heartbeat(heartbeat) => {
-                self.context.members.heard(&neighbour, start, heartbeat);
+                self.context.members.heartbeat_received(&neighbour, start, heartbeat);
                 return self.compare_digest(heartbeat).await;
             }
             Frame::Digest { versions } => {
--- a/crates/azuregate/src/poll.rs
+++ b/crates/azuregate/src/poll.rs
@@ -113,7 +113,7 @@
             Ok(changes) => changes,
             Err(e) => {
                 log::warn!(error:% = e; "policies not read");
-                self.members.platform_failed();
+                self.members.platform_read_failed();
                 return;
             }
         };
--- a/crates/azuregate/tests/configuration/mesh.rs
+++ b/crates/azuregate/tests/configuration/mesh.rs
@@ -109,7 +109,7 @@
     let all = ["a", "b", "c"].map(|name| instance(name, ip(1, name.as_bytes()[0])));
     let [a, b, c] = &all;
     let late = node(a).await;
-    late.members.platform_failed();
+    late.members.platform_read_failed();
     let (_b, _c) = (told(b, &all).await, told(c, &all).await);
     until("ready by its peers", &late, |s| s.readiness == Readiness::Peers(2)).await;
     let snapshot = late.snapshots.current();
--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -148,7 +148,7 @@
     let not_ready = Heartbeat { ready: false, ..beat };
     let hear = |index, heartbeat| {
         let id = InstanceId::new(&format!("entry-{index}"));
-        world.members.heard(&id, StartNumber(1), heartbeat);
+        world.members.heartbeat_received(&id, StartNumber(1), heartbeat);
     };
     hear(1, beat);
     hear(2, other);
