--- a/crates/azuregate/src/poll.rs
+++ b/crates/azuregate/src/poll.rs
@@ -19,7 +19,7 @@
 /// that started together would otherwise poll together for ever.
 const JITTER_PERCENT: u64 = 20;
 /// How often an older state must be read in a row to be taken for the newest.
-const OLDER_READS: u32 = 5;
+const OLDER_READS_BEFORE_RESET: u32 = 5;
 
 /// What the poller works with.
 pub struct Poller {
@@ -36,17 +36,17 @@
     /// When to look whether a poll is due.
     pub timer: Timer,
     /// The least time between two polls, in milliseconds.
-    pub every_ms: u64,
+    pub min_interval_ms: u64,
 }
 
 /// Where the reading of policies has got to.
 #[derive(Debug, Default)]
-struct Position {
+struct Cursor {
     sequence: u64,
     older_reads: u32,
 }
 
-impl Position {
+impl Cursor {
     /// Moves on; returns whether `changes` are the platform's newest state.
     ///
     /// A copy that lags answers an older sequence. Asking after that one next
@@ -54,14 +54,14 @@
     /// that was restored stays older; after a few reads that is its state.
     fn advance(&mut self, changes: &Changes) -> bool {
         if changes.sequence >= self.sequence {
-            *self = Position { sequence: changes.sequence, older_reads: 0 };
+            *self = Cursor { sequence: changes.sequence, older_reads: 0 };
             return true;
         }
         self.older_reads += 1;
-        if self.older_reads < OLDER_READS {
+        if self.older_reads < OLDER_READS_BEFORE_RESET {
             return false;
         }
-        *self = Position::default();
+        *self = Cursor::default();
         false
     }
 }
@@ -69,14 +69,14 @@
 impl Poller {
     /// Polls until the task is aborted.
     pub async fn serve(self) {
-        let mut ticks = self.timer.subscribe(self.every_ms);
+        let mut ticks = self.timer.subscribe(self.min_interval_ms);
         let mut rng = fastrand::Rng::new();
-        let mut position = Position::default();
+        let mut cursor = Cursor::default();
         let mut due_ms = Millis(0);
         loop {
             if self.clock.now() >= due_ms {
-                self.poll(&mut position).await;
-                due_ms = self.clock.now() + Millis(self.wait_ms(&mut rng));
+                self.poll_once(&mut cursor).await;
+                due_ms = self.clock.now() + Millis(self.delay_ms(&mut rng));
             }
             if ticks.recv().await.is_none() {
                 return;
@@ -84,20 +84,20 @@
         }
     }
 
-    fn wait_ms(&self, rng: &mut fastrand::Rng) -> u64 {
+    fn delay_ms(&self, rng: &mut fastrand::Rng) -> u64 {
         let snapshot = self.snapshots.current();
         if !snapshot.ready {
-            return self.every_ms;
+            return self.min_interval_ms;
         }
         let instances = snapshot.instances.len() as u64;
-        let shared_ms = instances * READS_PER_POLL * 1_000 / READS_PER_S;
+        let fair_share_ms = instances * READS_PER_POLL * 1_000 / READS_PER_S;
         // Half a tick less, or the tick that it waits for would just miss it.
-        let wait_ms = shared_ms.max(self.every_ms) - self.every_ms / 2;
-        let jitter_ms = wait_ms * JITTER_PERCENT / 100;
-        rng.u64(wait_ms - jitter_ms..=wait_ms + jitter_ms)
+        let delay_ms = fair_share_ms.max(self.min_interval_ms) - self.min_interval_ms / 2;
+        let jitter_ms = delay_ms * JITTER_PERCENT / 100;
+        rng.u64(delay_ms - jitter_ms..=delay_ms + jitter_ms)
     }
 
-    async fn poll(&self, position: &mut Position) {
+    async fn poll_once(&self, cursor: &mut Cursor) {
         // Policies alone are not enough to serve: without a list there is no
         // backend server.
         let mut has_list = !self.snapshots.current().listed.is_empty();
@@ -108,8 +108,8 @@
             }
             Err(e) => log::warn!(error:% = e; "instance list not read"),
         }
-        let asked_at_ms = self.clock.now();
-        let changes = match self.platform.changes(Table::Policy, position.sequence).await {
+        let requested_at_ms = self.clock.now();
+        let changes = match self.platform.changes(Table::Policy, cursor.sequence).await {
             Ok(changes) => changes,
             Err(e) => {
                 log::warn!(error:% = e; "policies not read");
@@ -117,13 +117,13 @@
                 return;
             }
         };
-        let is_newest = position.advance(&changes);
+        let is_newest = cursor.advance(&changes);
         for row in changes.rows {
-            self.apply(row);
+            self.apply_row(row);
         }
         // An answer that waited while this process was paused is as old as the
         // pause is long.
-        let was_paused = self.clock.now().since(asked_at_ms).0 > PAUSE_THRESHOLD_MS;
+        let was_paused = self.clock.now().since(requested_at_ms).0 > PAUSE_THRESHOLD_MS;
         if is_newest && has_list && !was_paused {
             self.members.platform_read();
         }
@@ -131,7 +131,7 @@
 
     /// Takes in a row. One that is not understood changes nothing: the policy in
     /// force stays until a higher version comes.
-    fn apply(&self, row: Row) {
+    fn apply_row(&self, row: Row) {
         match serde_json::from_value(row.value) {
             Ok(policy) => self.config.change(Change::Policy(policy, Source::Platform)),
             Err(e) => log::error!(key:% = row.key, error:% = e; "policy row not understood"),
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -85,7 +85,7 @@
             members: members.clone(),
             clock: Arc::clone(&self.clock),
             timer: self.timer.clone(),
-            every_ms: self.settings.platform.poll_ms,
+            min_interval_ms: self.settings.platform.poll_ms,
         }
     }
 
--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -46,7 +46,7 @@
         members: members.clone(),
         clock,
         timer,
-        every_ms: 500,
+        min_interval_ms: 500,
     };
     tokio::spawn(poller.serve());
     World { snapshots, members, platform }
