--- a/crates/azuregate/src/timer.rs
+++ b/crates/azuregate/src/timer.rs
@@ -14,7 +14,7 @@
 
 #[derive(Debug)]
 struct Subscription {
-    every_ms: u64,
+    period_ms: u64,
     ticks: mpsc::Sender<Tick>,
 }
 
@@ -30,15 +30,15 @@
         Timer { subscribe }
     }
 
-    /// Ticks every `every_ms` milliseconds, the first time after one period.
+    /// Ticks every `period_ms` milliseconds, the first time after one period.
     ///
     /// A subscriber that is still busy with a tick misses the next ones, so
     /// that a slow part never works through a backlog. Dropping the receiver
     /// ends the subscription.
-    pub fn subscribe(&self, every_ms: u64) -> mpsc::Receiver<Tick> {
+    pub fn subscribe(&self, period_ms: u64) -> mpsc::Receiver<Tick> {
         let (ticks, receiver) = mpsc::channel(1);
         // The service ends only after the last handle, and this is a handle.
-        let _ = self.subscribe.send(Subscription { every_ms: every_ms.max(1), ticks });
+        let _ = self.subscribe.send(Subscription { period_ms: period_ms.max(1), ticks });
         receiver
     }
 }
@@ -49,7 +49,7 @@
         tokio::select! {
             subscription = subscriptions.recv() => {
                 let Some(subscription) = subscription else { return };
-                let delay = Duration::from_millis(subscription.every_ms);
+                let delay = Duration::from_millis(subscription.period_ms);
                 queue.insert(subscription, delay);
             }
             Some(expired) = queue.next(), if !queue.is_empty() => {
@@ -57,7 +57,7 @@
                 if let Err(mpsc::error::TrySendError::Closed(_)) = subscription.ticks.try_send(Tick) {
                     continue;
                 }
-                let delay = Duration::from_millis(subscription.every_ms);
+                let delay = Duration::from_millis(subscription.period_ms);
                 queue.insert(subscription, delay);
             }
         }
