--- a/crates/azuregate/src/platform/http.rs
+++ b/crates/azuregate/src/platform/http.rs
@@ -26,7 +26,7 @@
 };
 
 /// The largest answer that is taken in, in bytes.
-const ANSWER_LIMIT_BYTES: usize = 64 << 20;
+const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
 /// A platform at an address, with a limit for the time of each call.
 #[derive(Clone, Debug)]
@@ -34,7 +34,7 @@
     addr: SocketAddr,
     timeout_ms: u64,
     client: Client<HttpConnector, Full<Bytes>>,
-    listed: Arc<Mutex<Option<Listed>>>,
+    cached_list: Arc<Mutex<Option<CachedList>>>,
 }
 
 /// The list as it was last read, and the platform's name for that state of it.
@@ -43,8 +43,8 @@
 /// servers) and changes seldom; reading it whole at each poll would take more
 /// than all other control together.
 #[derive(Debug)]
-struct Listed {
-    tag: HeaderValue,
+struct CachedList {
+    etag: HeaderValue,
     list: InstanceList,
 }
 
@@ -56,7 +56,7 @@
 
 struct Reply {
     status: StatusCode,
-    tag: Option<HeaderValue>,
+    etag: Option<HeaderValue>,
     bytes: Bytes,
 }
 
@@ -68,9 +68,9 @@
 
     /// The same, with calls from the IP number `from`: networks tell parties by
     /// their addresses.
-    pub fn from_ip(from: IpAddr, addr: SocketAddr, timeout_ms: u64) -> HttpPlatform {
+    pub fn with_local_ip(local_ip: IpAddr, addr: SocketAddr, timeout_ms: u64) -> HttpPlatform {
         let mut connector = HttpConnector::new();
-        connector.set_local_address(Some(from));
+        connector.set_local_address(Some(local_ip));
         HttpPlatform::with_connector(addr, timeout_ms, connector)
     }
 
@@ -81,23 +81,23 @@
     ) -> HttpPlatform {
         connector.set_nodelay(true);
         let client = Client::builder(TokioExecutor::new()).build(connector);
-        HttpPlatform { addr, timeout_ms, client, listed: Arc::default() }
+        HttpPlatform { addr, timeout_ms, client, cached_list: Arc::default() }
     }
 
     async fn call(&self, method: Method, path: &str, body: Bytes) -> Result<Reply> {
-        self.call_unless(method, path, body, None).await
+        self.call_conditional(method, path, body, None).await
     }
 
     /// A call that is answered without a body if the state is still `known`.
-    async fn call_unless(
+    async fn call_conditional(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        known: Option<HeaderValue>,
+        if_none_match: Option<HeaderValue>,
     ) -> Result<Reply> {
         let what = format!("{method} {path}");
-        let call = self.send(method, path, body, known);
+        let call = self.send(method, path, body, if_none_match);
         // An answer that never comes says nothing about the effect.
         let Ok(reply) = time::timeout(Duration::from_millis(self.timeout_ms), call).await else {
             let detail = format!("{what}: no answer within {} ms", self.timeout_ms);
@@ -123,30 +123,30 @@
         method: Method,
         path: &str,
         body: Bytes,
-        known: Option<HeaderValue>,
+        if_none_match: Option<HeaderValue>,
     ) -> Result<Reply> {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{}{path}", self.addr))
             .body(Full::new(body))
             .map_err(|e| PlatformError::new(Effect::None, e.to_string()))?;
-        if let Some(known) = known {
-            request.headers_mut().insert(header::IF_NONE_MATCH, known);
+        if let Some(if_none_match) = if_none_match {
+            request.headers_mut().insert(header::IF_NONE_MATCH, if_none_match);
         }
         let response = self.client.request(request).await.map_err(|e| {
             let effect = if e.is_connect() { Effect::None } else { Effect::Unknown };
-            PlatformError::new(effect, chain(&e))
+            PlatformError::new(effect, error_chain(&e))
         })?;
         let status = response.status();
-        let tag = response.headers().get(header::ETAG).cloned();
-        let body = Limited::new(response.into_body(), ANSWER_LIMIT_BYTES).collect().await;
+        let etag = response.headers().get(header::ETAG).cloned();
+        let body = Limited::new(response.into_body(), MAX_RESPONSE_BYTES).collect().await;
         let bytes =
             body.map_err(|e| PlatformError::new(Effect::Unknown, e.to_string()))?.to_bytes();
-        Ok(Reply { status, tag, bytes })
+        Ok(Reply { status, etag, bytes })
     }
 }
 
-fn chain(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut source = error.source();
     while let Some(error) = source {
@@ -167,7 +167,7 @@
 #[async_trait]
 impl Platform for HttpPlatform {
     async fn read(&self, table: Table, key: &str) -> Result<Option<Row>> {
-        let path = format!("/v1/tables/{}/rows/{}", table.as_str(), encode(key));
+        let path = format!("/v1/tables/{}/rows/{}", table.as_str(), encode_path_segment(key));
         let reply = self.call(Method::GET, &path, Bytes::new()).await?;
         if reply.status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -196,7 +196,7 @@
     }
 
     async fn put_object(&self, name: &str, bytes: Bytes) -> Result<()> {
-        let path = format!("/v1/objects/{}", encode(name));
+        let path = format!("/v1/objects/{}", encode_path_segment(name));
         let reply = self.call(Method::PUT, &path, bytes).await?;
         if reply.status == StatusCode::OK {
             return Ok(());
@@ -205,7 +205,7 @@
     }
 
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>> {
-        let path = format!("/v1/objects/{}", encode(name));
+        let path = format!("/v1/objects/{}", encode_path_segment(name));
         let reply = self.call(Method::GET, &path, Bytes::new()).await?;
         match reply.status {
             StatusCode::OK => Ok(Some(reply.bytes)),
@@ -215,26 +215,32 @@
     }
 
     async fn instances(&self) -> Result<InstanceList> {
-        let known = self.listed().as_ref().map(|listed| listed.tag.clone());
-        let reply = self.call_unless(Method::GET, "/v1/instances", Bytes::new(), known).await?;
+        let if_none_match = self.cached_list().as_ref().map(|cached_list| cached_list.etag.clone());
+        let reply = self
+            .call_conditional(Method::GET, "/v1/instances", Bytes::new(), if_none_match)
+            .await?;
         if reply.status == StatusCode::NOT_MODIFIED {
-            return self.listed().as_ref().map(|listed| listed.list.clone()).ok_or_else(|| {
-                PlatformError::new(Effect::None, "instances: unchanged, but never read")
-            });
+            return self
+                .cached_list()
+                .as_ref()
+                .map(|cached_list| cached_list.list.clone())
+                .ok_or_else(|| {
+                    PlatformError::new(Effect::None, "instances: unchanged, but never read")
+                });
         }
         let list: InstanceList = parse("instances", &reply.bytes)?;
-        *self.listed() = reply.tag.map(|tag| Listed { tag, list: list.clone() });
+        *self.cached_list() = reply.etag.map(|etag| CachedList { etag, list: list.clone() });
         Ok(list)
     }
 }
 
 impl HttpPlatform {
-    fn listed(&self) -> MutexGuard<'_, Option<Listed>> {
-        self.listed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn cached_list(&self) -> MutexGuard<'_, Option<CachedList>> {
+        self.cached_list.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// Percent-encodes a key for use as one segment of a path.
-fn encode(key: &str) -> String {
+fn encode_path_segment(key: &str) -> String {
     percent_encoding::utf8_percent_encode(key, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -50,7 +50,7 @@
         let first = Snapshot::empty(Arc::new(settings.topology.clone()));
         let (config, snapshots) = Config::start_with_clock(first, Arc::clone(&clock));
         let platform = &settings.platform;
-        let platform = HttpPlatform::from_ip(settings.ip, platform.addr, platform.timeout_ms);
+        let platform = HttpPlatform::with_local_ip(settings.ip, platform.addr, platform.timeout_ms);
         Ok(Shared {
             start: StartNumber(clock.epoch().0),
             stop,
