--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -41,7 +41,7 @@
 pub struct Entry {
     /// As in the example.
     pub example: EntryExample,
-    stopper: stop::Stopper,
+    stopper: stop::StopHandle,
     task: JoinHandle<()>,
 }
 
--- a/crates/azuregate/src/callers.rs
+++ b/crates/azuregate/src/callers.rs
@@ -23,7 +23,7 @@
     body::Body,
     config::{Change, Config},
     gateway::Gateway,
-    stop::Stop,
+    stop::StopSignal,
 };
 
 /// What serves callers.
@@ -37,7 +37,7 @@
     /// Its start number.
     pub start: StartNumber,
     /// Tells when to stop.
-    pub stop: Stop,
+    pub stop: StopSignal,
 }
 
 impl Callers {
@@ -98,7 +98,7 @@
 
 fn answer(
     gateway: Arc<Gateway>,
-    stop: Stop,
+    stop: StopSignal,
     request: Request<Body>,
     caller: SocketAddr,
 ) -> BoxFuture<'static, Result<Response<Body>, Infallible>> {
--- a/crates/azuregate/src/cli/mod.rs
+++ b/crates/azuregate/src/cli/mod.rs
@@ -32,7 +32,7 @@
     jsonc::Problem,
     logs, run, serve,
     settings::{Settings, SettingsError},
-    stop::{self, Stop},
+    stop::{self, StopSignal},
 };
 
 pub use line::print_line;
@@ -249,7 +249,7 @@
 ///
 /// To be called before ports are opened. A signal that comes earlier ends the process
 /// by itself, and with it connections that it was about to accept.
-fn stop_on_signal() -> Stop {
+fn stop_on_signal() -> StopSignal {
     use tokio::signal::unix::{SignalKind, signal};
 
     let (stopper, stop) = stop::channel();
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -48,7 +48,7 @@
     config::{Change, Config, Snapshots, Source},
     metrics::Recorder,
     platform::SharedPlatform,
-    stop::Stop,
+    stop::StopSignal,
 };
 
 /// How many versions a history holds unless the operator says otherwise.
@@ -78,7 +78,7 @@
     /// The histograms.
     pub recorder: Recorder,
     /// Whether the instance is stopping.
-    pub stop: Stop,
+    pub stop: StopSignal,
 }
 
 /// Answers operators; cheap to clone.
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     callers::Callers, dispatch::Rule, operators::OperatorsService, probe, settings::Settings,
-    status, stop::Stop,
+    status, stop::StopSignal,
 };
 
 use self::{ports::Ports, shared::Shared};
@@ -43,7 +43,7 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn run(settings: Settings, stop: Stop) -> Result<(), Report<RunError>> {
+pub async fn run(settings: Settings, stop: StopSignal) -> Result<(), Report<RunError>> {
     run_with(settings, stop, Rule::default()).await
 }
 
@@ -52,7 +52,11 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn run_with(settings: Settings, stop: Stop, rule: Rule) -> Result<(), Report<RunError>> {
+pub async fn run_with(
+    settings: Settings,
+    stop: StopSignal,
+    rule: Rule,
+) -> Result<(), Report<RunError>> {
     let stop_delay_ms = settings.stop_delay_ms;
     let ports = Ports::open(&settings).await?;
     let shared = Shared::start(settings, stop)?;
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -23,7 +23,7 @@
     selector::{SelectorParts, Selectors},
     settings::Settings,
     status::Status,
-    stop::Stop,
+    stop::StopSignal,
     timer::Timer,
 };
 
@@ -31,7 +31,7 @@
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
-    pub(super) stop: Stop,
+    pub(super) stop: StopSignal,
     pub(super) config: Config,
     pub(super) snapshots: Snapshots,
     pub(super) pool: Pool,
@@ -45,7 +45,7 @@
 
 impl Shared {
     /// Starts the tasks that every part works with.
-    pub(super) fn start(settings: Settings, stop: Stop) -> Result<Shared, Report<RunError>> {
+    pub(super) fn start(settings: Settings, stop: StopSignal) -> Result<Shared, Report<RunError>> {
         let clock: SharedClock = Arc::new(SystemClock::new());
         let first = Snapshot::empty(Arc::new(settings.topology.clone()));
         let (config, snapshots) = Config::start_with_clock(first, Arc::clone(&clock));
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -61,7 +61,7 @@
 };
 
 use self::{listen::Listeners, phase::Phase, ports::Audience, state::State};
-use crate::stop::Stop;
+use crate::stop::StopSignal;
 
 /// An instance that cannot run.
 #[derive(Debug)]
@@ -96,7 +96,7 @@
 pub async fn run(
     settings: Settings,
     file: Option<PathBuf>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> Result<(), Report<ServeError>> {
     LocalSet::new().run_until(run_local(settings, file, stop)).await
 }
@@ -104,7 +104,7 @@
 async fn run_local(
     settings: Settings,
     file: Option<PathBuf>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> Result<(), Report<ServeError>> {
     let listeners = Listeners::open(&settings).await?;
     let (phase, phases) = sync::watch::channel(Phase::Serving);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{Notify, watch};
 
 use super::{encoded::EncodedCache, metrics::Metrics, phase::Phase, pool::Pool, tables::Tables};
-use crate::{stop::Stop, timer::Timer};
+use crate::{stop::StopSignal, timer::Timer};
 
 /// The share of the retry budget that is used. Backend servers count when a
 /// request arrives and instances when it is sent, so the windows differ a little.
@@ -29,7 +29,7 @@
 pub(super) struct State {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
-    pub(super) stop: Stop,
+    pub(super) stop: StopSignal,
     /// How far a planned stop has come.
     pub(super) phase: watch::Receiver<Phase>,
     pub(super) timer: Timer,
@@ -70,7 +70,11 @@
 }
 
 impl State {
-    pub(super) fn new(settings: Settings, stop: Stop, phase: watch::Receiver<Phase>) -> State {
+    pub(super) fn new(
+        settings: Settings,
+        stop: StopSignal,
+        phase: watch::Receiver<Phase>,
+    ) -> State {
         let balancer = Balancer::new(balance::Settings {
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
--- a/crates/azuregate/src/status.rs
+++ b/crates/azuregate/src/status.rs
@@ -7,7 +7,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpListener;
 
-use crate::{accept, config::Snapshots, metrics::Recorder, stop::Stop};
+use crate::{accept, config::Snapshots, metrics::Recorder, stop::StopSignal};
 
 /// What the status port tells of.
 pub struct Status {
@@ -16,7 +16,7 @@
     /// The histograms.
     pub recorder: Recorder,
     /// Whether the instance is stopping.
-    pub stop: Stop,
+    pub stop: StopSignal,
 }
 
 /// Serves the status port until the task is aborted.
--- a/crates/azuregate/src/stop.rs
+++ b/crates/azuregate/src/stop.rs
@@ -4,30 +4,30 @@
 
 /// Tells an instance to stop; dropping it does so as well.
 #[derive(Debug)]
-pub struct Stopper {
+pub struct StopHandle {
     sender: watch::Sender<bool>,
 }
 
 /// Waits for the word to stop; cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Stop {
+pub struct StopSignal {
     receiver: watch::Receiver<bool>,
 }
 
 /// A stopper and what it reaches.
-pub fn channel() -> (Stopper, Stop) {
+pub fn channel() -> (StopHandle, StopSignal) {
     let (sender, receiver) = watch::channel(false);
-    (Stopper { sender }, Stop { receiver })
+    (StopHandle { sender }, StopSignal { receiver })
 }
 
-impl Stopper {
+impl StopHandle {
     /// Starts a planned stop.
     pub fn stop(&self) {
         self.sender.send_replace(true);
     }
 }
 
-impl Stop {
+impl StopSignal {
     /// Whether a planned stop has started.
     pub fn is_stopping(&self) -> bool {
         *self.receiver.borrow() || self.receiver.has_changed().is_err()
--- a/crates/azuregate/tests/operators/fake.rs
+++ b/crates/azuregate/tests/operators/fake.rs
@@ -212,7 +212,7 @@
     pub(crate) snapshots: Snapshots,
     pub(crate) recorder: Recorder,
     pub(crate) config: Config,
-    _stopper: stop::Stopper,
+    _stopper: stop::StopHandle,
 }
 
 impl Bench {
--- a/crates/azuregate/tests/serve/world.rs
+++ b/crates/azuregate/tests/serve/world.rs
@@ -10,7 +10,7 @@
 
 use azuregate::{
     serve,
-    stop::{self, Stopper},
+    stop::{self, StopHandle},
 };
 use azuregate_platform::{
     fakes::{ConfigDocument, FakeBackend, FakeStore, backend_row, config_row, settings_text},
@@ -139,7 +139,7 @@
     pub(crate) ready: SocketAddr,
     pub(crate) lookups: SocketAddr,
     pub(crate) metrics: SocketAddr,
-    pub(crate) stopper: Stopper,
+    pub(crate) stopper: StopHandle,
     pub(crate) thread: JoinHandle<()>,
 }
 
