--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -222,7 +222,7 @@
     let (stopper, stop) = stop::channel();
     let settings = example.settings(entry);
     let task = tokio::spawn(async move {
-        if let Err(e) = run::run_with(settings, stop, rule).await {
+        if let Err(e) = run::run_with_rule(settings, stop, rule).await {
             eprintln!("{e:?}");
         }
     });
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -23,7 +23,7 @@
 use self::{ports::Ports, shared::Shared};
 
 /// How long a planned stop waits for operators' calls in progress.
-const OPERATORS_STOP_LIMIT_MS: u64 = 5_000;
+const OPERATORS_SHUTDOWN_TIMEOUT_MS: u64 = 5_000;
 
 /// An instance that could not start.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 ///
 /// When a port cannot be opened.
 pub async fn run(settings: Settings, stop: StopSignal) -> Result<(), Report<RunError>> {
-    run_with(settings, stop, Rule::default()).await
+    run_with_rule(settings, stop, Rule::default()).await
 }
 
 /// Runs an entry instance that chooses backend servers by `rule`.
@@ -52,7 +52,7 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn run_with(
+pub async fn run_with_rule(
     settings: Settings,
     stop: StopSignal,
     rule: Rule,
@@ -95,27 +95,28 @@
 
 /// The operators' port, which finishes its calls before it closes.
 struct OperatorsPort {
-    open: oneshot::Sender<()>,
+    shutdown: oneshot::Sender<()>,
     task: JoinHandle<Result<(), tonic::transport::Error>>,
 }
 
 impl OperatorsPort {
     fn start(service: OperatorsService, listener: TcpListener) -> OperatorsPort {
-        let (open, closed) = oneshot::channel::<()>();
+        let (shutdown, shutdown_requested) = oneshot::channel::<()>();
         // An answer is several small writes; without nodelay the later ones wait
         // 40 ms for the acknowledgement of the first.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let server = tonic::transport::Server::builder()
             .add_service(OperatorsServer::new(service))
             .serve_with_incoming_shutdown(incoming, async {
-                let _ = closed.await;
+                let _ = shutdown_requested.await;
             });
-        OperatorsPort { open, task: tokio::spawn(server) }
+        OperatorsPort { shutdown, task: tokio::spawn(server) }
     }
 
     /// An operator's change that is in progress is settled, and its outcome told.
     async fn stop(self) {
-        drop(self.open);
-        let _ = time::timeout(Duration::from_millis(OPERATORS_STOP_LIMIT_MS), self.task).await;
+        drop(self.shutdown);
+        let _ =
+            time::timeout(Duration::from_millis(OPERATORS_SHUTDOWN_TIMEOUT_MS), self.task).await;
     }
 }
