--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -17,7 +17,7 @@
 }
 
 /// What the task decided for a key.
-struct Decided {
+struct Decision {
     verdict: Verdict,
     sequence: u64,
     /// When a full home has room again.
@@ -32,7 +32,7 @@
 }
 
 enum Message {
-    Claim { key: String, fingerprint: u64, issued_at_ms: Millis, reply: oneshot::Sender<Decided> },
+    Claim { key: String, fingerprint: u64, issued_at_ms: Millis, reply: oneshot::Sender<Decision> },
     Settle { held: HeldKey, settled: Settled },
     Release { held: HeldKey },
 }
@@ -56,12 +56,12 @@
         let _ =
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let decided = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
-        if decided.verdict == Verdict::Refuse(ErrorKind::ClaimsFull) {
+        let decision = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
+        if decision.verdict == Verdict::Refuse(ErrorKind::ClaimsFull) {
             let error = Error::new(ErrorKind::ClaimsFull, "this home remembers all it can");
-            return Err(error.with_retry_after_ms(decided.room_in_ms));
+            return Err(error.with_retry_after_ms(decision.room_in_ms));
         }
-        Ok((decided.verdict, HeldKey { key, sequence: decided.sequence }))
+        Ok((decision.verdict, HeldKey { key, sequence: decision.sequence }))
     }
 
     pub(crate) fn settle(&self, held: HeldKey, settled: Settled) {
@@ -88,7 +88,7 @@
                 let now_ms = origin_ms + clock.now();
                 let (verdict, sequence) = table.claim(&key, fingerprint, issued_at_ms, now_ms);
                 let room_in_ms = table.room_in_ms(now_ms);
-                let _ = reply.send(Decided { verdict, sequence, room_in_ms });
+                let _ = reply.send(Decision { verdict, sequence, room_in_ms });
             }
             Message::Settle { held, settled } => table.settle(&held.key, held.sequence, settled),
             Message::Release { held } => table.release(&held.key, held.sequence),
--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -10,8 +10,8 @@
 mod cleanup;
 mod held;
 mod home;
+mod retry_queue;
 mod rows;
-mod upkeep;
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/azuregate/src/claims/upkeep.rs
+++ b/crates/azuregate/src/claims/retry_queue.rs
@@ -27,18 +27,18 @@
 
 /// How many writes wait at the most. One more is dropped: its repeat is told
 /// `unknown`, which is less than could be known, and not false.
-const WAITING_LIMIT: usize = 4_096;
+const MAX_QUEUED_WRITES: usize = 4_096;
 /// How much the large answers among them take at the most, in bytes. Of one more
 /// only the outcome is kept.
-const ANSWERS_LIMIT_BYTES: usize = 16 << 20;
+const MAX_QUEUED_ANSWER_BYTES: usize = 16 << 20;
 /// For how long a claim is caught up with: longer than any deadline, and far
 /// shorter than the retention of claims.
-const PATIENCE_MS: u64 = 2 * 3_600_000;
+const RETRY_LIMIT_MS: u64 = 2 * 3_600_000;
 /// How long to wait after a write that failed.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// A write to catch up with.
-pub(crate) enum Work {
+pub(crate) enum PendingWrite {
     /// Take away the row of a request that did not run.
     Release(HeldRow),
     /// Keep how a request ended, with the body of its answer if that is large.
@@ -46,42 +46,42 @@
 }
 
 enum Message {
-    Work(Work),
+    Write(PendingWrite),
     /// The sender is dropped when no work waits any more.
-    Finish(oneshot::Sender<()>),
+    Flush(oneshot::Sender<()>),
 }
 
 /// A handle to the task that does the work.
-pub(crate) struct Upkeep {
+pub(crate) struct RetryQueue {
     sender: mpsc::Sender<Message>,
     answer_bytes: Arc<AtomicUsize>,
 }
 
-impl Upkeep {
+impl RetryQueue {
     /// Starts the task; it ends when the handle is dropped and the work is done.
-    pub(crate) fn start(platform: SharedPlatform, clock: SharedClock) -> Upkeep {
-        let (sender, receiver) = mpsc::channel(WAITING_LIMIT);
+    pub(crate) fn start(platform: SharedPlatform, clock: SharedClock) -> RetryQueue {
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED_WRITES);
         let answer_bytes = Arc::new(AtomicUsize::new(0));
         let task = Task {
             platform,
             clock,
             receiver,
             answer_bytes: Arc::clone(&answer_bytes),
-            waiting: VecDeque::new(),
-            finishes: Vec::new(),
+            queue: VecDeque::new(),
+            flush_waiters: Vec::new(),
         };
         tokio::spawn(task.serve());
-        Upkeep { sender, answer_bytes }
+        RetryQueue { sender, answer_bytes }
     }
 
     /// Adds work, unless too much waits already.
-    pub(crate) fn add(&self, mut work: Work) {
-        let held_bytes = self.answer_bytes.load(Ordering::Relaxed);
-        if held_bytes + work.answer_bytes() > ANSWERS_LIMIT_BYTES {
-            work.forget_answer();
+    pub(crate) fn add(&self, mut write: PendingWrite) {
+        let queued_bytes = self.answer_bytes.load(Ordering::Relaxed);
+        if queued_bytes + write.answer_bytes() > MAX_QUEUED_ANSWER_BYTES {
+            write.discard_answer();
         }
-        let answer_bytes = work.answer_bytes();
-        if self.sender.try_send(Message::Work(work)).is_err() {
+        let answer_bytes = write.answer_bytes();
+        if self.sender.try_send(Message::Write(write)).is_err() {
             log::warn!("too many claims wait for the platform; one is left as it is");
             return;
         }
@@ -90,9 +90,9 @@
 
     /// Waits until all work is done.
     pub(crate) async fn flush(&self) {
-        let (sender, finished) = oneshot::channel();
-        if self.sender.send(Message::Finish(sender)).await.is_ok() {
-            let _ = finished.await;
+        let (sender, flushed) = oneshot::channel();
+        if self.sender.send(Message::Flush(sender)).await.is_ok() {
+            let _ = flushed.await;
         }
     }
 }
@@ -102,75 +102,75 @@
     clock: SharedClock,
     receiver: mpsc::Receiver<Message>,
     answer_bytes: Arc<AtomicUsize>,
-    waiting: VecDeque<Work>,
-    finishes: Vec<oneshot::Sender<()>>,
+    queue: VecDeque<PendingWrite>,
+    flush_waiters: Vec<oneshot::Sender<()>>,
 }
 
 impl Task {
     async fn serve(mut self) {
-        while let Some(work) = self.next().await {
-            let is_through = match work.is_too_late(self.clock.epoch()) {
+        while let Some(write) = self.next().await {
+            let is_done = match write.is_expired(self.clock.epoch()) {
                 true => true,
-                false => work.run(self.platform.as_ref()).await.is_ok(),
+                false => write.run(self.platform.as_ref()).await.is_ok(),
             };
-            if is_through {
-                self.answer_bytes.fetch_sub(work.answer_bytes(), Ordering::Relaxed);
+            if is_done {
+                self.answer_bytes.fetch_sub(write.answer_bytes(), Ordering::Relaxed);
                 continue;
             }
             // To the end of the queue: a write that the platform never takes must
             // not keep the others waiting for an hour.
-            self.waiting.push_back(work);
-            time::sleep(PAUSE).await;
+            self.queue.push_back(write);
+            time::sleep(RETRY_DELAY).await;
         }
     }
 
     /// The work to do next; waits for some.
-    async fn next(&mut self) -> Option<Work> {
-        while self.waiting.len() < WAITING_LIMIT {
+    async fn next(&mut self) -> Option<PendingWrite> {
+        while self.queue.len() < MAX_QUEUED_WRITES {
             let Ok(message) = self.receiver.try_recv() else { break };
-            self.take(message);
+            self.handle_message(message);
         }
-        while self.waiting.is_empty() {
-            self.finishes.clear();
+        while self.queue.is_empty() {
+            self.flush_waiters.clear();
             let message = self.receiver.recv().await?;
-            self.take(message);
+            self.handle_message(message);
         }
-        self.waiting.pop_front()
+        self.queue.pop_front()
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         match message {
-            Message::Work(work) => self.waiting.push_back(work),
-            Message::Finish(sender) => self.finishes.push(sender),
+            Message::Write(write) => self.queue.push_back(write),
+            Message::Flush(sender) => self.flush_waiters.push(sender),
         }
     }
 }
 
-impl Work {
+impl PendingWrite {
     /// Whether the row may not be touched any more.
     ///
     /// The failure: a process is paused for more than a day, its row is deleted
     /// as old, and the key is claimed anew by a row of the same version. On
     /// waking, this write would change the new claim.
-    pub(crate) fn is_too_late(&self, now_ms: Millis) -> bool {
-        let (Work::Release(held) | Work::Settle { held, .. }) = self;
-        let too_late = now_ms.since(held.claim.made_at_ms).0 > PATIENCE_MS;
-        if too_late {
+    pub(crate) fn is_expired(&self, now_ms: Millis) -> bool {
+        let (PendingWrite::Release(held) | PendingWrite::Settle { held, .. }) = self;
+        let is_expired = now_ms.since(held.claim.made_at_ms).0 > RETRY_LIMIT_MS;
+        if is_expired {
             log::warn!(key:% = held.key; "claim left as it is");
         }
-        too_late
+        is_expired
     }
 
     fn answer_bytes(&self) -> usize {
         match self {
-            Work::Settle { object: Some((_, bytes)), .. } => bytes.len(),
+            PendingWrite::Settle { object: Some((_, bytes)), .. } => bytes.len(),
             _ => 0,
         }
     }
 
     /// Keeps the outcome alone.
-    fn forget_answer(&mut self) {
-        if let Work::Settle { held, object } = self {
+    fn discard_answer(&mut self) {
+        if let PendingWrite::Settle { held, object } = self {
             held.claim.settled = Some(Settled::NotKept);
             *object = None;
         }
@@ -179,8 +179,8 @@
     /// Does the work; doing it again changes nothing.
     pub(crate) async fn run(&self, platform: &dyn Platform) -> Result<(), PlatformError> {
         match self {
-            Work::Release(held) => release(platform, held).await,
-            Work::Settle { held, object } => {
+            PendingWrite::Release(held) => release(platform, held).await,
+            PendingWrite::Settle { held, object } => {
                 if let Some((name, bytes)) = object {
                     platform.put_object(name, bytes.clone()).await?;
                 }
@@ -200,9 +200,9 @@
     let Some(row) = platform.read(Table::Claim, &held.key).await? else {
         return Ok(());
     };
-    let is_mine = serde_json::from_value(row.value)
-        .is_ok_and(|there: Claim| there.attempt == held.claim.attempt);
-    if !is_mine {
+    let is_own_attempt = serde_json::from_value(row.value)
+        .is_ok_and(|existing: Claim| existing.attempt == held.claim.attempt);
+    if !is_own_attempt {
         return Ok(());
     }
     platform.transact(&[held.delete(row.version)]).await.map(drop)
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -21,7 +21,7 @@
     claims::{
         ClaimRequest,
         held::HeldRow,
-        upkeep::{Upkeep, Work},
+        retry_queue::{PendingWrite, RetryQueue},
     },
     clock::SharedClock,
     config::Snapshots,
@@ -31,7 +31,7 @@
 /// The largest answer body that is kept in the row itself, in bytes.
 const INLINE_LIMIT_BYTES: usize = 4 << 10;
 /// How often a claim with an unknown effect is tried again.
-const CLAIM_ATTEMPTS: usize = 3;
+const MAX_INSERT_ATTEMPTS: usize = 3;
 /// How long past its deadline an owner may still write the answer.
 const SETTLE_GRACE_MS: u64 = 10_000;
 
@@ -49,7 +49,7 @@
     snapshots: Snapshots,
     owner: Owner,
     sequence: AtomicU64,
-    upkeep: Upkeep,
+    retry_queue: RetryQueue,
 }
 
 impl Rows {
@@ -60,8 +60,8 @@
         snapshots: Snapshots,
         owner: Owner,
     ) -> Rows {
-        let upkeep = Upkeep::start(Arc::clone(&platform), clock.clone());
-        Rows { platform, clock, snapshots, owner, sequence: AtomicU64::new(0), upkeep }
+        let retry_queue = RetryQueue::start(Arc::clone(&platform), clock.clone());
+        Rows { platform, clock, snapshots, owner, sequence: AtomicU64::new(0), retry_queue }
     }
 
     /// Inserts the claim of a request, or judges the one that is there.
@@ -83,8 +83,8 @@
         let limit = Duration::from_millis(request.remaining_ms);
         let inserted = time::timeout(limit, self.insert(held.clone())).await;
         inserted.unwrap_or_else(|_| {
-            self.upkeep.add(Work::Release(held));
-            Err(unsure(ErrorKind::ClaimUnknown, "no time left to claim the key"))
+            self.retry_queue.add(PendingWrite::Release(held));
+            Err(earlier_unknown(ErrorKind::ClaimUnknown, "no time left to claim the key"))
         })
     }
 
@@ -92,41 +92,41 @@
     /// whose answer was lost had taken effect.
     async fn insert(&self, mut held: HeldRow) -> Result<(Verdict, HeldRow), Error> {
         let write = held.write(Expect::Absent)?;
-        let mut may_be_there = false;
+        let mut may_be_inserted = false;
         let mut detail = "the claim changed hands".to_owned();
-        for _ in 0..CLAIM_ATTEMPTS {
+        for _ in 0..MAX_INSERT_ATTEMPTS {
             match self.platform.transact(std::slice::from_ref(&write)).await {
                 Ok(Commit::Done(versions)) => {
                     held.row_version = versions.first().copied().unwrap_or(1);
                     return Ok((Verdict::Run, held));
                 }
                 Ok(Commit::Conflict { row: Some(row), .. }) => {
-                    let there: Claim = serde_json::from_value(row.value).map_err(internal)?;
+                    let existing: Claim = serde_json::from_value(row.value).map_err(internal)?;
                     held.row_version = row.version;
-                    let live = self.may_run_still(&there);
-                    let mine = &held.claim;
-                    let verdict = claim::judge(&there, &mine.attempt, mine.fingerprint, live);
+                    let live = self.may_still_run(&existing);
+                    let own = &held.claim;
+                    let verdict = claim::judge(&existing, &own.attempt, own.fingerprint, live);
                     return Ok((verdict, held));
                 }
                 Ok(Commit::Conflict { row: None, .. }) => {}
                 Err(e) => {
-                    may_be_there |= e.effect() == Effect::Unknown;
+                    may_be_inserted |= e.effect() == Effect::Unknown;
                     detail = e.to_string();
                 }
             }
         }
-        if !may_be_there {
-            return Err(unsure(ErrorKind::ClaimNotMade, detail));
+        if !may_be_inserted {
+            return Err(earlier_unknown(ErrorKind::ClaimNotMade, detail));
         }
         // Nothing was sent under this claim, so it must not stand in the way of
         // the repeat.
-        self.upkeep.add(Work::Release(held));
-        Err(unsure(ErrorKind::ClaimUnknown, detail))
+        self.retry_queue.add(PendingWrite::Release(held));
+        Err(earlier_unknown(ErrorKind::ClaimUnknown, detail))
     }
 
     /// Whether the owner of a claim may still be at work on it. The answer never
     /// lets anyone else run the request; it only words the refusal.
-    fn may_run_still(&self, claim: &Claim) -> bool {
+    fn may_still_run(&self, claim: &Claim) -> bool {
         let owner = &claim.attempt;
         let snapshot = self.snapshots.current();
         let latest = match owner.instance == self.owner.instance {
@@ -155,32 +155,32 @@
             object = Some((name, bytes));
         }
         held.claim.settled = Some(settled);
-        let work = Work::Settle { held, object };
-        if work.is_too_late(self.clock.epoch()) {
+        let pending = PendingWrite::Settle { held, object };
+        if pending.is_expired(self.clock.epoch()) {
             return;
         }
-        if let Err(e) = work.run(self.platform.as_ref()).await {
+        if let Err(e) = pending.run(self.platform.as_ref()).await {
             // The request ran, and its caller gets the answer. Until the write
             // is caught up with, a repeat is told that it is in progress.
             log::warn!(error:% = e; "answer not kept yet");
-            self.upkeep.add(work);
+            self.retry_queue.add(pending);
         }
     }
 
     /// Waits until all that was to be caught up with is written.
     pub(crate) async fn flush(&self) {
-        self.upkeep.flush().await;
+        self.retry_queue.flush().await;
     }
 
     /// Gives up a claim whose request certainly did not run, without keeping its
     /// caller waiting.
     pub(crate) fn release(&self, held: HeldRow) {
-        self.upkeep.add(Work::Release(held));
+        self.retry_queue.add(PendingWrite::Release(held));
     }
 }
 
 /// An error before the claim was read: an earlier request may have used the key.
-fn unsure(kind: ErrorKind, detail: impl Into<String>) -> Error {
+fn earlier_unknown(kind: ErrorKind, detail: impl Into<String>) -> Error {
     Error::new(kind, detail).with_earlier_unknown()
 }
 
