--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/answer.rs
@@ -16,25 +16,25 @@
 
 /// The largest answer body that is kept for repeats, in bytes. A larger one goes
 /// to the caller as it comes, and a repeat is told that the request ran.
-const KEPT_LIMIT_BYTES: usize = 1 << 20;
+const MAX_KEPT_BYTES: usize = 1 << 20;
 
 /// An answer that was read for keeping.
-pub(crate) enum Read {
+pub(crate) enum Buffered {
     /// All of it is here.
-    Whole(WholeAnswer),
+    Complete(CompleteAnswer),
     /// It is too large to keep, and goes on to stream.
     TooLarge(Response<Body>),
 }
 
 /// An answer held in memory.
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompleteAnswer {
     head: response::Parts,
     bytes: Bytes,
 }
 
-impl WholeAnswer {
+impl CompleteAnswer {
     /// What is kept of it, and its body.
-    pub(crate) fn kept(&self) -> (KeptAnswer, Bytes) {
+    pub(crate) fn to_kept(&self) -> (KeptAnswer, Bytes) {
         let headers = self.head.headers.iter();
         let headers = headers
             .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
@@ -51,7 +51,7 @@
 }
 
 /// Reads an answer into memory, up to the limit.
-pub(crate) async fn read(response: Response<Body>) -> Result<Read, Error> {
+pub(crate) async fn buffer(response: Response<Body>) -> Result<Buffered, Error> {
     let (head, mut rest) = response.into_parts();
     let mut frames = Vec::new();
     let mut length = 0;
@@ -60,14 +60,14 @@
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
         frames.push(data);
-        if length > KEPT_LIMIT_BYTES {
+        if length > MAX_KEPT_BYTES {
             let first = stream::iter(frames).map(|data| Ok(Frame::data(data)));
             let all = first.chain(BodyStream::new(rest));
             let body = BodyExt::boxed_unsync(StreamBody::new(all));
-            return Ok(Read::TooLarge(Response::from_parts(head, body)));
+            return Ok(Buffered::TooLarge(Response::from_parts(head, body)));
         }
     }
-    Ok(Read::Whole(WholeAnswer { head, bytes: frames.concat().into() }))
+    Ok(Buffered::Complete(CompleteAnswer { head, bytes: frames.concat().into() }))
 }
 
 /// Gives a kept answer again.
--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -161,13 +161,13 @@
                 return Err(e);
             }
         };
-        match answer::read(response).await {
-            Ok(answer::Read::Whole(read)) => {
-                let (kept, bytes) = read.kept();
+        match answer::buffer(response).await {
+            Ok(answer::Buffered::Complete(answer)) => {
+                let (kept, bytes) = answer.to_kept();
                 self.record(held, Settled::Answer(kept), Some(bytes)).await;
-                Ok(read.into_response())
+                Ok(answer.into_response())
             }
-            Ok(answer::Read::TooLarge(response)) => {
+            Ok(answer::Buffered::TooLarge(response)) => {
                 self.record(held, Settled::NotKept, None).await;
                 Ok(response)
             }
