--- a/crates/azuregate-core/src/balance/backends.rs
+++ b/crates/azuregate-core/src/balance/backends.rs
@@ -1,4 +1,4 @@
-//! The state of all backend servers.
+//! State of all backend servers.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -7,8 +7,9 @@
 };
 
 use super::{
-    ByObject, Candidate, ColdBudget, Config, Health, InFlightAt, Members, Outcome, Placement,
-    Usual, others::Others, regional::RegionalObjects,
+    Baseline, Candidate, ColdStartBudget, Config, Health, InFlightCount, LoadBalancingPolicy,
+    Members, ObjectAffinity, Outcome, remote_load::RemoteLoad,
+    shared_objects::SharedObjectDetector,
 };
 use crate::{
     names::{BackendId, InstanceId, RegionName, ServiceName, ZoneName},
@@ -16,10 +17,9 @@
     topology::Distance,
 };
 
-/// How often the servers of a service are compared with each other.
-const COMPARE_EVERY_MS: u64 = 100;
+const OUTLIER_DETECTION_INTERVAL_MS: u64 = 100;
 
-/// A backend server as it registered itself.
+/// The registration of a backend server.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Backend {
     /// Its name.
@@ -30,32 +30,32 @@
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// How many requests it processes at the same time.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is leaving and must get nothing new.
+    /// Whether it is draining and gets no new requests.
     pub is_draining: bool,
-    /// How long it stays cold from when this was read.
+    /// Remaining time of its warm-up when this was read.
     pub cold_left_ms: u64,
-    /// When it started, by its own clock.
+    /// Its start time by its own clock; identifies the run.
     pub start_epoch_ms: u64,
 }
 
-/// Names one backend server for as long as it is registered.
+/// Identifies a backend server while it is registered.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct BackendHandle(pub(super) u64);
 
-/// What the balancer needs to know of its own instance and deployment.
+/// Settings of a [`Balancer`]: the local instance and the deployment.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The instance that decides.
+    /// The local instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
     /// The regions of all availability zones.
     pub zones: BTreeMap<ZoneName, RegionName>,
-    /// Factor on the rate that a cold backend server tolerates.
+    /// Factor on the configured rate of requests to a cold backend server.
     pub cold_rate_factor: f64,
-    /// Requests a second that a cold backend server may get beyond that.
+    /// Requests per second added to that rate.
     pub cold_rate_slack: f64,
 }
 
@@ -69,15 +69,15 @@
             return Distance::SameZone;
         }
         match (self.zones.get(zone), self.zones.get(&self.zone)) {
-            (Some(region), Some(own)) if region == own => Distance::SameRegion,
+            (Some(region), Some(local)) if region == local => Distance::SameRegion,
             _ => Distance::OtherRegion,
         }
     }
 }
 
-/// One backend server and what is known of it.
+/// State of one backend server.
 #[derive(Clone, Debug)]
-pub(super) struct Node {
+pub(super) struct BackendState {
     pub(super) handle: BackendHandle,
     pub(super) backend: Arc<Backend>,
     pub(super) seed: u64,
@@ -85,23 +85,23 @@
     pub(super) is_evacuated: bool,
     pub(super) cold_until_ms: u64,
     pub(super) cold_limit: u32,
-    pub(super) cold: ColdBudget,
+    pub(super) cold_start_budget: ColdStartBudget,
     pub(super) in_flight: u32,
-    /// Requests that other instances have at the server.
-    pub(super) others_in_flight: u32,
+    /// Requests in flight there from other instances.
+    pub(super) remote_in_flight: u32,
     pub(super) health: Health,
-    /// Whether it does much worse than the other servers of its service.
+    /// Result of the last outlier detection.
     pub(super) is_outlier: bool,
     was_unreachable: bool,
 }
 
-impl Node {
-    /// Requests that all instances together have at the server.
+impl BackendState {
+    /// Returns the requests in flight there from all instances.
     pub(super) fn total_in_flight(&self) -> u32 {
-        self.in_flight + self.others_in_flight
+        self.in_flight + self.remote_in_flight
     }
 
-    fn short_id(&self) -> u32 {
+    fn id_hash(&self) -> u32 {
         (self.seed >> 32) as u32
     }
 
@@ -109,14 +109,13 @@
         now_ms < self.cold_until_ms
     }
 
-    /// Takes in that the server is cold for `cold_ms` from now on, or for as long as
-    /// was known before if that is longer.
+    /// Marks the server as cold for at least `cold_ms` from now on.
     fn set_cold(&mut self, cold_ms: u64, now_ms: u64) {
         self.cold_until_ms = self.cold_until_ms.max(now_ms + cold_ms);
     }
 
-    /// The same for as long as the operator says of a server that has just started.
-    fn set_cold_as_started(&mut self, config: Option<&Config>, now_ms: u64) {
+    /// Marks the server as cold for the service's configured warm-up.
+    fn start_cold_period(&mut self, config: Option<&Config>, now_ms: u64) {
         let service = config.and_then(|config| config.service(&self.backend.service));
         self.set_cold(service.map_or(0, |service| service.cold_ms), now_ms);
     }
@@ -124,113 +123,110 @@
 
 /// The backend servers of one service.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Group {
-    pub(super) nodes: Vec<Node>,
-    compared_until_ms: u64,
+pub(super) struct ServicePool {
+    pub(super) backends: Vec<BackendState>,
+    outliers_valid_until_ms: u64,
 }
 
-impl Group {
-    /// Works out now and then which servers do much worse than the others. A choice
-    /// only reads it: to compare all servers for each choice makes that half as long
-    /// again.
-    pub(super) fn compare(&mut self, now_ms: u64) {
-        if now_ms < self.compared_until_ms {
+impl ServicePool {
+    /// Detects outliers at most once per interval, which keeps choices fast.
+    pub(super) fn detect_outliers(&mut self, now_ms: u64) {
+        if now_ms < self.outliers_valid_until_ms {
             return;
         }
-        self.compared_until_ms = now_ms + COMPARE_EVERY_MS;
-        let usual = Usual::of(self.nodes.iter().map(|node| &node.health), now_ms);
-        for node in &mut self.nodes {
-            node.is_outlier = usual.is_outlier(&node.health, now_ms);
+        self.outliers_valid_until_ms = now_ms + OUTLIER_DETECTION_INTERVAL_MS;
+        let baseline = Baseline::of(self.backends.iter().map(|state| &state.health), now_ms);
+        for state in &mut self.backends {
+            state.is_outlier = baseline.is_outlier(&state.health, now_ms);
         }
     }
 }
 
-/// Holds the state of all backend servers and chooses among them.
+/// Tracks all backend servers and chooses one for each request.
 #[derive(Debug)]
 pub struct Balancer {
     pub(super) settings: Settings,
-    pub(super) placement: Box<dyn Placement>,
+    pub(super) policy: Box<dyn LoadBalancingPolicy>,
     config: Option<Arc<Config>>,
     evacuated: BTreeSet<ZoneName>,
-    pub(super) services: BTreeMap<ServiceName, Group>,
-    others: Others,
-    pub(super) regional: RegionalObjects,
+    pub(super) pools: BTreeMap<ServiceName, ServicePool>,
+    remote_load: RemoteLoad,
+    pub(super) shared_objects: SharedObjectDetector,
     next_handle: u64,
-    /// Kept, so that a choice allocates nothing.
+    /// Reused, so that a choice does not allocate.
     pub(super) candidates: Vec<Candidate>,
 }
 
 impl Balancer {
-    /// A balancer that knows no backend server yet and chooses [`ByObject`].
+    /// Creates a balancer without backend servers that uses [`ObjectAffinity`].
     pub fn new(settings: Settings) -> Balancer {
-        Balancer::with_placement(settings, Box::new(ByObject))
+        Balancer::with_policy(settings, Box::new(ObjectAffinity))
     }
 
-    /// A balancer that knows no backend server yet and chooses by `placement`.
-    pub fn with_placement(settings: Settings, placement: Box<dyn Placement>) -> Balancer {
+    /// Creates a balancer without backend servers that uses `policy`.
+    pub fn with_policy(settings: Settings, policy: Box<dyn LoadBalancingPolicy>) -> Balancer {
         Balancer {
             settings,
-            placement,
+            policy,
             config: None,
             evacuated: BTreeSet::new(),
-            services: BTreeMap::new(),
-            others: Others::default(),
-            regional: RegionalObjects::default(),
+            pools: BTreeMap::new(),
+            remote_load: RemoteLoad::default(),
+            shared_objects: SharedObjectDetector::default(),
             next_handle: 0,
             candidates: Vec::new(),
         }
     }
 
-    /// Takes in a configuration.
+    /// Replaces the configuration.
     pub fn set_config(&mut self, config: Arc<Config>) {
         self.config = Some(config);
     }
 
-    /// Takes in a backend server's row; returns whether the server is new or has
-    /// started anew.
+    /// Adds or updates a backend server; returns whether it is new or has restarted.
     pub fn put(&mut self, backend: Backend, members: &Members, now_ms: u64) -> bool {
-        if let Some(node) = self.same_start(&backend) {
-            node.set_cold(backend.cold_left_ms, now_ms);
-            node.backend = Arc::new(backend);
+        if let Some(state) = self.find_same_start(&backend) {
+            state.set_cold(backend.cold_left_ms, now_ms);
+            state.backend = Arc::new(backend);
             return false;
         }
         self.remove(backend.id.as_str());
         self.next_handle += 1;
-        let node = Node {
+        let state = BackendState {
             handle: BackendHandle(self.next_handle),
             seed: stable_hash(&[backend.id.as_str()]),
             distance: self.settings.distance(&backend.zone),
             is_evacuated: self.evacuated.contains(&backend.zone),
             cold_until_ms: now_ms + backend.cold_left_ms,
             cold_limit: self.cold_limit(&backend, members),
-            cold: ColdBudget::default(),
+            cold_start_budget: ColdStartBudget::default(),
             in_flight: 0,
-            others_in_flight: 0,
+            remote_in_flight: 0,
             health: Health::default(),
             is_outlier: false,
             was_unreachable: false,
             backend: Arc::new(backend),
         };
-        let group = self.services.entry(node.backend.service.clone()).or_default();
-        group.nodes.push(node);
+        let pool = self.pools.entry(state.backend.service.clone()).or_default();
+        pool.backends.push(state);
         true
     }
 
-    /// Forgets a backend server; returns whether it was known.
+    /// Removes a backend server; returns whether it was registered.
     pub fn remove(&mut self, id: &str) -> bool {
         let mut was_known = false;
-        for group in self.services.values_mut() {
-            let count = group.nodes.len();
-            group.nodes.retain(|node| node.backend.id.as_str() != id);
-            was_known |= group.nodes.len() < count;
+        for pool in self.pools.values_mut() {
+            let count = pool.backends.len();
+            pool.backends.retain(|state| state.backend.id.as_str() != id);
+            was_known |= pool.backends.len() < count;
         }
         was_known
     }
 
-    /// Sends nothing more to the backend servers of `zone`, or takes them back.
+    /// Evacuates a zone or ends its evacuation; returns whether that is a change.
     ///
-    /// Servers that got nothing for a while have forgotten their objects and may
-    /// be cold, so those that are taken back count as cold.
+    /// The backend servers of an evacuated zone get no requests. After an evacuation they count
+    /// as cold, since their caches have expired meanwhile.
     pub fn set_evacuated(&mut self, zone: &ZoneName, is_evacuated: bool, now_ms: u64) -> bool {
         let has_changed = match is_evacuated {
             true => self.evacuated.insert(zone.clone()),
@@ -239,36 +235,36 @@
         if !has_changed {
             return false;
         }
-        let Balancer { config, services, .. } = self;
-        let nodes = services.values_mut().flat_map(|group| &mut group.nodes);
-        for node in nodes.filter(|node| node.backend.zone == *zone) {
-            node.is_evacuated = is_evacuated;
+        let Balancer { config, pools, .. } = self;
+        let backends = pools.values_mut().flat_map(|pool| &mut pool.backends);
+        for state in backends.filter(|state| state.backend.zone == *zone) {
+            state.is_evacuated = is_evacuated;
             if !is_evacuated {
-                node.set_cold_as_started(config.as_deref(), now_ms);
+                state.start_cold_period(config.as_deref(), now_ms);
             }
         }
         true
     }
 
-    /// Changes how the rate that a cold server tolerates is stretched.
+    /// Sets the factor and the addend of the rate of requests to cold servers.
     pub fn set_cold_rates(&mut self, factor: f64, slack: f64) {
         self.settings.cold_rate_factor = factor;
         self.settings.cold_rate_slack = slack;
     }
 
-    /// Works out again what this instance may send to each cold server, after
-    /// the members or the configuration have changed.
+    /// Recomputes this instance's limit for each cold server; to be called when the members or
+    /// the configuration have changed.
     pub fn set_cold_limits(&mut self, members: &Members) {
-        // Taken out, since the limits are worked out from the rest.
-        let mut services = std::mem::take(&mut self.services);
-        for node in services.values_mut().flat_map(|group| &mut group.nodes) {
-            node.cold_limit = self.cold_limit(&node.backend, members);
+        // Moved out, because `cold_limit` borrows `self`.
+        let mut pools = std::mem::take(&mut self.pools);
+        for state in pools.values_mut().flat_map(|pool| &mut pool.backends) {
+            state.cold_limit = self.cold_limit(&state.backend, members);
         }
-        self.services = services;
+        self.pools = pools;
     }
 
-    /// What this instance may send to a server in a second while that is cold;
-    /// nothing before there is a configuration.
+    /// Returns the requests per second that this instance may send to a cold server, 0 without
+    /// a configuration.
     fn cold_limit(&self, backend: &Backend, members: &Members) -> u32 {
         let Some(config) = &self.config else { return 0 };
         let rate = config.service(&backend.service).map_or(0.0, |s| s.cold_rate_per_s);
@@ -277,118 +273,128 @@
         }
         let rate = rate * self.settings.cold_rate_factor + self.settings.cold_rate_slack;
         let names = members.registered().map(|member| member.instance.as_str());
-        ColdBudget::part(backend.id.as_str(), self.settings.instance.as_str(), names, rate)
+        ColdStartBudget::instance_limit(
+            backend.id.as_str(),
+            self.settings.instance.as_str(),
+            names,
+            rate,
+        )
     }
 
-    /// The backend server behind a handle, while it is registered.
+    /// Returns the backend server with a handle while it is registered.
     pub fn backend(&self, handle: BackendHandle) -> Option<Arc<Backend>> {
-        self.nodes().find(|node| node.handle == handle).map(|node| Arc::clone(&node.backend))
+        self.backends().find(|state| state.handle == handle).map(|state| Arc::clone(&state.backend))
     }
 
-    /// The requests that this instance has at each server where it has any.
-    pub fn in_flight(&self) -> Vec<InFlightAt> {
-        let busy = self.nodes().filter(|node| node.in_flight > 0);
-        busy.map(|node| InFlightAt { backend: node.short_id(), count: node.in_flight }).collect()
+    /// Returns the requests in flight from this instance, for each server that has any.
+    pub fn in_flight(&self) -> Vec<InFlightCount> {
+        let busy = self.backends().filter(|state| state.in_flight > 0);
+        busy.map(|state| InFlightCount { backend: state.id_hash(), count: state.in_flight })
+            .collect()
     }
 
-    /// Takes in what another instance has at each server.
-    pub fn set_others(&mut self, instance: &InstanceId, in_flight: Vec<InFlightAt>, now_ms: u64) {
-        self.others.put(instance, in_flight, now_ms);
-        self.count_others();
+    /// Records the load report of another instance.
+    pub fn record_load_report(
+        &mut self,
+        instance: &InstanceId,
+        in_flight: Vec<InFlightCount>,
+        now_ms: u64,
+    ) {
+        self.remote_load.record(instance, in_flight, now_ms);
+        self.update_remote_in_flight();
     }
 
-    /// Forgets what instances said that have been silent for too long.
-    pub fn forget_silent(&mut self, now_ms: u64) {
-        self.others.forget_silent(now_ms);
-        self.count_others();
+    /// Discards load reports that are too old.
+    pub fn expire_load_reports(&mut self, now_ms: u64) {
+        self.remote_load.expire(now_ms);
+        self.update_remote_in_flight();
     }
 
-    /// Takes in that a client requested an object, by its hash.
-    pub fn requested(&mut self, object: u64, now_ms: u64) {
-        self.regional.requested(short_hash(object), now_ms);
+    /// Records that a client requested an object, given by its hash.
+    pub fn record_request(&mut self, object: u64, now_ms: u64) {
+        self.shared_objects.record_local(upper_half(object), now_ms);
     }
 
-    /// Some objects that were requested here since the last call, for instances of
-    /// other regions.
-    pub fn take_requested(&mut self) -> Vec<u32> {
-        self.regional.take_told()
+    /// Takes a sample of the objects requested since the last call, for instances of other
+    /// regions.
+    pub fn take_request_sample(&mut self) -> Vec<u32> {
+        self.shared_objects.take_sample()
     }
 
-    /// Takes in objects that were requested in another region; returns whether the
-    /// servers of the own region are preferred from now on, if that has changed.
-    pub fn set_requested_elsewhere(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
-        let has_changed = self.regional.heard(objects, now_ms);
-        has_changed.then(|| !self.regional.are_shared())
+    /// Records objects requested in another region. If the preference for servers of the local
+    /// region changes, returns whether they are preferred now.
+    pub fn record_remote_requests(&mut self, objects: &[u32], now_ms: u64) -> Option<bool> {
+        let has_changed = self.shared_objects.record_remote(objects, now_ms);
+        has_changed.then(|| !self.shared_objects.is_shared())
     }
 
-    pub(super) fn oldest_report_ms(&self, now_ms: u64) -> u64 {
-        self.others.oldest_ms(now_ms)
+    pub(super) fn oldest_report_age_ms(&self, now_ms: u64) -> u64 {
+        self.remote_load.oldest_report_age_ms(now_ms)
     }
 
-    fn count_others(&mut self) {
-        let counts = self.others.counts();
-        for node in self.nodes_mut() {
-            node.others_in_flight = counts.get(&node.short_id()).copied().unwrap_or_default();
+    fn update_remote_in_flight(&mut self) {
+        let counts = self.remote_load.in_flight_by_backend();
+        for state in self.backends_mut() {
+            state.remote_in_flight = counts.get(&state.id_hash()).copied().unwrap_or_default();
         }
     }
 
-    /// Takes in that a server says that it is cold.
+    /// Records that a server reported to be cold for `cold_left_ms`.
     pub fn set_cold(&mut self, handle: BackendHandle, cold_left_ms: u64, now_ms: u64) {
-        if let Some(node) = self.any_node_mut(handle) {
-            node.set_cold(cold_left_ms, now_ms);
+        if let Some(state) = self.backend_state_mut(handle) {
+            state.set_cold(cold_left_ms, now_ms);
         }
     }
 
-    /// Stops sending to a server that said itself that it is leaving, or is
-    /// another one by now.
-    pub fn set_leaving(&mut self, handle: BackendHandle) {
-        if let Some(node) = self.any_node_mut(handle) {
-            Arc::make_mut(&mut node.backend).is_draining = true;
+    /// Marks a server as draining because it said so or another server has its address by now.
+    pub fn set_draining(&mut self, handle: BackendHandle) {
+        if let Some(state) = self.backend_state_mut(handle) {
+            Arc::make_mut(&mut state.backend).is_draining = true;
         }
     }
 
-    /// Ends a request that [`Balancer::choose`] sent to a server.
+    /// Completes a request that [`Balancer::choose`] assigned to a server.
     ///
-    /// A server that answers after it could not be reached may have started anew
-    /// under the same name before its row says so, and counts as cold.
-    pub fn end(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
-        let Balancer { config, services, .. } = self;
-        let mut nodes = services.values_mut().flat_map(|group| &mut group.nodes);
-        let Some(node) = nodes.find(|node| node.handle == handle) else { return };
-        node.in_flight = node.in_flight.saturating_sub(1);
-        node.health.record(outcome, now_ms);
-        if node.health.was_unreachable() {
-            node.was_unreachable = true;
-        } else if node.was_unreachable {
-            node.was_unreachable = false;
-            node.set_cold_as_started(config.as_deref(), now_ms);
+    /// A server that responds after it was unreachable counts as cold, since it may have
+    /// restarted before its registration says so.
+    pub fn complete(&mut self, handle: BackendHandle, outcome: Outcome, now_ms: u64) {
+        let Balancer { config, pools, .. } = self;
+        let mut backends = pools.values_mut().flat_map(|pool| &mut pool.backends);
+        let Some(state) = backends.find(|state| state.handle == handle) else { return };
+        state.in_flight = state.in_flight.saturating_sub(1);
+        state.health.record(outcome, now_ms);
+        if state.health.was_unreachable() {
+            state.was_unreachable = true;
+        } else if state.was_unreachable {
+            state.was_unreachable = false;
+            state.start_cold_period(config.as_deref(), now_ms);
         }
     }
 
-    fn nodes(&self) -> impl Iterator<Item = &Node> {
-        self.services.values().flat_map(|group| &group.nodes)
+    fn backends(&self) -> impl Iterator<Item = &BackendState> {
+        self.pools.values().flat_map(|pool| &pool.backends)
     }
 
-    pub(super) fn node_mut(
+    pub(super) fn pool_backend_mut(
         &mut self,
         service: &ServiceName,
         handle: BackendHandle,
-    ) -> Option<&mut Node> {
-        self.services.get_mut(service)?.nodes.iter_mut().find(|node| node.handle == handle)
+    ) -> Option<&mut BackendState> {
+        self.pools.get_mut(service)?.backends.iter_mut().find(|state| state.handle == handle)
     }
 
-    fn any_node_mut(&mut self, handle: BackendHandle) -> Option<&mut Node> {
-        self.nodes_mut().find(|node| node.handle == handle)
+    fn backend_state_mut(&mut self, handle: BackendHandle) -> Option<&mut BackendState> {
+        self.backends_mut().find(|state| state.handle == handle)
     }
 
-    fn nodes_mut(&mut self) -> impl Iterator<Item = &mut Node> {
-        self.services.values_mut().flat_map(|group| &mut group.nodes)
+    fn backends_mut(&mut self) -> impl Iterator<Item = &mut BackendState> {
+        self.pools.values_mut().flat_map(|pool| &mut pool.backends)
     }
 
-    fn same_start(&mut self, backend: &Backend) -> Option<&mut Node> {
-        let group = self.services.get_mut(&backend.service)?;
-        group.nodes.iter_mut().find(|node| {
-            let known = &node.backend;
+    fn find_same_start(&mut self, backend: &Backend) -> Option<&mut BackendState> {
+        let pool = self.pools.get_mut(&backend.service)?;
+        pool.backends.iter_mut().find(|state| {
+            let known = &state.backend;
             known.id == backend.id
                 && known.start_epoch_ms == backend.start_epoch_ms
                 && known.addr == backend.addr
@@ -396,7 +402,7 @@
     }
 }
 
-/// The upper half of an object's hash; two with the same look alike.
-fn short_hash(object: u64) -> u32 {
+/// Returns the upper half of an object's hash.
+fn upper_half(object: u64) -> u32 {
     (object >> 32) as u32
 }
--- a/crates/azuregate-core/tests/balance/config.rs
+++ b/crates/azuregate-core/tests/balance/config.rs
@@ -1,10 +1,10 @@
-//! Configurations that hold together, and the routes that they give.
+//! Validation of configurations and matching of routes.
 
 use std::sync::Arc;
 
 use azuregate_core::balance::{Config, ConfigParts, Route};
 
-use crate::world::{config, service};
+use crate::fixtures::{config, service};
 
 fn parts(routes: &[(&str, &str)]) -> ConfigParts {
     let config = config();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_configuration_that_does_not_hold_together_is_refused() {
+fn inconsistent_configurations_are_rejected() {
     type Change = fn(&mut ConfigParts);
     fn change_route(parts: &mut ConfigParts, change: impl FnOnce(&mut Route)) {
         change(Arc::make_mut(&mut parts.routes[0].1));
@@ -53,9 +53,9 @@
         ("service shop is not defined", |parts| parts.services.clear()),
         ("slash", |parts| change_route(parts, |route| route.prefix = "/x".to_owned())),
         ("slash", |parts| change_route(parts, |route| route.prefix = "x/".to_owned())),
-        ("no attempts", |parts| change_route(parts, |route| route.attempts = 0)),
+        ("attempts must be at least 1", |parts| change_route(parts, |route| route.attempts = 0)),
         ("weights", |parts| change_route(parts, |route| route.destinations[0].weight = 0.0)),
-        ("stands twice", |parts| parts.routes.push(parts.routes[0].clone())),
+        ("two routes for a.example/x/", |parts| parts.routes.push(parts.routes[0].clone())),
     ];
     for (problem, change) in cases {
         let mut parts = parts(&[("a.example", "/x/")]);
--- a/crates/azuregate-core/tests/balance/health.rs
+++ b/crates/azuregate-core/tests/balance/health.rs
@@ -1,16 +1,16 @@
-//! Servers that do worse than the others.
+//! Outlier detection and backoff.
 
 use azuregate_core::balance::{Balancer, Outcome};
 
-use crate::world::{balancer, query, service};
+use crate::fixtures::{balancer, query, service};
 
-/// Sends requests for 100 objects, `gap_ms` apart, each of which ends at once as
-/// `end` says; returns how many went to `server-5`.
-fn send(
+/// Sends requests for 100 objects, `gap_ms` apart, each completed at once with the outcome that
+/// `outcome_of` returns for its server; returns how many went to `server-5`.
+fn send_requests(
     balancer: &mut Balancer,
     from_ms: u64,
     gap_ms: u64,
-    end: impl Fn(&str) -> Outcome,
+    outcome_of: impl Fn(&str) -> Outcome,
 ) -> usize {
     let service = service();
     let mut count = 0;
@@ -19,113 +19,111 @@
         let choice = balancer.choose(&query(&service, object), now_ms).unwrap();
         let id = choice.backend.id.as_str();
         count += usize::from(id == "server-5");
-        balancer.end(choice.handle, end(id), now_ms);
+        balancer.complete(choice.handle, outcome_of(id), now_ms);
     }
     count
 }
 
-const WELL: Outcome = Outcome::Answered { taken_ms: 100 };
+const SUCCESS: Outcome = Outcome::Succeeded { taken_ms: 100 };
 
-/// One of six servers rejects or fails half of its requests, or takes five times
-/// as long. Its objects go elsewhere after a few requests.
+/// One of six servers fails, rejects or times out its requests, or is five times slower.
 #[test]
-fn a_server_that_does_worse_than_others_is_avoided() {
+fn outliers_are_avoided() {
     let cases = [
         Outcome::Failed,
-        Outcome::Full,
+        Outcome::Rejected,
         Outcome::TimedOut { taken_ms: 1_000 },
-        Outcome::Answered { taken_ms: 500 },
+        Outcome::Succeeded { taken_ms: 500 },
     ];
     for bad in cases {
         let mut balancer = balancer(0, 1, 6);
-        let end = |id: &str| if id == "server-5" { bad } else { WELL };
-        let usual = send(&mut balancer, 0, 1, |_| WELL);
-        send(&mut balancer, 100, 1, end);
-        send(&mut balancer, 200, 1, end);
-        let avoided = send(&mut balancer, 300, 1, end);
-        assert!(avoided * 4 < usual, "{bad:?}: {avoided} of {usual}");
+        let outcome_of = |id: &str| if id == "server-5" { bad } else { SUCCESS };
+        let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
+        send_requests(&mut balancer, 100, 1, outcome_of);
+        send_requests(&mut balancer, 200, 1, outcome_of);
+        let avoided = send_requests(&mut balancer, 300, 1, outcome_of);
+        assert!(avoided * 4 < baseline, "{bad:?}: {avoided} of {baseline}");
     }
 }
 
-/// Two of five servers take nine times as long, and answer. Neither is 2.5 times
-/// slower than the mean, so that a comparison with it would find nothing unusual.
+/// Guards against a baseline of means: two of five servers are nine times slower than the
+/// others, but neither is 2.5 times slower than the mean.
 #[test]
-fn two_slow_servers_of_five_are_both_avoided() {
+fn two_slow_backends_of_five_are_both_outliers() {
     let mut balancer = balancer(0, 1, 5);
     let is_slow = |id: &str| matches!(id, "server-3" | "server-4");
-    let end = |id: &str| match is_slow(id) {
-        true => Outcome::Answered { taken_ms: 900 },
-        false => WELL,
+    let outcome_of = |id: &str| match is_slow(id) {
+        true => Outcome::Succeeded { taken_ms: 900 },
+        false => SUCCESS,
     };
     for round in 0..3 {
-        send(&mut balancer, round * 100, 1, end);
+        send_requests(&mut balancer, round * 100, 1, outcome_of);
     }
     let service = service();
     let slow = (0..100).filter(|&object| {
         let choice = balancer.choose(&query(&service, object), 400).unwrap();
-        balancer.end(choice.handle, WELL, 400);
+        balancer.complete(choice.handle, SUCCESS, 400);
         is_slow(choice.backend.id.as_str())
     });
     assert_eq!(slow.count(), 0);
 }
 
-/// All servers reject and answer late, as under overload. Nobody does worse than
-/// the others, so each object stays with its server, which knows it.
+/// Guards against cold caches under overload: no server performs worse than the others, so
+/// each object stays with its server.
 #[test]
-fn under_overload_objects_stay_with_their_servers() {
-    for bad in [Outcome::Full, Outcome::TimedOut { taken_ms: 1_000 }] {
+fn uniform_overload_moves_no_objects() {
+    for bad in [Outcome::Rejected, Outcome::TimedOut { taken_ms: 1_000 }] {
         let mut balancer = balancer(0, 1, 6);
-        let usual = send(&mut balancer, 0, 1, |_| WELL);
+        let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
         for round in 1..5 {
-            assert_eq!(send(&mut balancer, round * 100, 1, |_| bad), usual, "{bad:?}");
+            assert_eq!(send_requests(&mut balancer, round * 100, 1, |_| bad), baseline, "{bad:?}");
         }
     }
 }
 
-/// A server that was avoided gets requests again after some seconds: without any,
-/// nothing could show that it is well again.
+/// An outlier gets requests again after some seconds, since nothing else shows its recovery.
 #[test]
-fn an_avoided_server_is_tried_again() {
+fn outlier_statistics_decay() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 1, |_| WELL);
+    let baseline = send_requests(&mut balancer, 0, 1, |_| SUCCESS);
     for round in 1..4 {
-        let end = |id: &str| if id == "server-5" { Outcome::Failed } else { WELL };
-        send(&mut balancer, round * 100, 1, end);
+        let outcome_of = |id: &str| if id == "server-5" { Outcome::Failed } else { SUCCESS };
+        send_requests(&mut balancer, round * 100, 1, outcome_of);
     }
-    assert_eq!(send(&mut balancer, 20_000, 1, |_| WELL), usual);
+    assert_eq!(send_requests(&mut balancer, 20_000, 1, |_| SUCCESS), baseline);
 }
 
-/// A server cannot be reached: it gets nothing for half a second, then longer.
-/// When it answers again it may have started anew, and counts as cold.
+/// An unreachable server gets no requests for half a second. When it responds again it may
+/// have restarted, so it gets requests at the rate of a cold server.
 #[test]
-fn an_unreachable_server_is_left_alone_and_then_cold() {
+fn unreachable_backend_is_in_backoff_and_then_cold() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 0, |_| WELL);
-    let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { WELL };
-    assert_eq!(send(&mut balancer, 0, 0, lost), 1);
-    assert_eq!(send(&mut balancer, 499, 0, lost), 0);
-    let cold = (500..900).step_by(100).map(|now_ms| send(&mut balancer, now_ms, 0, |_| WELL));
+    let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
+    let lost = |id: &str| if id == "server-5" { Outcome::Unreachable } else { SUCCESS };
+    assert_eq!(send_requests(&mut balancer, 0, 0, lost), 1);
+    assert_eq!(send_requests(&mut balancer, 499, 0, lost), 0);
+    let cold =
+        (500..900).step_by(100).map(|now_ms| send_requests(&mut balancer, now_ms, 0, |_| SUCCESS));
     let cold: usize = cold.sum();
-    assert!(usual * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
+    assert!(baseline * 4 > 18 && (1..=18).contains(&cold), "{cold} in half a second");
 }
 
-/// A server answers, but one answer is lost with its connection. Its objects stay
-/// with it: elsewhere they are not known, and their requests would be late. When the
-/// next answer is lost as well, the server may be down and gets nothing for a while.
+/// A single lost response must not move a server's objects to servers with cold caches; two
+/// in a row start a backoff.
 #[test]
-fn one_lost_answer_moves_no_objects() {
+fn one_lost_response_moves_no_objects() {
     let mut balancer = balancer(0, 1, 6);
-    let usual = send(&mut balancer, 0, 0, |_| WELL);
+    let baseline = send_requests(&mut balancer, 0, 0, |_| SUCCESS);
     for round in 1..5 {
-        lose_answers(&mut balancer, 1, round);
-        assert_eq!(send(&mut balancer, round, 0, |_| WELL), usual, "round {round}");
+        lose_responses(&mut balancer, 1, round);
+        assert_eq!(send_requests(&mut balancer, round, 0, |_| SUCCESS), baseline, "round {round}");
     }
-    lose_answers(&mut balancer, 2, 10);
-    assert_eq!(send(&mut balancer, 10, 0, |_| WELL), 0);
+    lose_responses(&mut balancer, 2, 10);
+    assert_eq!(send_requests(&mut balancer, 10, 0, |_| SUCCESS), 0);
 }
 
-/// Loses `count` answers of `server-5` in a row.
-fn lose_answers(balancer: &mut Balancer, count: usize, now_ms: u64) {
+/// Loses `count` responses of `server-5` in a row.
+fn lose_responses(balancer: &mut Balancer, count: usize, now_ms: u64) {
     let service = service();
     let mut lost = 0;
     for object in (0..100).cycle() {
@@ -135,7 +133,7 @@
         let choice = balancer.choose(&query(&service, object), now_ms).unwrap();
         let is_lost = choice.backend.id.as_str() == "server-5";
         lost += usize::from(is_lost);
-        let outcome = if is_lost { Outcome::AnswerLost } else { Outcome::Cancelled };
-        balancer.end(choice.handle, outcome, now_ms);
+        let outcome = if is_lost { Outcome::ResponseLost } else { Outcome::Cancelled };
+        balancer.complete(choice.handle, outcome, now_ms);
     }
 }
--- a/crates/azuregate-core/tests/balance/main.rs
+++ b/crates/azuregate-core/tests/balance/main.rs
@@ -1,17 +1,17 @@
-//! The choice of backend servers by object, and what bounds it.
+//! Load balancing: choice of backend servers, health, budgets, membership and configuration.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
 mod budgets;
+mod choice;
 mod config;
 mod datagrams;
+mod fixtures;
 mod health;
-mod lapsed;
-mod large;
+mod large_bodies;
 mod members;
+mod missing_backends;
 mod overload;
-mod place;
-mod regional;
-mod replay;
-mod uneven;
-mod world;
+mod shared_objects;
+mod simulation;
+mod skewed_load;
