--- a/crates/azuregate/tests/configuration/links.rs
+++ b/crates/azuregate/tests/configuration/links.rs
@@ -15,56 +15,56 @@
 use tokio_tungstenite::{WebSocketStream, accept_async, tungstenite::Message};
 
 /// How long a test waits for what should come, or should not.
-const PATIENCE: Duration = Duration::from_millis(500);
+const RECV_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// What the other end of a link does.
 #[derive(Clone, Debug)]
-enum Act {
+enum Action {
     /// Sends a frame.
     Frame(Frame),
     /// Sends what is no frame.
-    Garbage,
+    InvalidFrame,
     /// Sends more than a frame may have.
-    Flood,
+    OversizedFrame,
     /// Closes the link.
     Close,
     /// Breaks off without closing.
-    Cut,
+    Reset,
     /// Does nothing for longer than anyone waits.
-    Silence,
+    Stall,
 }
 
 /// What is received.
 #[derive(Debug, PartialEq)]
-enum Got {
+enum Received {
     Frame(Frame),
     Closed,
     Broken,
-    Nothing,
+    Timeout,
 }
 
 fn frame(start: u64) -> Frame {
     Frame::Leaving { backend: BackendId::new("desk-1"), start: StartNumber(start) }
 }
 
-fn cases() -> Vec<(&'static str, Vec<Act>, Vec<Got>)> {
+fn cases() -> Vec<(&'static str, Vec<Action>, Vec<Received>)> {
     let (one, two) = (frame(1), frame(2));
-    let sent = |last| vec![Act::Frame(one.clone()), Act::Frame(two.clone()), last];
-    let got = |last| vec![Got::Frame(one.clone()), Got::Frame(two.clone()), last];
+    let sent = |last| vec![Action::Frame(one.clone()), Action::Frame(two.clone()), last];
+    let received = |last| vec![Received::Frame(one.clone()), Received::Frame(two.clone()), last];
     vec![
-        ("ok, then closed", sent(Act::Close), got(Got::Closed)),
-        ("ok, then silent", sent(Act::Silence), got(Got::Nothing)),
-        ("ok, then cut", sent(Act::Cut), got(Got::Broken)),
-        ("ok, then garbage", sent(Act::Garbage), got(Got::Broken)),
-        ("ok, then too much", sent(Act::Flood), got(Got::Broken)),
+        ("ok, then closed", sent(Action::Close), received(Received::Closed)),
+        ("ok, then silent", sent(Action::Stall), received(Received::Timeout)),
+        ("ok, then cut", sent(Action::Reset), received(Received::Broken)),
+        ("ok, then garbage", sent(Action::InvalidFrame), received(Received::Broken)),
+        ("ok, then too much", sent(Action::OversizedFrame), received(Received::Broken)),
     ]
 }
 
 /// A link in memory; dropping its other end closes it.
 struct ChannelLink {
-    receiver: mpsc::Receiver<Act>,
+    receiver: mpsc::Receiver<Action>,
     sender: mpsc::Sender<Frame>,
-    silent: bool,
+    stalled: bool,
 }
 
 #[async_trait]
@@ -75,84 +75,84 @@
     }
 
     async fn recv(&mut self) -> Result<Option<Frame>, LinkError> {
-        if self.silent {
+        if self.stalled {
             return std::future::pending().await;
         }
         match self.receiver.recv().await {
-            Some(Act::Frame(frame)) => Ok(Some(frame)),
-            None | Some(Act::Close) => Ok(None),
-            Some(Act::Silence) => {
-                self.silent = true;
+            Some(Action::Frame(frame)) => Ok(Some(frame)),
+            None | Some(Action::Close) => Ok(None),
+            Some(Action::Stall) => {
+                self.stalled = true;
                 std::future::pending().await
             }
-            Some(act) => Err(LinkError::new(format!("{act:?}"))),
+            Some(action) => Err(LinkError::new(format!("{action:?}"))),
         }
     }
 }
 
-async fn act(socket: &mut WebSocketStream<TcpStream>, act: Act) {
-    let message = match act {
-        Act::Frame(frame) => {
+async fn perform(socket: &mut WebSocketStream<TcpStream>, action: Action) {
+    let message = match action {
+        Action::Frame(frame) => {
             let mut bytes = Vec::new();
             ciborium::into_writer(&frame, &mut bytes).unwrap();
             Message::Binary(Bytes::from(bytes))
         }
-        Act::Garbage => Message::Binary(Bytes::from_static(&[0xff, 0x00, 0x13])),
-        Act::Flood => Message::Binary(Bytes::from(vec![0; 2 << 20])),
-        Act::Close => {
+        Action::InvalidFrame => Message::Binary(Bytes::from_static(&[0xff, 0x00, 0x13])),
+        Action::OversizedFrame => Message::Binary(Bytes::from(vec![0; 2 << 20])),
+        Action::Close => {
             let _ = socket.close(None).await;
             return;
         }
-        Act::Cut => {
+        Action::Reset => {
             // With nothing lingering, dropping the socket resets the connection.
             socket.get_ref().set_zero_linger().unwrap();
             return;
         }
-        Act::Silence => return time::sleep(2 * PATIENCE).await,
+        Action::Stall => return time::sleep(2 * RECV_TIMEOUT).await,
     };
     let _ = socket.send(message).await;
 }
 
 /// A web socket whose other end does what it is told.
-async fn ws_link(acts: Vec<Act>) -> WsLink {
+async fn ws_link(actions: Vec<Action>) -> WsLink {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     tokio::spawn(async move {
         let (stream, _) = listener.accept().await.unwrap();
         let mut socket = accept_async(stream).await.unwrap();
-        for next in acts {
-            act(&mut socket, next).await;
+        for action in actions {
+            perform(&mut socket, action).await;
         }
     });
     WsLink::dial([127, 0, 0, 1].into(), addr).await.unwrap()
 }
 
-async fn channel_link(acts: Vec<Act>) -> ChannelLink {
-    let (acting, receiver) = mpsc::channel(acts.len());
-    for act in acts {
-        acting.send(act).await.unwrap();
+async fn channel_link(actions: Vec<Action>) -> ChannelLink {
+    let (action_sender, receiver) = mpsc::channel(actions.len());
+    for action in actions {
+        action_sender.send(action).await.unwrap();
     }
     let (sender, _) = mpsc::channel(1);
-    ChannelLink { receiver, sender, silent: false }
+    ChannelLink { receiver, sender, stalled: false }
 }
 
-async fn receive(link: &mut dyn PeerLink) -> Got {
+async fn receive(link: &mut dyn PeerLink) -> Received {
     // A wait that is given up at once must lose no frame.
     if let Ok(frame) = time::timeout(Duration::ZERO, link.recv()).await {
-        return got(frame);
+        return received(frame);
     }
-    time::timeout(PATIENCE, link.recv()).await.map_or(Got::Nothing, got)
+    time::timeout(RECV_TIMEOUT, link.recv()).await.map_or(Received::Timeout, received)
 }
 
-fn got(frame: Result<Option<Frame>, LinkError>) -> Got {
+fn received(frame: Result<Option<Frame>, LinkError>) -> Received {
     match frame {
-        Ok(Some(frame)) => Got::Frame(frame),
-        Ok(None) => Got::Closed,
-        Err(_) => Got::Broken,
+        Ok(Some(frame)) => Received::Frame(frame),
+        Ok(None) => Received::Closed,
+        Err(_) => Received::Broken,
     }
 }
 
-async fn check(case: &str, link: &mut dyn PeerLink, expected: &[Got]) {
+async fn check(case: &str, link: &mut dyn PeerLink, expected: &[Received]) {
     for expected in expected {
         assert_eq!(receive(link).await, *expected, "{case}");
     }
@@ -160,26 +160,26 @@
 
 #[tokio::test]
 async fn web_sockets_keep_the_contract() {
-    for (case, acts, expected) in cases() {
-        let mut link = ws_link(acts).await;
+    for (case, actions, expected) in cases() {
+        let mut link = ws_link(actions).await;
         check(case, &mut link, &expected).await;
     }
 }
 
 #[tokio::test]
 async fn channels_keep_the_contract() {
-    for (case, acts, expected) in cases() {
-        let mut link = channel_link(acts).await;
+    for (case, actions, expected) in cases() {
+        let mut link = channel_link(actions).await;
         check(case, &mut link, &expected).await;
     }
 }
 
 // The other end takes links and never speaks the protocol. Dialling gives up.
 #[tokio::test]
-async fn dialling_gives_up() {
+async fn dialling_times_out_without_a_handshake() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
-    let taken = tokio::spawn(async move { listener.accept().await.unwrap() });
+    let accepted = tokio::spawn(async move { listener.accept().await.unwrap() });
     assert!(WsLink::dial([127, 0, 0, 1].into(), addr).await.is_err());
-    drop(taken);
+    drop(accepted);
 }
--- a/crates/azuregate/tests/configuration/mesh.rs
+++ b/crates/azuregate/tests/configuration/mesh.rs
@@ -21,10 +21,10 @@
 };
 use tokio::{net::TcpListener, task::JoinHandle, time};
 
-use crate::world::{first, instance, list, policy, server};
+use crate::world::{empty_snapshot, instance, list, policy, server};
 
 /// How long anything may take before a test gives up.
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// An instance with nothing but its peer links.
 struct Node {
@@ -48,10 +48,10 @@
     IpAddr::V4(Ipv4Addr::new(127, 192 + run_high % 48, (run_low & 0xf0) | test, last))
 }
 
-async fn node(of: &Instance) -> Node {
+async fn start_node(of: &Instance) -> Node {
     let clock: SharedClock = Arc::new(SystemClock::new());
     let timer = Timer::start();
-    let (config, snapshots) = Config::start_with_clock(first(), Arc::clone(&clock));
+    let (config, snapshots) = Config::start_with_clock(empty_snapshot(), Arc::clone(&clock));
     let members = Members::start(membership::Parts {
         instance: of.id.clone(),
         config: config.clone(),
@@ -75,8 +75,8 @@
 }
 
 /// An instance that the platform told of `listed` and of version 5.
-async fn told(of: &Instance, listed: &[Instance]) -> Node {
-    let node = node(of).await;
+async fn start_configured(of: &Instance, listed: &[Instance]) -> Node {
+    let node = start_node(of).await;
     node.config.change(Change::List(list(listed)));
     node.config.change(Change::Policy(Box::new(policy(5)), Source::Platform));
     node.config.change(Change::Confirmed);
@@ -84,10 +84,10 @@
     node
 }
 
-async fn until(what: &str, node: &Node, holds: impl Fn(&Snapshot) -> bool) {
+async fn wait_until(what: &str, node: &Node, holds: impl Fn(&Snapshot) -> bool) {
     let start = Instant::now();
     while !holds(&node.snapshots.current()) {
-        assert!(start.elapsed() < PATIENCE, "never: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "never: {what}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -108,11 +108,11 @@
 async fn an_instance_starts_while_the_platform_is_down() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(1, name.as_bytes()[0])));
     let [a, b, c] = &all;
-    let late = node(a).await;
-    late.members.platform_read_failed();
-    let (_b, _c) = (told(b, &all).await, told(c, &all).await);
-    until("ready by its peers", &late, |s| s.readiness == Readiness::Peers(2)).await;
-    let snapshot = late.snapshots.current();
+    let starting = start_node(a).await;
+    starting.members.platform_read_failed();
+    let (_b, _c) = (start_configured(b, &all).await, start_configured(c, &all).await);
+    wait_until("ready by its peers", &starting, |s| s.readiness == Readiness::Peers(2)).await;
+    let snapshot = starting.snapshots.current();
     assert_eq!((version(&snapshot), snapshot.listed.len()), (5, 3));
 }
 
@@ -123,13 +123,17 @@
 async fn changes_reach_the_neighbours() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(2, name.as_bytes()[0])));
     let [a, b, c] = &all;
-    let (first, second, _third) = (told(a, &all).await, told(b, &all).await, told(c, &all).await);
+    let (first, second, _third) = (
+        start_configured(a, &all).await,
+        start_configured(b, &all).await,
+        start_configured(c, &all).await,
+    );
     first.config.change(Change::Policy(Box::new(policy(6)), Source::Platform));
     first.config.change(Change::Leaving(server(0).id, StartNumber(1), Source::Backend));
     first.config.change(Change::Stopping(a.id.clone(), StartNumber(1)));
-    until("the change", &second, |s| version(s) == 6).await;
-    until("the leaving server", &second, |s| s.leaving.len() == 1).await;
-    until("the stop", &second, |s| is_leaving(s, a)).await;
+    wait_until("the change", &second, |s| version(s) == 6).await;
+    wait_until("the leaving server", &second, |s| s.leaving.len() == 1).await;
+    wait_until("the stop", &second, |s| is_leaving(s, a)).await;
     assert!(!is_leaving(&second.snapshots.current(), c));
 }
 
@@ -139,23 +143,23 @@
 async fn a_silent_instance_is_away_until_it_is_back() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(3, name.as_bytes()[0])));
     let [a, b, c] = &all;
-    let (first, _second) = (told(a, &all).await, told(b, &all).await);
-    let third = told(c, &all).await;
+    let (first, _second) = (start_configured(a, &all).await, start_configured(b, &all).await);
+    let third = start_configured(c, &all).await;
     time::sleep(Duration::from_millis(1_500)).await;
     assert!(!is_leaving(&first.snapshots.current(), c));
     drop(third);
-    until("away", &first, |s| is_leaving(s, c)).await;
-    let _third = told(c, &all).await;
-    until("back", &first, |s| !is_leaving(s, c)).await;
+    wait_until("away", &first, |s| is_leaving(s, c)).await;
+    let _third = start_configured(c, &all).await;
+    wait_until("back", &first, |s| !is_leaving(s, c)).await;
 }
 
 // Some process reaches the port of the peers and offers a policy. It is not
 // listed, or claims another's name, or does not greet: its link is closed, and
 // the policy in force stays.
 #[tokio::test]
-async fn strangers_are_not_taken_in() {
+async fn policies_from_unidentified_peers_are_rejected() {
     let all = ["a", "b"].map(|name| instance(name, ip(4, name.as_bytes()[0])));
-    let node = told(&all[0], &all).await;
+    let node = start_configured(&all[0], &all).await;
     let hello = |name| Frame::Hello {
         instance: InstanceId::new(name),
         start: StartNumber(1),
@@ -173,7 +177,7 @@
             let _ = link.send(&frame).await;
         }
         let closing = async { while let Ok(Some(_)) = link.recv().await {} };
-        assert!(time::timeout(PATIENCE, closing).await.is_ok(), "{case}: the link stays");
+        assert!(time::timeout(TEST_TIMEOUT, closing).await.is_ok(), "{case}: the link stays");
         assert_eq!(version(&node.snapshots.current()), 5, "{case}");
     }
 }
@@ -182,15 +186,15 @@
 // frozen, or something on the way has lost the connection. The link is given up
 // and dialled anew.
 #[tokio::test]
-async fn a_link_that_goes_silent_is_dialled_anew() {
+async fn a_silent_link_is_dialled_again() {
     let all = ["a", "b"].map(|name| instance(name, ip(5, name.as_bytes()[0])));
     let addr: SocketAddr = all[1].peer_addr();
     let listener = TcpListener::bind(addr).await.unwrap();
-    let _node = told(&all[0], &all).await;
-    let mut taken = Vec::new();
+    let _node = start_configured(&all[0], &all).await;
+    let mut links = Vec::new();
     for _ in 0..2 {
-        let accepted = time::timeout(PATIENCE, listener.accept()).await;
+        let accepted = time::timeout(TEST_TIMEOUT, listener.accept()).await;
         let (stream, _) = accepted.expect("the link is dialled anew").unwrap();
-        taken.push(WsLink::accept(stream).await.unwrap());
+        links.push(WsLink::accept(stream).await.unwrap());
     }
 }
--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -19,17 +19,19 @@
 };
 use tokio::time;
 
-use crate::world::{JumpClock, Reading, Script, first, instance, list, row, version};
+use crate::world::{
+    JumpClock, PolicyRead, ScriptedPlatform, empty_snapshot, instance, list, row, version,
+};
 
 struct World {
     snapshots: Snapshots,
     members: Members,
-    platform: Arc<Script>,
+    platform: Arc<ScriptedPlatform>,
 }
 
-fn start(listed: &[Instance], readings: &[Reading]) -> World {
+fn start(listed: &[Instance], reads: &[PolicyRead]) -> World {
     let clock = JumpClock::start();
-    let (config, snapshots) = Config::start_with_clock(first(), Arc::clone(&clock) as _);
+    let (config, snapshots) = Config::start_with_clock(empty_snapshot(), Arc::clone(&clock) as _);
     let timer = Timer::start();
     let members = Members::start(membership::Parts {
         instance: InstanceId::new("entry-0"),
@@ -38,7 +40,7 @@
         clock: Arc::clone(&clock) as _,
         timer: timer.clone(),
     });
-    let platform = Arc::new(Script::new(&clock, list(listed), readings));
+    let platform = Arc::new(ScriptedPlatform::new(&clock, list(listed), reads));
     let poller = Poller {
         platform: Arc::clone(&platform) as _,
         config,
@@ -56,22 +58,22 @@
     (0..count).map(|i| instance(&format!("entry-{i}"), [127, 0, 0, 1].into())).collect()
 }
 
-fn garbage() -> Row {
+fn invalid_row() -> Row {
     Row { key: "desk".to_owned(), version: 9, value: serde_json::json!({ "service": 7 }) }
 }
 
 // The platform is read a few times, by a script. What is in force at the end
 // never goes back, and only its newest state makes an instance ready.
 #[tokio::test(start_paused = true)]
-async fn readings() {
-    use Reading::{Down, Ok, Paused};
+async fn policy_reads_set_version_and_readiness() {
+    use PolicyRead::{Down, Ok, Paused};
 
-    let cases: Vec<(&str, Vec<Reading>, u64, Readiness)> = vec![
+    let cases: Vec<(&str, Vec<PolicyRead>, u64, Readiness)> = vec![
         ("plain", vec![Ok(3, vec![row(5)])], 5, Readiness::Platform),
         ("down", vec![Down], 0, Readiness::Starting),
         ("goes down", vec![Ok(3, vec![row(5)]), Down], 5, Readiness::Platform),
         ("lagging", vec![Ok(3, vec![row(5)]), Ok(2, vec![row(4)])], 5, Readiness::Platform),
-        ("garbage", vec![Ok(3, vec![row(5)]), Ok(4, vec![garbage()])], 5, Readiness::Platform),
+        ("garbage", vec![Ok(3, vec![row(5)]), Ok(4, vec![invalid_row()])], 5, Readiness::Platform),
         ("row deleted", vec![Ok(3, vec![row(5)]), Ok(4, vec![])], 5, Readiness::Platform),
         (
             "an old answer",
@@ -80,8 +82,8 @@
             Readiness::Woken,
         ),
     ];
-    for (case, readings, in_force, readiness) in cases {
-        let world = start(&instances(3), &readings);
+    for (case, reads, in_force, readiness) in cases {
+        let world = start(&instances(3), &reads);
         time::sleep(Duration::from_secs(4)).await;
         let snapshot = world.snapshots.current();
         assert_eq!(version(&world.snapshots), in_force, "{case}");
@@ -92,9 +94,9 @@
 // The platform comes up between two reads: the list was refused, policies are
 // answered. Served now, every request would find no backend server.
 #[tokio::test(start_paused = true)]
-async fn policies_without_a_list_are_not_enough() {
-    let world = start(&instances(3), &[Reading::Ok(3, vec![row(5)])]);
-    world.platform.list_refusals.store(2, Ordering::Relaxed);
+async fn policies_without_an_instance_list_do_not_make_ready() {
+    let world = start(&instances(3), &[PolicyRead::Ok(3, vec![row(5)])]);
+    world.platform.list_failures.store(2, Ordering::Relaxed);
     time::sleep(Duration::from_millis(400)).await;
     assert_eq!((version(&world.snapshots), world.snapshots.current().ready), (5, false));
     time::sleep(Duration::from_secs(2)).await;
@@ -105,10 +107,10 @@
 // does not count as a confirmation, or an instance would stay in the answers of
 // the others with a configuration that was replaced meanwhile.
 #[tokio::test(start_paused = true)]
-async fn an_older_state_confirms_nothing() {
-    let older = Reading::Ok(2, vec![row(4)]);
-    let readings = [Reading::Ok(3, vec![row(5)]), older.clone(), older.clone(), older];
-    let world = start(&instances(3), &readings);
+async fn an_older_state_is_not_a_confirmation() {
+    let older = PolicyRead::Ok(2, vec![row(4)]);
+    let reads = [PolicyRead::Ok(3, vec![row(5)]), older.clone(), older.clone(), older];
+    let world = start(&instances(3), &reads);
     time::sleep(Duration::from_millis(900)).await;
     let first = world.members.confirmed_at_ms();
     time::sleep(Duration::from_millis(1_100)).await;
@@ -116,17 +118,17 @@
     // A platform that was restored stays older; in the end that is its state.
     time::sleep(Duration::from_secs(5)).await;
     assert!(world.members.confirmed_at_ms() > first);
-    assert!(world.platform.asked.lock().unwrap().contains(&0), "all is read again");
+    assert!(world.platform.requested_sequences.lock().unwrap().contains(&0), "all is read again");
     assert_eq!(version(&world.snapshots), 5);
 }
 
 // All instances together read the platform at a fixed rate.
 #[tokio::test(start_paused = true)]
-async fn the_rate_of_reads_is_shared_out() {
+async fn instances_share_the_read_rate() {
     for count in [3, 90, 680] {
-        let world = start(&instances(count), &[Reading::Ok(1, vec![row(5)])]);
+        let world = start(&instances(count), &[PolicyRead::Ok(1, vec![row(5)])]);
         time::sleep(Duration::from_secs(600)).await;
-        let polls = world.platform.asked.lock().unwrap().len();
+        let polls = world.platform.requested_sequences.lock().unwrap().len();
         let reads_per_s = polls as f64 * 2.0 * count as f64 / 600.0;
         let limit = (READS_PER_S as f64 * 1.1).max(4.0 * count.min(10) as f64 * 1.5);
         assert!(reads_per_s <= limit, "{count} instances read {reads_per_s} a second");
@@ -136,27 +138,27 @@
 // The platform is down when an instance starts. One peer may be as ignorant of a
 // change as anyone; two that agree are enough, and the instance says so.
 #[tokio::test(start_paused = true)]
-async fn several_peers_make_ready_while_the_platform_is_down() {
-    let world = start(&instances(5), &[Reading::Down]);
+async fn two_agreeing_peers_make_an_instance_ready_while_the_platform_is_down() {
+    let world = start(&instances(5), &[PolicyRead::Down]);
     time::sleep(Duration::from_secs(1)).await;
-    let beat = Heartbeat {
+    let heartbeat = Heartbeat {
         ready: true,
         confirmed_age_ms: Some(60_000),
         digest: world.snapshots.current().digest(),
     };
-    let other = Heartbeat { digest: beat.digest + 1, ..beat };
-    let not_ready = Heartbeat { ready: false, ..beat };
-    let hear = |index, heartbeat| {
+    let other_digest = Heartbeat { digest: heartbeat.digest + 1, ..heartbeat };
+    let not_ready = Heartbeat { ready: false, ..heartbeat };
+    let receive = |index, heartbeat| {
         let id = InstanceId::new(&format!("entry-{index}"));
         world.members.heartbeat_received(&id, StartNumber(1), heartbeat);
     };
-    hear(1, beat);
-    hear(2, other);
-    hear(3, not_ready);
+    receive(1, heartbeat);
+    receive(2, other_digest);
+    receive(3, not_ready);
     time::sleep(Duration::from_millis(600)).await;
     assert!(!world.snapshots.current().ready, "one peer agrees");
-    hear(1, beat);
-    hear(2, beat);
+    receive(1, heartbeat);
+    receive(2, heartbeat);
     time::sleep(Duration::from_millis(600)).await;
     assert_eq!(world.snapshots.current().readiness, Readiness::Peers(2));
 }
--- a/crates/azuregate/tests/configuration/probe.rs
+++ b/crates/azuregate/tests/configuration/probe.rs
@@ -23,54 +23,54 @@
 use hyper::{Request, Response, StatusCode};
 use tokio::time;
 
-use crate::world::{JumpClock, instance, ready, server, settle};
+use crate::world::{JumpClock, instance, ready, run_pending_tasks, server};
 
 /// How a backend server takes a probe.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-enum Trouble {
+enum Fault {
     /// No connection.
-    Gone,
+    ConnectionRefused,
     /// It takes connections and never answers.
-    Silent,
+    NoResponse,
     /// It refuses, which is an answer.
-    Sheds,
+    Overloaded,
 }
 
 /// Dials servers, some of which are in trouble.
 #[derive(Clone, Default)]
-struct Dialer {
-    troubles: Arc<Mutex<HashSet<(u16, Trouble)>>>,
+struct FakeDialer {
+    faults: Arc<Mutex<HashSet<(u16, Fault)>>>,
 }
 
-struct Conn {
-    dialer: Dialer,
+struct FakeConn {
+    dialer: FakeDialer,
     port: u16,
 }
 
-impl Dialer {
-    fn has(&self, port: u16, trouble: Trouble) -> bool {
-        self.troubles.lock().unwrap().contains(&(port, trouble))
+impl FakeDialer {
+    fn has_fault(&self, port: u16, fault: Fault) -> bool {
+        self.faults.lock().unwrap().contains(&(port, fault))
     }
 }
 
 #[async_trait]
-impl BackendDialer for Dialer {
+impl BackendDialer for FakeDialer {
     async fn dial(&self, addr: SocketAddr) -> io::Result<Box<dyn BackendConn>> {
-        if self.has(addr.port(), Trouble::Gone) {
+        if self.has_fault(addr.port(), Fault::ConnectionRefused) {
             return Err(io::ErrorKind::ConnectionRefused.into());
         }
-        Ok(Box::new(Conn { dialer: self.clone(), port: addr.port() }))
+        Ok(Box::new(FakeConn { dialer: self.clone(), port: addr.port() }))
     }
 }
 
 #[async_trait]
-impl BackendConn for Conn {
+impl BackendConn for FakeConn {
     async fn send(&mut self, _request: Request<Body>) -> Result<Response<Body>, SendError> {
-        if self.dialer.has(self.port, Trouble::Silent) {
+        if self.dialer.has_fault(self.port, Fault::NoResponse) {
             return std::future::pending().await;
         }
         let mut response = Response::new(body::empty());
-        if self.dialer.has(self.port, Trouble::Sheds) {
+        if self.dialer.has_fault(self.port, Fault::Overloaded) {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         }
         Ok(response)
@@ -82,7 +82,7 @@
 }
 
 /// Four servers with ports from 1, and one instance, which watches all of them.
-fn world(clock: &Arc<JumpClock>) -> (Config, Snapshots) {
+fn start_with_servers(clock: &Arc<JumpClock>) -> (Config, Snapshots) {
     let backends = (0..4).map(|index| BackendServer {
         addr: SocketAddr::new([127, 0, 0, 1].into(), index + 1),
         ..server(index)
@@ -98,19 +98,19 @@
 // Servers get into trouble for some seconds. They are out of service while they do
 // not answer, and are back with the same start number.
 #[tokio::test(start_paused = true)]
-async fn servers_that_do_not_answer_get_no_work_until_they_do() {
-    let [first, second, third] = [1, 2, 3].map(|port| (port, Trouble::Gone));
+async fn failing_servers_are_unreachable_until_they_answer() {
+    let [first, second, third] = [1, 2, 3].map(|port| (port, Fault::ConnectionRefused));
     let cases = [
         ("all answer", vec![], vec![]),
         ("gone", vec![first], vec!["desk-0"]),
-        ("silent", vec![(2, Trouble::Silent)], vec!["desk-1"]),
-        ("sheds", vec![(3, Trouble::Sheds)], vec![]),
+        ("silent", vec![(2, Fault::NoResponse)], vec!["desk-1"]),
+        ("sheds", vec![(3, Fault::Overloaded)], vec![]),
         ("the watcher is cut off", vec![first, second, third], vec![]),
     ];
-    for (case, troubles, expected) in cases {
-        let (config, snapshots) = world(&JumpClock::start());
-        settle().await;
-        let dialer = Dialer::default();
+    for (case, faults, expected) in cases {
+        let (config, snapshots) = start_with_servers(&JumpClock::start());
+        run_pending_tasks().await;
+        let dialer = FakeDialer::default();
         let prober = Prober {
             instance: InstanceId::new("entry-0"),
             start: StartNumber(1),
@@ -120,10 +120,10 @@
             timer: Timer::start(),
         };
         tokio::spawn(prober.serve());
-        dialer.troubles.lock().unwrap().extend(troubles);
+        dialer.faults.lock().unwrap().extend(faults);
         time::sleep(Duration::from_secs(6)).await;
         assert_eq!(unreachable(&snapshots), expected, "{case}");
-        dialer.troubles.lock().unwrap().clear();
+        dialer.faults.lock().unwrap().clear();
         time::sleep(Duration::from_secs(3)).await;
         assert!(unreachable(&snapshots).is_empty(), "{case}: they answer again");
     }
@@ -132,19 +132,19 @@
 // A server leaves by whatever sign. A connection to it that was kept for the next
 // request would carry that request there.
 #[tokio::test(start_paused = true)]
-async fn kept_connections_to_a_leaving_server_are_closed() {
+async fn pooled_connections_to_a_leaving_server_are_closed() {
     let clock = JumpClock::start();
-    let (config, snapshots) = world(&clock);
-    settle().await;
+    let (config, snapshots) = start_with_servers(&clock);
+    run_pending_tasks().await;
     let pool = Pool::start(Arc::clone(&clock) as _);
     tokio::spawn(probe::close_idle(pool.clone(), snapshots.clone()));
     let addrs: Vec<_> = (1..=2).map(|port| SocketAddr::new([127, 0, 0, 1].into(), port)).collect();
     for &addr in &addrs {
-        let conn = Conn { dialer: Dialer::default(), port: addr.port() };
+        let conn = FakeConn { dialer: FakeDialer::default(), port: addr.port() };
         pool.put(addr, Box::new(conn));
     }
     config.change(Change::Leaving(server(0).id, StartNumber(1), Source::Peer));
-    settle().await;
+    run_pending_tasks().await;
     assert!(pool.take(addrs[0]).await.is_none(), "it is leaving");
     assert!(pool.take(addrs[1]).await.is_some(), "it is not");
 }
--- a/crates/azuregate/tests/configuration/world.rs
+++ b/crates/azuregate/tests/configuration/world.rs
@@ -30,23 +30,23 @@
 #[derive(Debug)]
 pub(crate) struct JumpClock {
     origin: Instant,
-    jumped_ms: AtomicU64,
+    offset_ms: AtomicU64,
 }
 
 impl JumpClock {
     pub(crate) fn start() -> Arc<JumpClock> {
-        Arc::new(JumpClock { origin: Instant::now(), jumped_ms: AtomicU64::new(1_000) })
+        Arc::new(JumpClock { origin: Instant::now(), offset_ms: AtomicU64::new(1_000) })
     }
 
     pub(crate) fn jump(&self, ms: u64) {
-        self.jumped_ms.fetch_add(ms, Ordering::Relaxed);
+        self.offset_ms.fetch_add(ms, Ordering::Relaxed);
     }
 }
 
 impl Clock for JumpClock {
     fn now(&self) -> Millis {
-        let jumped_ms = self.jumped_ms.load(Ordering::Relaxed);
-        Millis(self.origin.elapsed().as_millis() as u64 + jumped_ms)
+        let offset_ms = self.offset_ms.load(Ordering::Relaxed);
+        Millis(self.origin.elapsed().as_millis() as u64 + offset_ms)
     }
 
     fn epoch(&self) -> Millis {
@@ -56,7 +56,7 @@
 
 /// How one reading of policies goes.
 #[derive(Clone, Debug)]
-pub(crate) enum Reading {
+pub(crate) enum PolicyRead {
     /// Answers rows with this sequence.
     Ok(u64, Vec<Row>),
     /// The same, while the process is paused for so long.
@@ -66,51 +66,55 @@
 }
 
 /// Answers by a script, its last line again and again.
-pub(crate) struct Script {
+pub(crate) struct ScriptedPlatform {
     pub(crate) clock: Arc<JumpClock>,
     pub(crate) list: InstanceList,
     /// How often the list is refused at first.
-    pub(crate) list_refusals: AtomicU64,
-    readings: Mutex<VecDeque<Reading>>,
-    pub(crate) asked: Mutex<Vec<u64>>,
-}
-
-impl Script {
-    pub(crate) fn new(clock: &Arc<JumpClock>, list: InstanceList, readings: &[Reading]) -> Script {
-        Script {
+    pub(crate) list_failures: AtomicU64,
+    reads: Mutex<VecDeque<PolicyRead>>,
+    pub(crate) requested_sequences: Mutex<Vec<u64>>,
+}
+
+impl ScriptedPlatform {
+    pub(crate) fn new(
+        clock: &Arc<JumpClock>,
+        list: InstanceList,
+        reads: &[PolicyRead],
+    ) -> ScriptedPlatform {
+        ScriptedPlatform {
             clock: Arc::clone(clock),
             list,
-            list_refusals: AtomicU64::new(0),
-            readings: Mutex::new(readings.iter().cloned().collect()),
-            asked: Mutex::default(),
+            list_failures: AtomicU64::new(0),
+            reads: Mutex::new(reads.iter().cloned().collect()),
+            requested_sequences: Mutex::default(),
         }
     }
 
-    fn next(&self) -> Reading {
-        let mut readings = self.readings.lock().unwrap();
-        if readings.len() > 1 { readings.pop_front().unwrap() } else { readings[0].clone() }
+    fn next(&self) -> PolicyRead {
+        let mut reads = self.reads.lock().unwrap();
+        if reads.len() > 1 { reads.pop_front().unwrap() } else { reads[0].clone() }
     }
 }
 
 #[async_trait]
-impl Platform for Script {
+impl Platform for ScriptedPlatform {
     async fn changes(&self, _table: Table, since_sequence: u64) -> Result<Changes> {
-        self.asked.lock().unwrap().push(since_sequence);
+        self.requested_sequences.lock().unwrap().push(since_sequence);
         match self.next() {
-            Reading::Ok(sequence, rows) => Ok(Changes { sequence, rows }),
-            Reading::Paused(sequence, rows, ms) => {
+            PolicyRead::Ok(sequence, rows) => Ok(Changes { sequence, rows }),
+            PolicyRead::Paused(sequence, rows, ms) => {
                 self.clock.jump(ms);
                 // The pause is noticed before the old answer is read.
                 time::sleep(Duration::from_millis(600)).await;
                 Ok(Changes { sequence, rows })
             }
-            Reading::Down => Err(PlatformError::new(Effect::None, "down")),
+            PolicyRead::Down => Err(PlatformError::new(Effect::None, "down")),
         }
     }
 
     async fn instances(&self) -> Result<InstanceList> {
         let refuse = |left: u64| left.checked_sub(1);
-        let left = &self.list_refusals;
+        let left = &self.list_failures;
         if left.fetch_update(Ordering::Relaxed, Ordering::Relaxed, refuse).is_ok() {
             return Err(PlatformError::new(Effect::None, "down"));
         }
@@ -180,7 +184,7 @@
     InstanceList { instances: instances.to_vec(), backends: (0..4).map(server).collect() }
 }
 
-pub(crate) fn first() -> Snapshot {
+pub(crate) fn empty_snapshot() -> Snapshot {
     Snapshot::empty(Arc::new(Topology {
         regions: Vec::new(),
         zone_delay_ms: 4,
@@ -192,7 +196,7 @@
 /// A configuration with version 5 in force, ready.
 pub(crate) fn ready(clock: &Arc<JumpClock>, list: InstanceList) -> (Config, Snapshots) {
     let clock: Arc<dyn Clock> = Arc::clone(clock) as _;
-    let (config, snapshots) = Config::start_with_clock(first(), clock);
+    let (config, snapshots) = Config::start_with_clock(empty_snapshot(), clock);
     config.change(Change::List(list));
     config.change(Change::Policy(Box::new(policy(5)), Source::Platform));
     config.change(Change::Confirmed);
@@ -204,7 +208,7 @@
 }
 
 /// Lets the tasks take in what was sent to them.
-pub(crate) async fn settle() {
+pub(crate) async fn run_pending_tasks() {
     for _ in 0..20 {
         tokio::task::yield_now().await;
     }
