--- a/crates/azuregate/src/accept.rs
+++ b/crates/azuregate/src/accept.rs
@@ -9,7 +9,7 @@
 
 /// The pause after an accept that failed: some requests end in that time, and free
 /// their descriptors.
-const PAUSE_MS: u64 = 50;
+const RETRY_DELAY_MS: u64 = 50;
 
 /// The next connection, and where it comes from. Dropping the future loses none.
 ///
@@ -21,6 +21,6 @@
         if let Ok(accepted) = listener.accept().await {
             return accepted;
         }
-        time::sleep(Duration::from_millis(PAUSE_MS)).await;
+        time::sleep(Duration::from_millis(RETRY_DELAY_MS)).await;
     }
 }
