--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/answer.rs
@@ -1,4 +1,5 @@
-//! Answers on their way into a claim and out of it again.
+//! Stores the answer of a request in its claim, and replays it for a repeated
+//! request.
 
 use azuregate_core::{
     claim::{KeptAnswer, KeptBody},
@@ -14,26 +15,27 @@
     platform::Platform,
 };
 
-/// The largest answer body that is kept for repeats, in bytes. A larger one goes
-/// to the caller as it comes, and a repeat is told that the request ran.
+/// The largest answer body that is stored. A larger one is streamed to the caller,
+/// and a repeated request learns only that the request ran.
 const MAX_KEPT_BYTES: usize = 1 << 20;
 
-/// An answer that was read for keeping.
+/// The result of buffering an answer.
 pub(crate) enum Buffered {
-    /// All of it is here.
+    /// The body is in memory.
     Complete(CompleteAnswer),
-    /// It is too large to keep, and goes on to stream.
+    /// The body exceeds [`MAX_KEPT_BYTES`]; the response streams all of it.
     TooLarge(Response<Body>),
 }
 
-/// An answer held in memory.
+/// An answer whose body is in memory.
 pub(crate) struct CompleteAnswer {
     head: response::Parts,
     bytes: Bytes,
 }
 
 impl CompleteAnswer {
-    /// What is kept of it, and its body.
+    /// Returns the answer as a claim stores it, and its body. Headers whose values
+    /// are not text are left out.
     pub(crate) fn to_kept(&self) -> (KeptAnswer, Bytes) {
         let headers = self.head.headers.iter();
         let headers = headers
@@ -44,13 +46,12 @@
         (kept, self.bytes.clone())
     }
 
-    /// The answer for the caller.
     pub(crate) fn into_response(self) -> Response<Body> {
         Response::from_parts(self.head, body::full(self.bytes))
     }
 }
 
-/// Reads an answer into memory, up to the limit.
+/// Reads an answer into memory, up to [`MAX_KEPT_BYTES`] of body.
 pub(crate) async fn buffer(response: Response<Body>) -> Result<Buffered, Error> {
     let (head, mut rest) = response.into_parts();
     let mut frames = Vec::new();
@@ -70,7 +71,8 @@
     Ok(Buffered::Complete(CompleteAnswer { head, bytes: frames.concat().into() }))
 }
 
-/// Gives a kept answer again.
+/// Builds a response from a stored answer, reading its body from the object store
+/// if it is there.
 pub(crate) async fn replay(
     platform: &dyn Platform,
     kept: KeptAnswer,
@@ -82,8 +84,7 @@
             let object = object.map_err(|e| {
                 Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_earlier_unknown()
             })?;
-            let gone =
-                || Error::new(ErrorKind::AnswerNotKept, format!("the object {name} is gone"));
+            let gone = || Error::new(ErrorKind::AnswerNotKept, format!("object {name} not found"));
             object.ok_or_else(gone)?
         }
     };
@@ -93,5 +94,5 @@
     }
     builder
         .body(body::full(bytes))
-        .map_err(|e| Error::new(ErrorKind::Internal, format!("the kept answer: {e}")))
+        .map_err(|e| Error::new(ErrorKind::Internal, format!("invalid stored answer: {e}")))
 }
