--- a/crates/azuregate/src/claims/cleanup.rs
+++ b/crates/azuregate/src/claims/cleanup.rs
@@ -1,4 +1,4 @@
-//! Deletes the rows of old claims.
+//! Deletes claim rows that are past their retention.
 
 use azuregate_core::{
     claim::{self, Claim},
@@ -12,31 +12,30 @@
     timer::Timer,
 };
 
-/// How often one instance looks for old claims.
 const SWEEP_INTERVAL_MS: u64 = 10_000;
-/// How many rows are read and deleted at once.
+/// Rows read in one page and deleted in one transaction.
 const PAGE_ROWS: usize = 200;
-/// How old a page may be when its rows are deleted, in milliseconds.
+/// Rows of an older page are not deleted; see `ClaimCleaner::delete_page`.
 const MAX_PAGE_AGE_MS: u64 = 2_000;
-/// How many pages are gone through at each look: 100 rows a second at the most.
+/// With the page size and the interval, limits deletion to 100 rows per second.
 const MAX_PAGES_PER_SWEEP: usize = 5;
 
-/// Deletes claims that are past their retention, a bounded number at a time.
+/// Deletes expired claims, at a limited rate.
 pub struct ClaimCleaner {
-    /// The name of this instance.
+    /// The ID of this instance.
     pub instance: InstanceId,
-    /// Where the claims are.
+    /// Stores the claims.
     pub platform: SharedPlatform,
-    /// The clock.
+    /// Tells the age of claims.
     pub clock: SharedClock,
-    /// Which instances share the work.
+    /// Lists the instances, one of which deletes claims at any time.
     pub snapshots: Snapshots,
-    /// When to look.
+    /// Starts the sweeps.
     pub timer: Timer,
 }
 
 impl ClaimCleaner {
-    /// Serves until the task is aborted.
+    /// Sweeps periodically until the task is aborted.
     pub async fn serve(self) {
         let mut ticks = self.timer.subscribe(SWEEP_INTERVAL_MS);
         while ticks.recv().await.is_some() {
@@ -44,13 +43,13 @@
         }
     }
 
-    /// Deletes what is old, if it is this instance's turn.
+    /// Deletes expired claims, if this instance is the one that does so now.
     pub async fn sweep(&self) {
         let snapshot = self.snapshots.current();
         let now_ms = self.clock.epoch();
-        // Instances whose clocks or lists differ may both look, or none for a
-        // while. Both delete rows at the version that they read, so neither
-        // harms the other.
+        // With different clocks or instance lists, two instances may sweep at the
+        // same time, or none. Rows are deleted only at the version that was read,
+        // so concurrent sweeps are safe.
         if claim::cleaner(&snapshot.instances, now_ms) != Some(&self.instance) {
             return;
         }
@@ -59,14 +58,14 @@
                 Ok(deleted) if deleted < PAGE_ROWS => return,
                 Ok(_) => {}
                 Err(e) => {
-                    log::warn!(error:% = e; "old claims not deleted");
+                    log::warn!(error:% = e; "failed to delete expired claims");
                     return;
                 }
             }
         }
     }
 
-    /// Returns how many rows were deleted.
+    /// Deletes the expired claims of one page and returns their number.
     async fn delete_page(&self) -> Result<usize> {
         let asked_at_ms = self.clock.now();
         let page = self.platform.page(Table::Claim, 0, PAGE_ROWS).await?;
@@ -83,15 +82,15 @@
         if writes.is_empty() {
             return Ok(0);
         }
-        // The failure: the process is paused here, another instance deletes a row,
-        // its key is claimed anew, and the new row gets the version of the old
-        // one. On waking, this delete would take the new claim away.
+        // While this process is paused, another instance may delete a row and its
+        // key may be claimed again by a row of the same version. The expected
+        // version would not keep this transaction from deleting the new claim.
         if self.clock.now().since(asked_at_ms).0 > MAX_PAGE_AGE_MS {
             return Ok(0);
         }
         match self.platform.transact(&writes).await? {
             Commit::Done(_) => Ok(writes.len()),
-            // Another instance was here at the same time.
+            // Another instance deleted some of these rows.
             Commit::Conflict { .. } => Ok(0),
         }
     }
