--- a/crates/azuregate/src/claims/held.rs
+++ b/crates/azuregate/src/claims/held.rs
@@ -1,4 +1,4 @@
-//! The row of a claim, held by a request that runs.
+//! The claim row of a running request.
 
 use azuregate_core::{
     claim::Claim,
@@ -7,7 +7,7 @@
 
 use crate::platform::{Expect, Table, Write};
 
-/// A row that a request holds while it runs.
+/// A claim row that a request owns while it runs.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldRow {
     pub(crate) key: String,
@@ -16,14 +16,14 @@
 }
 
 impl HeldRow {
-    /// The write that makes the row say what this claim says.
+    /// Returns the write that stores `claim` in the row.
     pub(crate) fn write(&self, expect: Expect) -> Result<Write, Error> {
         let value = serde_json::to_value(&self.claim)
             .map_err(|e| Error::new(ErrorKind::Internal, e.to_string()))?;
         Ok(Write { table: Table::Claim, key: self.key.clone(), expect, value: Some(value) })
     }
 
-    /// The write that takes the row away.
+    /// Returns the write that deletes the row at `row_version`.
     pub(crate) fn delete(&self, row_version: u64) -> Write {
         let expect = Expect::Version(row_version);
         Write { table: Table::Claim, key: self.key.clone(), expect, value: None }
