--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -1,4 +1,4 @@
-//! Claims in the memory of this start, owned by one task.
+//! Claims in the memory of this process, owned by one task.
 
 use azuregate_core::{
     claim::{Settled, Verdict},
@@ -11,20 +11,19 @@
 
 use crate::{claims::ClaimRequest, clock::SharedClock};
 
-/// A handle to the task that owns the keys.
+/// A handle to the task that owns the in-memory claims.
 pub(crate) struct Home {
     sender: mpsc::UnboundedSender<Message>,
 }
 
-/// What the task decided for a key.
 struct Decision {
     verdict: Verdict,
     sequence: u64,
-    /// When a full home has room again.
+    /// Time until a full table accepts another key.
     room_in_ms: u64,
 }
 
-/// A key that a request holds while it runs.
+/// An in-memory claim that a request owns while it runs.
 #[derive(Debug)]
 pub(crate) struct HeldKey {
     key: String,
@@ -58,7 +57,7 @@
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
         let decision = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
         if decision.verdict == Verdict::Refuse(ErrorKind::ClaimsFull) {
-            let error = Error::new(ErrorKind::ClaimsFull, "this home remembers all it can");
+            let error = Error::new(ErrorKind::ClaimsFull, "the table of idempotency keys is full");
             return Err(error.with_retry_after_ms(decision.room_in_ms));
         }
         Ok((decision.verdict, HeldKey { key, sequence: decision.sequence }))
@@ -79,8 +78,8 @@
     mut receiver: mpsc::UnboundedReceiver<Message>,
 ) {
     let mut table = HomeTable::new(Config::default());
-    // Time since the epoch as it was at the start, plus monotonic time: a clock
-    // that jumps back would make an expired token valid again.
+    // Derived from the monotonic clock: if the system clock jumped back, an expired
+    // token would become valid again.
     let origin_ms = Millis(start.0) - clock.now();
     while let Some(message) = receiver.recv().await {
         match message {
