--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -1,9 +1,10 @@
 /*!
-Lets a request with an idempotency key run at most once.
+Runs a request with an idempotency key at most once.
 
-A key is claimed in one of two places. Without `Azuregate-Home`, its claim is a
-row of the platform (`rows`). With it, the claim is in the memory of the
-instance and start that the header names (`home`); that form needs no platform.
+Before a request is sent to a backend server, its key is claimed in one of two
+places. Without the header `Azuregate-Home`, the claim is a row in the platform
+(`rows`). With it, the claim is kept in the memory of the instance and start that
+the header names (`home`), without any call to the platform.
 */
 
 mod answer;
@@ -31,10 +32,10 @@
 
 use self::{held::HeldRow, home::Home, rows::Rows};
 
-/// How long a planned stop waits for the platform.
+/// How long a planned stop waits for pending writes to the platform.
 const FLUSH_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Makes and settles claims.
+/// Claims idempotency keys and records how their requests ended.
 pub struct Claims {
     instance: InstanceId,
     start: StartNumber,
@@ -44,20 +45,20 @@
     home: Home,
 }
 
-/// A request that wants to run.
+/// A request to claim an idempotency key.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimRequest<'a> {
-    /// The service.
+    /// The service that the request is for; keys are unique per service.
     pub service: &'a ServiceName,
-    /// The caller's key.
+    /// The caller's idempotency key.
     pub key: &'a str,
-    /// Hash of the request.
+    /// Hash of the request, to detect a key that is used for another one.
     pub fingerprint: u64,
-    /// How much time it has left.
+    /// Time left until the request's deadline, in milliseconds.
     pub remaining_ms: u64,
 }
 
-/// A claim that a request holds while it runs.
+/// A claim that a request owns while it runs.
 #[derive(Debug)]
 pub struct HeldClaim(Held);
 
@@ -67,17 +68,17 @@
     Home(home::HeldKey),
 }
 
-/// What a request with a key may do, and what it holds while it does.
+/// Whether a request runs or gets a stored answer.
 #[derive(Debug)]
 pub enum ClaimDecision {
-    /// Run it, and settle the claim.
+    /// The request must be run, and the claim settled afterwards.
     Run(HeldClaim),
-    /// Give the kept answer.
+    /// The request ran before, with this answer.
     Repeat(KeptAnswer),
 }
 
 impl Claims {
-    /// Makes claims for this start of `instance`.
+    /// Creates the claims of this start of `instance` and starts their tasks.
     pub fn new(
         platform: SharedPlatform,
         clock: SharedClock,
@@ -91,7 +92,8 @@
         Claims { instance: instance.clone(), start, clock, platform, rows, home }
     }
 
-    /// The home to name to callers of `instance`, if its start is known.
+    /// Returns the token that names `instance` as the home of a key, if its start
+    /// number is known.
     pub fn home_token(&self, instance: &InstanceId, snapshot: &Snapshot) -> Option<HomeToken> {
         let start =
             if *instance == self.instance { self.start } else { *snapshot.starts.get(instance)? };
@@ -99,17 +101,18 @@
         Some(HomeToken { instance: instance.clone(), start, issued_at_ms })
     }
 
-    /// Whether `home` names this instance, by whatever start.
+    /// Returns whether `home` names this instance, at any of its starts.
     pub fn is_local(&self, home: &HomeToken) -> bool {
         home.instance == self.instance
     }
 
-    /// Claims the key for a request, in the platform or at its home here.
+    /// Claims the key of a request, in the platform or in the memory of its home,
+    /// which must be this instance.
     ///
     /// # Errors
     ///
-    /// When the request may not run, when the claim was not made, or when that is
-    /// not known; in none of these cases has anything been sent.
+    /// Fails if the request may not run, if the claim was not made, or if it is not
+    /// known whether it was. The request has then not been sent anywhere.
     pub async fn claim(
         &self,
         request: ClaimRequest<'_>,
@@ -121,8 +124,9 @@
                 (verdict, Held::Row(held))
             }
             Some(home) if home.start != self.start => {
-                // This start knows nothing of what the other one ran.
-                let detail = format!("start {} of {} is gone", home.start, home.instance);
+                // Claims of another start are lost, so whether the request ran is
+                // not known.
+                let detail = format!("start {} of {} has ended", home.start, home.instance);
                 return Err(Error::new(ErrorKind::HomeGone, detail));
             }
             Some(home) => {
@@ -139,12 +143,12 @@
         }
     }
 
-    /// Keeps the answer of a request that ran, or gives the claim up if it
-    /// certainly did not run.
+    /// Stores the answer of a request that ran, or releases the claim if the
+    /// request certainly did not run.
     ///
     /// # Errors
     ///
-    /// The error of the request itself, or that its answer could not be read.
+    /// Returns the error of `result`, or the one of reading the answer's body.
     pub async fn settle(
         &self,
         held: HeldClaim,
@@ -178,19 +182,19 @@
         }
     }
 
-    /// Gives the kept answer again.
+    /// Returns a stored answer as a response.
     ///
     /// # Errors
     ///
-    /// When the body cannot be read from the object store.
+    /// Fails if the body cannot be read from the object store.
     pub async fn replay(&self, kept: KeptAnswer) -> Result<Response<Body>, Error> {
         answer::replay(self.platform.as_ref(), kept).await
     }
 
-    /// Waits until the platform has what it is to keep, for a limited time.
+    /// Waits until pending writes are in the platform, for at most 10 seconds.
     pub async fn flush(&self) {
         if time::timeout(FLUSH_TIMEOUT, self.rows.flush()).await.is_err() {
-            log::warn!("claims left that the platform did not take");
+            log::warn!("timed out flushing pending claim writes");
         }
     }
 
