--- a/crates/azuregate/src/claims/retry_queue.rs
+++ b/crates/azuregate/src/claims/retry_queue.rs
@@ -1,4 +1,4 @@
-//! Writes to claim rows that nobody waits for, tried until they are through.
+//! Retries writes to claim rows that no request waits for.
 
 use std::{
     collections::VecDeque,
@@ -25,40 +25,38 @@
     platform::{Effect, Expect, Platform, PlatformError, SharedPlatform, Table},
 };
 
-/// How many writes wait at the most. One more is dropped: its repeat is told
-/// `unknown`, which is less than could be known, and not false.
+/// Further writes are dropped. A repeated request then gets the outcome `unknown`.
 const MAX_QUEUED_WRITES: usize = 4_096;
-/// How much the large answers among them take at the most, in bytes. Of one more
-/// only the outcome is kept.
+/// Limits the memory of queued answers. Of further ones, only the outcome is stored.
 const MAX_QUEUED_ANSWER_BYTES: usize = 16 << 20;
-/// For how long a claim is caught up with: longer than any deadline, and far
-/// shorter than the retention of claims.
+/// The age of a claim after which its writes are dropped. It must be longer than any
+/// deadline, and much shorter than the retention of claims; see `is_expired`.
 const RETRY_LIMIT_MS: u64 = 2 * 3_600_000;
-/// How long to wait after a write that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// A write to catch up with.
+/// A write to a claim row that is retried until it succeeds.
 pub(crate) enum PendingWrite {
-    /// Take away the row of a request that did not run.
+    /// Deletes the row of a request that did not run.
     Release(HeldRow),
-    /// Keep how a request ended, with the body of its answer if that is large.
+    /// Stores how a request ended, and the body of its answer as an object if it
+    /// is too large for the row.
     Settle { held: HeldRow, object: Option<(String, Bytes)> },
 }
 
 enum Message {
     Write(PendingWrite),
-    /// The sender is dropped when no work waits any more.
+    /// The sender is dropped when the queue is empty.
     Flush(oneshot::Sender<()>),
 }
 
-/// A handle to the task that does the work.
+/// A handle to the task that retries writes.
 pub(crate) struct RetryQueue {
     sender: mpsc::Sender<Message>,
     answer_bytes: Arc<AtomicUsize>,
 }
 
 impl RetryQueue {
-    /// Starts the task; it ends when the handle is dropped and the work is done.
+    /// Starts the task; it ends when the handle is dropped and the queue is empty.
     pub(crate) fn start(platform: SharedPlatform, clock: SharedClock) -> RetryQueue {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_WRITES);
         let answer_bytes = Arc::new(AtomicUsize::new(0));
@@ -74,7 +72,7 @@
         RetryQueue { sender, answer_bytes }
     }
 
-    /// Adds work, unless too much waits already.
+    /// Adds a write, or drops it if the queue is full.
     pub(crate) fn add(&self, mut write: PendingWrite) {
         let queued_bytes = self.answer_bytes.load(Ordering::Relaxed);
         if queued_bytes + write.answer_bytes() > MAX_QUEUED_ANSWER_BYTES {
@@ -82,13 +80,13 @@
         }
         let answer_bytes = write.answer_bytes();
         if self.sender.try_send(Message::Write(write)).is_err() {
-            log::warn!("too many claims wait for the platform; one is left as it is");
+            log::warn!("claim retry queue is full; write dropped");
             return;
         }
         self.answer_bytes.fetch_add(answer_bytes, Ordering::Relaxed);
     }
 
-    /// Waits until all work is done.
+    /// Waits until the queue is empty.
     pub(crate) async fn flush(&self) {
         let (sender, flushed) = oneshot::channel();
         if self.sender.send(Message::Flush(sender)).await.is_ok() {
@@ -117,14 +115,14 @@
                 self.answer_bytes.fetch_sub(write.answer_bytes(), Ordering::Relaxed);
                 continue;
             }
-            // To the end of the queue: a write that the platform never takes must
-            // not keep the others waiting for an hour.
+            // To the end of the queue, so that a write that keeps failing does not
+            // block the others.
             self.queue.push_back(write);
             time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// The work to do next; waits for some.
+    /// Returns the next write, waiting for one if the queue is empty.
     async fn next(&mut self) -> Option<PendingWrite> {
         while self.queue.len() < MAX_QUEUED_WRITES {
             let Ok(message) = self.receiver.try_recv() else { break };
@@ -147,16 +145,16 @@
 }
 
 impl PendingWrite {
-    /// Whether the row may not be touched any more.
+    /// Returns whether the claim is too old to be written.
     ///
-    /// The failure: a process is paused for more than a day, its row is deleted
-    /// as old, and the key is claimed anew by a row of the same version. On
-    /// waking, this write would change the new claim.
+    /// If this process is paused for longer than the retention of claims, the row
+    /// may be deleted and its key claimed again by a row of the same version. The
+    /// expected version would not keep this write from changing the new claim.
     pub(crate) fn is_expired(&self, now_ms: Millis) -> bool {
         let (PendingWrite::Release(held) | PendingWrite::Settle { held, .. }) = self;
         let is_expired = now_ms.since(held.claim.made_at_ms).0 > RETRY_LIMIT_MS;
         if is_expired {
-            log::warn!(key:% = held.key; "claim left as it is");
+            log::warn!(key:% = held.key; "expired claim write dropped");
         }
         is_expired
     }
@@ -168,7 +166,7 @@
         }
     }
 
-    /// Keeps the outcome alone.
+    /// Replaces the answer by the outcome alone.
     fn discard_answer(&mut self) {
         if let PendingWrite::Settle { held, object } = self {
             held.claim.settled = Some(Settled::NotKept);
@@ -176,7 +174,7 @@
         }
     }
 
-    /// Does the work; doing it again changes nothing.
+    /// Sends the write to the platform; it is idempotent.
     pub(crate) async fn run(&self, platform: &dyn Platform) -> Result<(), PlatformError> {
         match self {
             PendingWrite::Release(held) => release(platform, held).await,
@@ -187,15 +185,15 @@
                 let write = held
                     .write(Expect::Version(held.row_version))
                     .map_err(|e| PlatformError::new(Effect::None, e.to_string()))?;
-                // A conflict tells that the row was written already, by an
-                // earlier try whose answer was lost: no one else writes it.
+                // Only the owner writes the row, so a conflict means that an earlier
+                // try succeeded and its response was lost.
                 platform.transact(&[write]).await.map(drop)
             }
         }
     }
 }
 
-/// Takes the row away if it is this attempt's own.
+/// Deletes the row if it belongs to this attempt.
 async fn release(platform: &dyn Platform, held: &HeldRow) -> Result<(), PlatformError> {
     let Some(row) = platform.read(Table::Claim, &held.key).await? else {
         return Ok(());
