--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -1,4 +1,4 @@
-//! Claims as rows of the platform.
+//! Claims that are stored as rows in the platform.
 
 use std::{
     sync::{
@@ -28,21 +28,20 @@
     platform::{Commit, Effect, Expect, PlatformError, SharedPlatform},
 };
 
-/// The largest answer body that is kept in the row itself, in bytes.
+/// A larger answer body is stored as an object instead of in the row.
 const INLINE_LIMIT_BYTES: usize = 4 << 10;
-/// How often a claim with an unknown effect is tried again.
 const MAX_INSERT_ATTEMPTS: usize = 3;
-/// How long past its deadline an owner may still write the answer.
+/// Time after its deadline in which an owner may still write the answer.
 const SETTLE_GRACE_MS: u64 = 10_000;
 
-/// Who makes claims.
+/// The instance and start that own the claims made here.
 #[derive(Clone, Debug)]
 pub(crate) struct Owner {
     pub(crate) instance: InstanceId,
     pub(crate) start: StartNumber,
 }
 
-/// Makes and settles claim rows.
+/// Inserts and updates claim rows.
 pub(crate) struct Rows {
     platform: SharedPlatform,
     clock: SharedClock,
@@ -53,7 +52,7 @@
 }
 
 impl Rows {
-    /// Starts the task that catches up on writes that failed.
+    /// Creates the claims of `owner` and starts the task that retries failed writes.
     pub(crate) fn start(
         platform: SharedPlatform,
         clock: SharedClock,
@@ -64,7 +63,7 @@
         Rows { platform, clock, snapshots, owner, sequence: AtomicU64::new(0), retry_queue }
     }
 
-    /// Inserts the claim of a request, or judges the one that is there.
+    /// Inserts the claim of a request, or returns the verdict of the existing one.
     pub(crate) async fn claim(
         &self,
         request: ClaimRequest<'_>,
@@ -84,16 +83,19 @@
         let inserted = time::timeout(limit, self.insert(held.clone())).await;
         inserted.unwrap_or_else(|_| {
             self.retry_queue.add(PendingWrite::Release(held));
-            Err(earlier_unknown(ErrorKind::ClaimUnknown, "no time left to claim the key"))
+            Err(earlier_unknown(
+                ErrorKind::ClaimUnknown,
+                "deadline exceeded while claiming the key",
+            ))
         })
     }
 
-    /// Inserting again is safe: the row tells by its attempt whether an insert
-    /// whose answer was lost had taken effect.
+    /// Inserts the row, retrying on errors. A retry is safe: the attempt in the row
+    /// tells whether an earlier insert took effect whose response was lost.
     async fn insert(&self, mut held: HeldRow) -> Result<(Verdict, HeldRow), Error> {
         let write = held.write(Expect::Absent)?;
         let mut may_be_inserted = false;
-        let mut detail = "the claim changed hands".to_owned();
+        let mut detail = "the claim of another request was just deleted".to_owned();
         for _ in 0..MAX_INSERT_ATTEMPTS {
             match self.platform.transact(std::slice::from_ref(&write)).await {
                 Ok(Commit::Done(versions)) => {
@@ -118,14 +120,14 @@
         if !may_be_inserted {
             return Err(earlier_unknown(ErrorKind::ClaimNotMade, detail));
         }
-        // Nothing was sent under this claim, so it must not stand in the way of
-        // the repeat.
+        // The request is not sent, so a row that was inserted must not block a
+        // repeated request.
         self.retry_queue.add(PendingWrite::Release(held));
         Err(earlier_unknown(ErrorKind::ClaimUnknown, detail))
     }
 
-    /// Whether the owner of a claim may still be at work on it. The answer never
-    /// lets anyone else run the request; it only words the refusal.
+    /// Returns whether the owner of a claim may still be running its request. This
+    /// selects the error that a repeated request gets, which is not run either way.
     fn may_still_run(&self, claim: &Claim) -> bool {
         let owner = &claim.attempt;
         let snapshot = self.snapshots.current();
@@ -138,7 +140,7 @@
         listed && !other_start && self.clock.epoch() <= claim.until_ms
     }
 
-    /// Keeps how a request ended, later if the platform cannot take it now.
+    /// Stores how a request ended; a failed write is retried in the background.
     pub(crate) async fn settle(
         &self,
         mut held: HeldRow,
@@ -149,7 +151,7 @@
         if let Settled::Answer(kept) = &mut settled
             && let Some(bytes) = body.filter(|bytes| bytes.len() > INLINE_LIMIT_BYTES)
         {
-            // The name holds the attempt, so that no two requests share one.
+            // With the attempt in its name, the object belongs to one request only.
             let name = format!("answer/{}/{}", held.key, held.claim.attempt);
             kept.body = KeptBody::Object(name.clone());
             object = Some((name, bytes));
@@ -160,26 +162,26 @@
             return;
         }
         if let Err(e) = pending.run(self.platform.as_ref()).await {
-            // The request ran, and its caller gets the answer. Until the write
-            // is caught up with, a repeat is told that it is in progress.
-            log::warn!(error:% = e; "answer not kept yet");
+            // The caller gets the answer nevertheless. Until a retry succeeds, a
+            // repeated request is told that this one is in progress.
+            log::warn!(error:% = e; "failed to store answer; will retry");
             self.retry_queue.add(pending);
         }
     }
 
-    /// Waits until all that was to be caught up with is written.
+    /// Waits until the retry queue is empty.
     pub(crate) async fn flush(&self) {
         self.retry_queue.flush().await;
     }
 
-    /// Gives up a claim whose request certainly did not run, without keeping its
-    /// caller waiting.
+    /// Deletes the claim of a request that certainly did not run, in the background.
     pub(crate) fn release(&self, held: HeldRow) {
         self.retry_queue.add(PendingWrite::Release(held));
     }
 }
 
-/// An error before the claim was read: an earlier request may have used the key.
+/// Creates an error from before the claim was read, when an earlier request may
+/// have used the key.
 fn earlier_unknown(kind: ErrorKind, detail: impl Into<String>) -> Error {
     Error::new(kind, detail).with_earlier_unknown()
 }
