--- a/crates/azuregate/src/platform/http.rs
+++ b/crates/azuregate/src/platform/http.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP and JSON; docs/PLATFORM.md describes the calls.
+//! A client of the platform over HTTP and JSON; docs/PLATFORM.md describes the calls.
 
 use std::{
     net::{IpAddr, SocketAddr},
@@ -25,10 +25,10 @@
     Changes, Commit, Effect, Platform, PlatformError, Result, Row, Table, Write,
 };
 
-/// The largest answer that is taken in, in bytes.
+/// A call whose response body is larger fails.
 const MAX_RESPONSE_BYTES: usize = 64 << 20;
 
-/// A platform at an address, with a limit for the time of each call.
+/// A client of the platform at one address, with a timeout for each call.
 #[derive(Clone, Debug)]
 pub struct HttpPlatform {
     addr: SocketAddr,
@@ -37,18 +37,18 @@
     cached_list: Arc<Mutex<Option<CachedList>>>,
 }
 
-/// The list as it was last read, and the platform's name for that state of it.
+/// The instance list that was read last, and its `ETag`.
 ///
-/// The list grows with the deployment (0.6 MB at 680 instances and 3,360 backend
-/// servers) and changes seldom; reading it whole at each poll would take more
-/// than all other control together.
+/// The list is large (0.6 MB with 680 instances and 3,360 backend servers) and
+/// seldom changes. Reading it whole at each poll would take more bandwidth than all
+/// other control traffic together.
 #[derive(Debug)]
 struct CachedList {
     etag: HeaderValue,
     list: InstanceList,
 }
 
-/// The body of a transaction.
+/// The body of a call of `/v1/transact`.
 #[derive(Debug, Serialize)]
 struct Transaction<'a> {
     writes: &'a [Write],
@@ -61,13 +61,13 @@
 }
 
 impl HttpPlatform {
-    /// A platform at `addr`; each call fails after `timeout_ms`.
+    /// Creates a client of the platform at `addr`, whose calls fail after
+    /// `timeout_ms`.
     pub fn new(addr: SocketAddr, timeout_ms: u64) -> HttpPlatform {
         HttpPlatform::with_connector(addr, timeout_ms, HttpConnector::new())
     }
 
-    /// The same, with calls from the IP number `from`: networks tell parties by
-    /// their addresses.
+    /// Creates a client that calls from the IP address `local_ip`.
     pub fn with_local_ip(local_ip: IpAddr, addr: SocketAddr, timeout_ms: u64) -> HttpPlatform {
         let mut connector = HttpConnector::new();
         connector.set_local_address(Some(local_ip));
@@ -88,7 +88,7 @@
         self.call_conditional(method, path, body, None).await
     }
 
-    /// A call that is answered without a body if the state is still `known`.
+    /// Makes a call that gets 304 and no body if the `ETag` is still `if_none_match`.
     async fn call_conditional(
         &self,
         method: Method,
@@ -98,7 +98,7 @@
     ) -> Result<Reply> {
         let what = format!("{method} {path}");
         let call = self.send(method, path, body, if_none_match);
-        // An answer that never comes says nothing about the effect.
+        // After a timeout, the call may or may not have taken effect.
         let Ok(reply) = time::timeout(Duration::from_millis(self.timeout_ms), call).await else {
             let detail = format!("{what}: no answer within {} ms", self.timeout_ms);
             return Err(PlatformError::new(Effect::Unknown, detail));
@@ -110,7 +110,7 @@
             | StatusCode::NOT_FOUND
             | StatusCode::CONFLICT
             | StatusCode::NOT_MODIFIED => Ok(reply),
-            // The platform promises that what it refuses did not take effect.
+            // The platform guarantees that refused calls have no effect.
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => {
                 Err(PlatformError::new(Effect::None, format!("{what}: refused: {}", reply.status)))
             }
@@ -159,7 +159,7 @@
 
 fn parse<T: DeserializeOwned>(what: &str, bytes: &[u8]) -> Result<T> {
     serde_json::from_slice(bytes).map_err(|e| {
-        let detail = format!("{what}: the answer is not understood: {e}");
+        let detail = format!("{what}: invalid response body: {e}");
         PlatformError::new(Effect::Unknown, detail)
     })
 }
@@ -225,7 +225,7 @@
                 .as_ref()
                 .map(|cached_list| cached_list.list.clone())
                 .ok_or_else(|| {
-                    PlatformError::new(Effect::None, "instances: unchanged, but never read")
+                    PlatformError::new(Effect::None, "instances: status 304, but no list is cached")
                 });
         }
         let list: InstanceList = parse("instances", &reply.bytes)?;
@@ -240,7 +240,7 @@
     }
 }
 
-/// Percent-encodes a key for use as one segment of a path.
+/// Percent-encodes a key as one segment of a path.
 fn encode_path_segment(key: &str) -> String {
     percent_encoding::utf8_percent_encode(key, percent_encoding::NON_ALPHANUMERIC).to_string()
 }
