--- a/crates/azuregate/src/platform/mod.rs
+++ b/crates/azuregate/src/platform/mod.rs
@@ -1,8 +1,9 @@
 /*!
-The border to the platform: tables with transactions, objects, and the list of
+The interface to the platform: tables with transactions, objects, and the list of
 live and leaving instances.
 
-Whatever is kept or agreed goes through [`Platform`]; an instance keeps nothing.
+All durable state is in the platform, accessed through [`Platform`]; an instance
+stores nothing itself.
 */
 
 mod http;
@@ -19,7 +20,7 @@
 /// A platform that is shared between tasks.
 pub type SharedPlatform = Arc<dyn Platform>;
 
-/// The tables that azuregate keeps.
+/// The tables that azuregate uses.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Table {
@@ -32,7 +33,7 @@
 }
 
 impl Table {
-    /// The table's name in the platform.
+    /// Returns the table's name in the platform.
     pub fn as_str(self) -> &'static str {
         match self {
             Table::Claim => "claim",
@@ -46,19 +47,19 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
-    /// Its key.
+    /// The key, unique in the table.
     pub key: String,
-    /// Counts the writes to the row, from 1.
+    /// The number of writes to the row, starting at 1.
     pub version: u64,
-    /// Its content.
+    /// The content.
     pub value: serde_json::Value,
 }
 
-/// What a row must be for a transaction to commit.
+/// The precondition on a row for a transaction to commit.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expect {
-    /// There is no such row.
+    /// The row does not exist.
     Absent,
     /// The row has this version.
     Version(u64),
@@ -72,7 +73,7 @@
     pub table: Table,
     /// The key of the row.
     pub key: String,
-    /// What the row must be.
+    /// The precondition.
     pub expect: Expect,
     /// The new content, or `None` to delete the row.
     pub value: Option<serde_json::Value>,
@@ -82,33 +83,33 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Commit {
-    /// All writes took effect; the new version of each row.
+    /// All writes took effect; holds the new version of each row.
     Done(Vec<u64>),
     /// No write took effect.
     Conflict {
-        /// The first write whose expectation was not met.
+        /// The index of the first write whose precondition failed.
         index: usize,
-        /// The row that is there instead.
+        /// The row as it is, if it exists.
         row: Option<Row>,
     },
 }
 
-/// Rows that changed after a point in the table's history.
+/// The rows that changed after a sequence number.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Changes {
-    /// Ask after this sequence next time.
+    /// The sequence number to continue from.
     pub sequence: u64,
-    /// The rows, in the order of their change.
+    /// The rows, in the order of their changes.
     pub rows: Vec<Row>,
 }
 
-/// What is known about the effect of a call that failed.
+/// Whether a call that failed may have taken effect.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Effect {
-    /// It had none and will have none.
+    /// It has not taken effect and will not.
     None,
-    /// It may have taken effect, or may still do so.
+    /// It may have taken effect, or may still take effect.
     Unknown,
 }
 
@@ -120,12 +121,12 @@
 }
 
 impl PlatformError {
-    /// Makes an error; `detail` says which call failed and how.
+    /// Creates an error; `detail` tells which call failed and why.
     pub fn new(effect: Effect, detail: impl Into<String>) -> PlatformError {
         PlatformError { effect, detail: detail.into() }
     }
 
-    /// What is known about the effect of the call.
+    /// Returns whether the call may have taken effect.
     pub fn effect(&self) -> Effect {
         self.effect
     }
@@ -146,37 +147,38 @@
 /// The result of a call to the platform.
 pub type Result<T> = std::result::Result<T, PlatformError>;
 
-/// The platform's services.
+/// The calls of the platform.
 ///
 /// # Errors
 ///
-/// Every call fails with a [`PlatformError`] that tells whether the call may
-/// have taken effect; for reads that makes no difference.
+/// Every call fails with a [`PlatformError`], which tells whether a write may have
+/// taken effect.
 #[async_trait]
 pub trait Platform: Send + Sync {
     /// Reads one row.
     async fn read(&self, table: Table, key: &str) -> Result<Option<Row>>;
 
-    /// Reads the rows that changed after `since_sequence`, 0 for all.
+    /// Reads the rows that changed after `since_sequence`, or all rows if it is 0.
     async fn changes(&self, table: Table, since_sequence: u64) -> Result<Changes>;
 
     /// Reads at most `limit` of the rows that changed after `since_sequence`, in
-    /// the order of their change. Its `sequence` is of no use to go on from.
+    /// the order of their changes. The returned `sequence` may be past rows that the
+    /// limit left out, so do not continue from it.
     async fn page(&self, table: Table, since_sequence: u64, limit: usize) -> Result<Changes> {
         let mut changes = self.changes(table, since_sequence).await?;
         changes.rows.truncate(limit);
         Ok(changes)
     }
 
-    /// Commits all of `writes` or none.
+    /// Commits all of `writes`, or none of them.
     async fn transact(&self, writes: &[Write]) -> Result<Commit>;
 
-    /// Keeps an object; writing the same object again changes nothing.
+    /// Stores an object; idempotent for the same content.
     async fn put_object(&self, name: &str, bytes: Bytes) -> Result<()>;
 
-    /// Reads an object.
+    /// Reads an object, if it exists.
     async fn get_object(&self, name: &str) -> Result<Option<Bytes>>;
 
-    /// Reads the lagging list of live and leaving instances.
+    /// Reads the list of live and leaving instances, which may lag.
     async fn instances(&self) -> Result<InstanceList>;
 }
