--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -1,4 +1,4 @@
-//! Owns what this instance believes of the others, and notices its own pauses.
+//! Tracks which other instances are available, and detects pauses of this process.
 
 use azuregate_core::{
     membership::{Heartbeat, Membership, Pace, READY_PEERS},
@@ -16,10 +16,9 @@
     timer::Timer,
 };
 
-/// How often beliefs are looked over.
 const CHECK_INTERVAL_MS: u64 = 250;
 
-/// A handle to the membership's task; cheap to clone.
+/// A handle to the membership task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Members {
     sender: mpsc::UnboundedSender<Message>,
@@ -33,18 +32,18 @@
     PlatformReadFailed,
 }
 
-/// What the task works with.
+/// The dependencies of the membership task.
 #[derive(Clone)]
 pub struct Parts {
-    /// The name of this instance.
+    /// The ID of this instance.
     pub instance: InstanceId,
-    /// Takes in beliefs.
+    /// Receives changes of availability and readiness.
     pub config: Config,
     /// The configuration in force.
     pub snapshots: Snapshots,
-    /// The clock.
+    /// Measures the age of heartbeats, and pauses.
     pub clock: SharedClock,
-    /// When to look beliefs over.
+    /// Starts the periodic checks.
     pub timer: Timer,
 }
 
@@ -66,29 +65,30 @@
         Members { sender, confirmed_at_ms }
     }
 
-    /// Passes on a neighbour's heartbeat.
+    /// Records a heartbeat of a neighbour.
     pub fn heartbeat_received(&self, id: &InstanceId, start: StartNumber, heartbeat: Heartbeat) {
         self.send(Message::Heartbeat(id.clone(), start, heartbeat));
     }
 
-    /// Tells that all that the platform holds was read and sent to the
-    /// configuration, which is ready from then on.
+    /// Records that the platform's newest state was read and sent to the
+    /// configuration, which makes this instance ready.
     pub fn platform_read(&self) {
         self.send(Message::PlatformRead);
     }
 
-    /// Tells that the platform could not be read.
+    /// Records that a read of the platform failed.
     pub fn platform_read_failed(&self) {
         self.send(Message::PlatformReadFailed);
     }
 
-    /// When the versions in force were last known to be the platform's newest.
+    /// Returns when the versions in force were last confirmed as the platform's
+    /// newest.
     pub fn confirmed_at_ms(&self) -> Option<Millis> {
         *self.confirmed_at_ms.borrow()
     }
 
     fn send(&self, message: Message) {
-        // The task ends only after the last handle, and this is a handle.
+        // The task runs as long as any handle exists, so sending cannot fail.
         let _ = self.sender.send(message);
     }
 }
@@ -136,8 +136,8 @@
             Message::PlatformRead => {
                 self.platform_down = false;
                 self.membership.confirmed(now_ms);
-                // In this order, or an instance that has just started would be
-                // ready while it still calls itself away.
+                // In this order: otherwise an instance that has just started would
+                // be ready while its own snapshot still lists it as away.
                 self.publish_away(now_ms);
                 self.parts.config.change(Change::Confirmed);
             }
@@ -148,7 +148,7 @@
     fn check(&mut self) {
         let now_ms = self.parts.clock.now();
         if self.was_paused(now_ms) {
-            // Whatever was decided meanwhile is not known here yet.
+            // Changes made during the pause have not arrived here.
             log::warn!(paused_ms = now_ms.since(self.last_check_at_ms).0; "process was paused");
             self.membership.woke(now_ms);
             self.parts.config.change(Change::PauseDetected);
@@ -186,8 +186,9 @@
         }
     }
 
-    /// With the platform down, the word of several peers is enough to serve:
-    /// no change can be made that they do not know of.
+    /// Makes this instance ready if the platform is down and enough peers serve the
+    /// same versions. This is safe: while the platform is down, no change can be
+    /// committed that those peers do not know.
     fn confirm_by_peers(&self, snapshot: &Snapshot, now_ms: Millis) {
         let required_peers = READY_PEERS.min(self.listed.len().saturating_sub(1)).max(1);
         let agreeing_peers = self.membership.agreeing(now_ms);
