--- a/crates/azuregate/src/poll.rs
+++ b/crates/azuregate/src/poll.rs
@@ -1,4 +1,4 @@
-//! Reads policies and the instance list from the platform, again and again.
+//! Polls the platform for policies and the instance list.
 
 use azuregate_core::time::Millis;
 
@@ -10,36 +10,36 @@
     timer::Timer,
 };
 
-/// How many reads all instances together make in a second. The platform serves
-/// about two thousand, and most of them are for claims.
+/// The rate of reads of all instances together. The platform serves about 2,000 calls
+/// per second, most of which are needed for claims.
 pub const READS_PER_S: u64 = 40;
-/// How many reads one poll makes.
 const READS_PER_POLL: u64 = 2;
-/// How much the time to the next poll varies either way, in percent. Instances
-/// that started together would otherwise poll together for ever.
+/// The jitter of the time between polls, in either direction. Without it, instances
+/// that started together would always poll at the same time.
 const JITTER_PERCENT: u64 = 20;
-/// How often an older state must be read in a row to be taken for the newest.
+/// The number of consecutive reads of an older state after which all is read again,
+/// as after a restore of the platform from a backup.
 const OLDER_READS_BEFORE_RESET: u32 = 5;
 
-/// What the poller works with.
+/// Polls the platform.
 pub struct Poller {
-    /// The platform.
+    /// The platform to read.
     pub platform: SharedPlatform,
-    /// Takes in what was read.
+    /// Receives policies and lists.
     pub config: Config,
-    /// Tells how many instances share the reads.
+    /// Tells how many instances share the rate of reads.
     pub snapshots: Snapshots,
-    /// Takes in whether the platform could be read.
+    /// Is told of each successful or failed read.
     pub members: Members,
-    /// The clock.
+    /// Schedules the polls.
     pub clock: SharedClock,
-    /// When to look whether a poll is due.
+    /// Wakes the poller to check whether a poll is due.
     pub timer: Timer,
-    /// The least time between two polls, in milliseconds.
+    /// The shortest time between two polls, in milliseconds.
     pub min_interval_ms: u64,
 }
 
-/// Where the reading of policies has got to.
+/// The position in the platform's sequence of policy changes.
 #[derive(Debug, Default)]
 struct Cursor {
     sequence: u64,
@@ -47,11 +47,12 @@
 }
 
 impl Cursor {
-    /// Moves on; returns whether `changes` are the platform's newest state.
+    /// Advances past `changes`; returns whether they are the platform's newest state.
     ///
-    /// A copy that lags answers an older sequence. Asking after that one next
-    /// time loses nothing, since rows are only ever applied upwards. A platform
-    /// that was restored stays older; after a few reads that is its state.
+    /// A lagging replica returns an older sequence number, which is ignored. If it
+    /// stays older, the platform was restored from a backup: reading starts from 0
+    /// again. Rows read twice do no harm, since a policy is applied only if its
+    /// version is higher.
     fn advance(&mut self, changes: &Changes) -> bool {
         if changes.sequence >= self.sequence {
             *self = Cursor { sequence: changes.sequence, older_reads: 0 };
@@ -91,28 +92,28 @@
         }
         let instances = snapshot.instances.len() as u64;
         let fair_share_ms = instances * READS_PER_POLL * 1_000 / READS_PER_S;
-        // Half a tick less, or the tick that it waits for would just miss it.
+        // Half a tick less, so that the poll is due when the tick comes.
         let delay_ms = fair_share_ms.max(self.min_interval_ms) - self.min_interval_ms / 2;
         let jitter_ms = delay_ms * JITTER_PERCENT / 100;
         rng.u64(delay_ms - jitter_ms..=delay_ms + jitter_ms)
     }
 
     async fn poll_once(&self, cursor: &mut Cursor) {
-        // Policies alone are not enough to serve: without a list there is no
-        // backend server.
+        // Without an instance list there are no backend servers, so policies alone do
+        // not make this instance ready.
         let mut has_list = !self.snapshots.current().listed.is_empty();
         match self.platform.instances().await {
             Ok(list) => {
                 self.config.change(Change::List(list));
                 has_list = true;
             }
-            Err(e) => log::warn!(error:% = e; "instance list not read"),
+            Err(e) => log::warn!(error:% = e; "failed to read instance list"),
         }
         let requested_at_ms = self.clock.now();
         let changes = match self.platform.changes(Table::Policy, cursor.sequence).await {
             Ok(changes) => changes,
             Err(e) => {
-                log::warn!(error:% = e; "policies not read");
+                log::warn!(error:% = e; "failed to read policies");
                 self.members.platform_read_failed();
                 return;
             }
@@ -121,20 +122,19 @@
         for row in changes.rows {
             self.apply_row(row);
         }
-        // An answer that waited while this process was paused is as old as the
-        // pause is long.
+        // A response that arrived during a pause of this process may be outdated.
         let was_paused = self.clock.now().since(requested_at_ms).0 > PAUSE_THRESHOLD_MS;
         if is_newest && has_list && !was_paused {
             self.members.platform_read();
         }
     }
 
-    /// Takes in a row. One that is not understood changes nothing: the policy in
-    /// force stays until a higher version comes.
+    /// Applies a row. An invalid row is skipped, so the policy in force stays until a
+    /// higher version is read.
     fn apply_row(&self, row: Row) {
         match serde_json::from_value(row.value) {
             Ok(policy) => self.config.change(Change::Policy(policy, Source::Platform)),
-            Err(e) => log::error!(key:% = row.key, error:% = e; "policy row not understood"),
+            Err(e) => log::error!(key:% = row.key, error:% = e; "invalid policy row"),
         }
     }
 }
