--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: one task owns it and publishes snapshots.
+//! The configuration in force: one task owns it and publishes immutable snapshots.
 
 use std::{
     collections::BTreeSet,
@@ -18,11 +18,12 @@
 
 use crate::clock::{SharedClock, SystemClock};
 
-/// A process that did not get to run for this long may have missed changes.
+/// After a pause of this length, a process may have missed changes and must confirm its
+/// configuration before it serves.
 pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
 
-/// The highest step that a peer's version may take over the one in force. One
-/// frame with an absurd version would keep out all later changes for good.
+/// The most by which a policy version from a peer may exceed the one in force. A
+/// corrupt frame with a huge version would otherwise block all later changes.
 const MAX_PEER_VERSION_STEP: u64 = 1_000_000;
 
 /// Reads the newest snapshot; cheap to clone.
@@ -34,11 +35,11 @@
 }
 
 impl Snapshots {
-    /// The newest snapshot.
+    /// Returns the newest snapshot.
     ///
-    /// After a pause of the whole process it is not ready. Requests that waited
-    /// in its sockets would otherwise be served by a configuration that may have
-    /// been replaced long ago, before any task finds out.
+    /// After a pause of the process, the snapshot is not ready. Otherwise requests
+    /// that waited in the sockets would be served with an outdated configuration
+    /// before the membership task detects the pause.
     pub fn current(&self) -> Arc<Snapshot> {
         let snapshot = self.receiver.borrow().clone();
         if !snapshot.ready || !self.was_paused() {
@@ -49,7 +50,7 @@
         Arc::new(unconfirmed)
     }
 
-    /// Tells of each new snapshot.
+    /// Returns a receiver of each new snapshot.
     pub fn watch(&self) -> watch::Receiver<Arc<Snapshot>> {
         self.receiver.clone()
     }
@@ -67,53 +68,52 @@
     }
 }
 
-/// Where a change was heard of.
+/// Where a change comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// From the platform, or from the commit of this instance.
+    /// The platform, or a commit by this instance.
     Platform,
-    /// From another instance.
+    /// Another instance.
     Peer,
-    /// From the backend server itself.
+    /// The backend server itself.
     Backend,
 }
 
 /// A change to the configuration in force.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A policy; ignored unless its version is higher than the one in force.
+    /// A policy; ignored unless its version is higher than that in force.
     Policy(Box<Policy>, Source),
-    /// The platform's list.
+    /// The platform's instance list.
     List(InstanceList),
-    /// A peer's copy of the platform's list; ignored if there is one already.
+    /// A peer's copy of the instance list; ignored if there is a list already.
     PeerList(InstanceList),
-    /// A backend server that is leaving, by any sign.
+    /// A backend server is leaving.
     Leaving(BackendId, StartNumber, Source),
-    /// A backend server that closed a connection after its first answer.
+    /// A backend server closed a connection after its first answer.
     ///
-    /// A server that closes an idle connection, or one that has carried enough
-    /// requests, says nothing about itself; one that closes fresh connections
-    /// wants no more work.
+    /// Servers also close idle connections, and those that have carried many
+    /// requests. Closing a new connection is a sign that the server is leaving.
     ConnectionClosed(BackendId, StartNumber),
-    /// A start of an instance, as it told itself.
+    /// The start number that an instance announced.
     Started(InstanceId, StartNumber),
-    /// An instance that has started a planned stop.
+    /// An instance has started a planned stop.
     Stopping(InstanceId, StartNumber),
-    /// The instances that get no new work, as far as the peer links tell.
+    /// The instances that get no new work, as determined from the peer links.
     Away(BTreeSet<InstanceId>),
-    /// What a watcher of backend servers says.
+    /// The probe results of the given instance.
     Probes(InstanceId, ProbeReport),
-    /// All policies that the platform holds have been taken in.
+    /// All policies of the platform have been applied.
     Confirmed,
-    /// The platform is down, and so many peers serve with the same versions.
+    /// The platform is down, and this number of peers serve the same versions.
     ConfirmedByPeers(usize),
     /// This process was paused.
     PauseDetected,
-    /// This process runs, at this monotonic time.
+    /// This process was running at this monotonic time, in milliseconds.
     WatchdogTick(u64),
 }
 
-/// A handle to the configuration's task; cheap to clone.
+/// A handle to the configuration task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Config {
     sender: mpsc::UnboundedSender<Change>,
@@ -125,7 +125,7 @@
         Config::start_with_clock(first, Arc::new(SystemClock::new()))
     }
 
-    /// Starts the task; `clock` tells whether the process was paused.
+    /// Starts the task; `clock` is used to detect pauses of the process.
     pub fn start_with_clock(first: Snapshot, clock: SharedClock) -> (Config, Snapshots) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let (publish, snapshots) = watch::channel(Arc::new(first));
@@ -136,7 +136,7 @@
 
     /// Sends a change to the task.
     pub fn change(&self, change: Change) {
-        // The task ends only after the last handle, and this is a handle.
+        // The task runs as long as any handle exists, so sending cannot fail.
         let _ = self.sender.send(change);
     }
 }
@@ -197,15 +197,15 @@
     let in_force = snapshot.policies.get(&policy.service).map_or(0, |p| p.version);
     let (service, version) = (policy.service.clone(), policy.version);
     if *source == Source::Peer && version.saturating_sub(in_force) > MAX_PEER_VERSION_STEP {
-        log::error!(service:% = service, version = version, in_force = in_force; "policy of a peer refused");
+        log::error!(service:% = service, version = version, in_force = in_force; "policy from peer rejected: version too high");
         return false;
     }
     if let Err(e) = policy.check() {
-        log::error!(service:% = service, version = version, error:% = e, source:? = source; "policy refused");
+        log::error!(service:% = service, version = version, error:% = e, source:? = source; "policy rejected");
         return false;
     }
     if *source == Source::Platform && version < in_force {
-        log::warn!(service:% = service, version = version, in_force = in_force; "platform answered an older policy");
+        log::warn!(service:% = service, version = version, in_force = in_force; "platform returned an older policy");
     }
     let applied = snapshot.apply_policy(policy);
     if applied {
@@ -227,9 +227,11 @@
     is_new
 }
 
-/// Whether most servers of a service would still take work without `backend`.
+/// Returns whether at least half of the servers of a service would be available
+/// without `backend`.
 ///
-/// If most close their connections, that is their habit and no sign of leaving.
+/// If more of them close new connections, closing is usual for this service and no
+/// sign of leaving.
 fn most_others_available(snapshot: &Snapshot, backend: &BackendId) -> bool {
     let Some(server) = snapshot.backend(backend) else {
         return false;
