--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -1,4 +1,4 @@
-//! Probes the backend servers that this instance watches.
+//! Probes the backend servers that are assigned to this instance.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -18,26 +18,23 @@
     timer::Timer,
 };
 
-/// How often a backend server is probed by each watcher.
 const PROBE_INTERVAL_MS: u64 = 1_000;
-/// How long a probe may take; the usual is about 6 ms.
 const PROBE_TIMEOUT_MS: u64 = 700;
-/// The path that probes ask for.
 const PROBE_PATH: &str = "/health";
 
-/// What the prober works with.
+/// Probes backend servers and reports those that do not answer.
 pub struct Prober {
-    /// The name of this instance.
+    /// The ID of this instance.
     pub instance: InstanceId,
     /// Its start number.
     pub start: StartNumber,
     /// Opens connections to backend servers.
     pub dialer: SharedDialer,
-    /// Takes in reports.
+    /// Receives the reports.
     pub config: Config,
-    /// Tells which servers there are.
+    /// Lists the backend servers.
     pub snapshots: Snapshots,
-    /// When to probe.
+    /// Starts the rounds of probes.
     pub timer: Timer,
 }
 
@@ -51,9 +48,9 @@
         let mut servers = watched(&self.instance, &last_snapshot);
         while ticks.recv().await.is_some() {
             let snapshot = self.snapshots.current();
-            // Every pair of an instance and a server is hashed to find out who
-            // watches what: milliseconds at today's size, but 0.2 s of processor
-            // time with 680 instances and 3,000 servers. The lists change seldom.
+            // Assigning the servers hashes every pair of an instance and a server,
+            // which takes 0.2 s of CPU time with 680 instances and 3,000 servers, so
+            // it is done only when a list has changed.
             if !snapshot.has_lists_of(&last_snapshot) {
                 servers = watched(&self.instance, &snapshot);
                 last_snapshot = snapshot;
@@ -75,7 +72,8 @@
         ProbeReport { start: self.start, sequence, failed }
     }
 
-    /// Any answer counts: a server that sheds load is alive.
+    /// Returns whether the server answered, with any status: a server that sheds
+    /// load is alive.
     async fn probe(&self, server: &BackendServer) -> (BackendId, bool) {
         let answer =
             time::timeout(Duration::from_millis(PROBE_TIMEOUT_MS), self.send_probe(server)).await;
@@ -83,8 +81,8 @@
     }
 
     async fn send_probe(&self, server: &BackendServer) -> bool {
-        // A connection of its own: one that is kept may have gone silent while
-        // new ones work.
+        // A new connection for each probe: a pooled one may have failed silently
+        // while the server accepts new ones.
         let Ok(mut conn) = self.dialer.dial(server.addr).await else {
             return false;
         };
@@ -96,8 +94,8 @@
     }
 }
 
-/// Closes the idle connections to backend servers that get no new work; ends
-/// with the configuration.
+/// Closes the idle connections to backend servers that get no new work, until the
+/// configuration task ends.
 pub async fn close_idle(pool: Pool, snapshots: Snapshots) {
     let mut changes = snapshots.watch();
     let mut closed = BTreeSet::new();
