--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -22,10 +22,9 @@
 
 use self::{ports::Ports, shared::Shared};
 
-/// How long a planned stop waits for operators' calls in progress.
 const OPERATORS_SHUTDOWN_TIMEOUT_MS: u64 = 5_000;
 
-/// An instance that could not start.
+/// The error of an instance that could not start.
 #[derive(Debug)]
 pub struct RunError;
 
@@ -37,21 +36,21 @@
 
 impl std::error::Error for RunError {}
 
-/// Runs an entry instance until `stop` says so, then finishes what is in
-/// progress.
+/// Runs an entry instance until `stop` is signalled and the requests in progress
+/// have ended.
 ///
 /// # Errors
 ///
-/// When a port cannot be opened.
+/// Fails if a port cannot be opened.
 pub async fn run(settings: Settings, stop: StopSignal) -> Result<(), Report<RunError>> {
     run_with_rule(settings, stop, Rule::default()).await
 }
 
-/// Runs an entry instance that chooses backend servers by `rule`.
+/// Runs an entry instance, as [`run`] does, that selects backend servers by `rule`.
 ///
 /// # Errors
 ///
-/// When a port cannot be opened.
+/// Fails if a port cannot be opened.
 pub async fn run_with_rule(
     settings: Settings,
     stop: StopSignal,
@@ -74,13 +73,13 @@
     callers.serve(ports.traffic, stop_delay_ms).await;
     log::info!(instance:% = shared.settings.instance; "entry instance stopped");
 
-    // Dropping the set ends its tasks.
+    // Dropping the set aborts its tasks.
     drop(background);
     operators.stop().await;
     Ok(())
 }
 
-/// Starts the tasks that run beside requests and calls.
+/// Starts the tasks that serve neither callers nor operators.
 fn start_background(shared: &Shared, peers: TcpListener, status: TcpListener) -> JoinSet<()> {
     let members = shared.members();
     let mut tasks = JoinSet::new();
@@ -93,7 +92,7 @@
     tasks
 }
 
-/// The operators' port, which finishes its calls before it closes.
+/// The server of the operators' calls.
 struct OperatorsPort {
     shutdown: oneshot::Sender<()>,
     task: JoinHandle<Result<(), tonic::transport::Error>>,
@@ -102,8 +101,8 @@
 impl OperatorsPort {
     fn start(service: OperatorsService, listener: TcpListener) -> OperatorsPort {
         let (shutdown, shutdown_requested) = oneshot::channel::<()>();
-        // An answer is several small writes; without nodelay the later ones wait
-        // 40 ms for the acknowledgement of the first.
+        // A response is several small writes. With Nagle's algorithm, the later ones
+        // would wait up to 40 ms for a delayed acknowledgement.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let server = tonic::transport::Server::builder()
             .add_service(OperatorsServer::new(service))
@@ -113,7 +112,8 @@
         OperatorsPort { shutdown, task: tokio::spawn(server) }
     }
 
-    /// An operator's change that is in progress is settled, and its outcome told.
+    /// Stops accepting calls and waits for those in progress, so that an operator
+    /// learns the outcome of a change.
     async fn stop(self) {
         drop(self.shutdown);
         let _ =
--- a/crates/azuregate/src/run/ports.rs
+++ b/crates/azuregate/src/run/ports.rs
@@ -1,4 +1,4 @@
-//! The ports of an entry instance, all opened before anything is started.
+//! The listeners of an entry instance, all bound before any task is started.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::{run::RunError, settings::Settings};
 
-/// Open ports that nobody serves yet.
+/// Bound listeners that do not accept connections yet.
 pub(super) struct Ports {
     pub(super) traffic: TcpListener,
     pub(super) peers: TcpListener,
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry instance share, and the parts made from it.
+//! The resources that an entry instance's components share, and their construction.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
     timer::Timer,
 };
 
-/// Settings, clocks and handles to tasks; every part has its own clones.
+/// Settings, clocks and handles to tasks; each component gets clones of these.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
@@ -44,7 +44,7 @@
 }
 
 impl Shared {
-    /// Starts the tasks that every part works with.
+    /// Starts the tasks that all components use.
     pub(super) fn start(settings: Settings, stop: StopSignal) -> Result<Shared, Report<RunError>> {
         let clock: SharedClock = Arc::new(SystemClock::new());
         let first = Snapshot::empty(Arc::new(settings.topology.clone()));
