--- a/crates/azuregate/src/status.rs
+++ b/crates/azuregate/src/status.rs
@@ -1,4 +1,4 @@
-//! Health, readiness and histograms by HTTP.
+//! Serves health, readiness and histograms over HTTP.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -9,13 +9,13 @@
 
 use crate::{accept, config::Snapshots, metrics::Recorder, stop::StopSignal};
 
-/// What the status port tells of.
+/// The state that the status port reports.
 pub struct Status {
-    /// The configuration in force.
+    /// Tells whether the instance is ready.
     pub snapshots: Snapshots,
-    /// The histograms.
+    /// Holds the latency histograms.
     pub recorder: Recorder,
-    /// Whether the instance is stopping.
+    /// Tells whether the instance is stopping.
     pub stop: StopSignal,
 }
 
