--- a/crates/azuregate/src/stop.rs
+++ b/crates/azuregate/src/stop.rs
@@ -1,20 +1,20 @@
-//! Telling an entry instance to stop.
+//! Signals a planned stop to the tasks of an entry instance.
 
 use tokio::sync::watch;
 
-/// Tells an instance to stop; dropping it does so as well.
+/// Triggers the stop of an instance; so does dropping it.
 #[derive(Debug)]
 pub struct StopHandle {
     sender: watch::Sender<bool>,
 }
 
-/// Waits for the word to stop; cheap to clone.
+/// Receives the signal to stop; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct StopSignal {
     receiver: watch::Receiver<bool>,
 }
 
-/// A stopper and what it reaches.
+/// Creates a handle and the signal that it triggers.
 pub fn channel() -> (StopHandle, StopSignal) {
     let (sender, receiver) = watch::channel(false);
     (StopHandle { sender }, StopSignal { receiver })
@@ -28,14 +28,14 @@
 }
 
 impl StopSignal {
-    /// Whether a planned stop has started.
+    /// Returns whether a planned stop has started.
     pub fn is_stopping(&self) -> bool {
         *self.receiver.borrow() || self.receiver.has_changed().is_err()
     }
 
     /// Resolves when a planned stop starts.
     pub async fn wait(&mut self) {
-        // An error means that the stopper is gone, which is a stop as well.
+        // An error means that the handle was dropped, which is a stop as well.
         let _ = self.receiver.wait_for(|&stop| stop).await;
     }
 }
