--- a/crates/azuregate/src/timer.rs
+++ b/crates/azuregate/src/timer.rs
@@ -1,4 +1,4 @@
-//! The timer service: parts subscribe to ticks instead of keeping timers.
+//! One task that drives the periodic timers of all other tasks.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tokio::sync::mpsc;
 use tokio_util::time::DelayQueue;
 
-/// Subscribes parts to ticks; cheap to clone.
+/// A handle to the timer task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Timer {
     subscribe: mpsc::UnboundedSender<Subscription>,
@@ -23,21 +23,22 @@
 pub struct Tick;
 
 impl Timer {
-    /// Starts the service as a task; it ends when the last handle is dropped.
+    /// Starts the task; it ends when the last handle is dropped.
     pub fn start() -> Timer {
         let (subscribe, subscriptions) = mpsc::unbounded_channel();
         tokio::spawn(serve(subscriptions));
         Timer { subscribe }
     }
 
-    /// Ticks every `period_ms` milliseconds, the first time after one period.
+    /// Returns a receiver of ticks every `period_ms` milliseconds, the first after one
+    /// period.
     ///
-    /// A subscriber that is still busy with a tick misses the next ones, so
-    /// that a slow part never works through a backlog. Dropping the receiver
-    /// ends the subscription.
+    /// At most one tick is buffered: a subscriber that is slower than the period
+    /// misses ticks instead of building up a backlog. Dropping the receiver ends the
+    /// subscription.
     pub fn subscribe(&self, period_ms: u64) -> mpsc::Receiver<Tick> {
         let (ticks, receiver) = mpsc::channel(1);
-        // The service ends only after the last handle, and this is a handle.
+        // The task runs as long as any handle exists, so sending cannot fail.
         let _ = self.subscribe.send(Subscription { period_ms: period_ms.max(1), ticks });
         receiver
     }
