--- a/crates/azuregate/src/clock.rs
+++ b/crates/azuregate/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clocks behind a border, so that tests drive time by hand.
+//! Clocks behind a trait, so that tests control the time.
 
 use std::{
     sync::Arc,
@@ -9,10 +9,10 @@
 
 /// Reads the time.
 pub trait Clock: Send + Sync {
-    /// Monotonic time of this process.
+    /// Returns the monotonic time, since an arbitrary origin.
     fn now(&self) -> Millis;
 
-    /// Time since the Unix epoch; may jump either way.
+    /// Returns the time since the Unix epoch; it may jump in either direction.
     fn epoch(&self) -> Millis;
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl SystemClock {
-    /// A clock whose monotonic time starts now.
+    /// Creates a clock whose monotonic time starts at 0 now.
     pub fn new() -> SystemClock {
         SystemClock { origin: Instant::now() }
     }
