--- a/crates/azuregate/src/accept.rs
+++ b/crates/azuregate/src/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections.
+//! Accepts connections, backing off on errors.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,15 +7,12 @@
     time,
 };
 
-/// The pause after an accept that failed: some requests end in that time, and free
-/// their descriptors.
 const RETRY_DELAY_MS: u64 = 50;
 
-/// The next connection, and where it comes from. Dropping the future loses none.
+/// Returns the next connection and its peer's address. The future is cancel-safe.
 ///
-/// An accept fails mostly because no descriptor is free, and then fails again at
-/// once. Without a pause the task would take the processor from the requests whose
-/// end frees one.
+/// `accept` fails mostly when the process is out of file descriptors. Retrying
+/// without a delay would take CPU time from the requests that free them.
 pub(crate) async fn next(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         if let Ok(accepted) = listener.accept().await {
