--- a/crates/azuregate/src/lib.rs
+++ b/crates/azuregate/src/lib.rs
@@ -1,8 +1,8 @@
 /*!
-Entry instances of azuregate, as a library.
+The entry instances of azuregate, as a library.
 
-The binary is a thin command line round this crate. An entry instance runs from
-its settings until it is told to stop:
+The binary is a thin command line around this crate. An entry instance runs until
+it is told to stop:
 
 ```no_run
 use azuregate::{run, settings::Settings, stop};
@@ -17,19 +17,20 @@
 
 # Design
 
-Tasks own their sockets and their state and talk by typed messages; closing a
-task's channel ends it. Borders are trait objects, so that each has a small fake:
+Each task owns its sockets and its state. Tasks communicate by typed messages, and
+a task ends when its channel is closed. External interfaces are trait objects, so
+that tests can replace them:
 [`platform::Platform`], [`backend::BackendDialer`], [`peer::PeerLink`],
 [`clock::Clock`] and [`metrics::MetricSink`].
 
 * [`config`] owns the configuration and publishes immutable snapshots of it.
-* [`gateway`] serves callers from the newest snapshot.
-* [`dispatch`] shares the choice of backend servers among instances.
-* [`selector`] owns the slots of one service's backend servers.
-* [`claims`] lets a request with an idempotency key run at most once.
-* [`poll`] reads the platform, [`probe`] watches backend servers, [`membership`]
-  watches the other instances.
-* [`peer`] spreads accepted changes between instances.
+* [`gateway`] serves callers according to the newest snapshot.
+* [`dispatch`] distributes the selection of backend servers among instances.
+* [`selector`] manages the slots of a service's backend servers.
+* [`claims`] runs a request with an idempotency key at most once.
+* [`poll`] reads the platform, [`probe`] probes backend servers, [`membership`]
+  tracks the other instances.
+* [`peer`] distributes accepted changes among instances.
 * [`operators`] serves the operators' remote procedure calls.
 */
 
