--- a/crates/azuregate/benches/capacity_frames.rs
+++ b/crates/azuregate/benches/capacity_frames.rs
@@ -1,9 +1,9 @@
-//! What the frames between instances cost at several sizes: bytes, and the time
-//! to write and to read them.
+//! Measures the encoded size of frames between instances, and the time to encode
+//! and decode them.
 //!
 //! `cargo bench -p azuregate --bench capacity_frames` prints a table for
-//! docs/CAPACITY.md. Five runs of each figure, the median is printed with the
-//! smallest and largest.
+//! docs/CAPACITY.md. Each time is the median of five runs, with the minimum and
+//! maximum.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
