--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -1,9 +1,9 @@
-//! How one change spreads over the links between instances, as plain values.
+//! Simulates how one change floods the links between instances.
 //!
-//! `cargo run -p azuregate --example spread` prints a table for
-//! docs/CAPACITY.md. It walks the graph of links in steps: an instance that has
-//! heard of the change sends it on all its links but those that it came on. No
-//! time passes and no socket is opened; it measures the graph, not a network.
+//! `cargo run -p azuregate --example spread` prints a table for docs/CAPACITY.md. In
+//! each round, an instance that received the change sends it on all of its links
+//! except those on which it arrived. The simulation covers the graph of links only,
+//! without time or sockets.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,11 +21,10 @@
     time::Millis,
 };
 
-/// Numbers of instances with numbers of zones.
+/// Numbers of instances and zones.
 const SIZES: [(usize, usize); 4] = [(9, 6), (85, 19), (340, 19), (680, 19)];
-/// How many random sets of dead instances are tried for each size.
+/// Random sets of dead instances for each size.
 const SEEDS: u64 = 20;
-/// Changes of configuration in a day.
 const CHANGES_PER_DAY: f64 = 1_200.0;
 const S_PER_DAY: f64 = 86_400.0;
 
@@ -88,12 +87,12 @@
     (values.iter().sum::<f64>() / values.len().max(1) as f64, max)
 }
 
-/// How a change went round.
+/// The result of flooding one change.
 #[derive(Debug, Default)]
 struct Spread {
     hops: usize,
     not_reached: usize,
-    /// Frames that each instance sent.
+    /// Frames sent by each instance that is alive.
     sent: Vec<usize>,
 }
 
