--- a/crates/azuregate/tests/configuration/main.rs
+++ b/crates/azuregate/tests/configuration/main.rs
@@ -1,5 +1,4 @@
-//! Configuration and membership: what is taken in, from whom, and when an
-//! instance serves.
+//! Tests of configuration, membership, peer links, polling and probing.
 
 #![allow(missing_docs, clippy::unwrap_used, reason = "tests")]
 
