--- a/crates/azuregate/tests/configuration/world.rs
+++ b/crates/azuregate/tests/configuration/world.rs
@@ -1,4 +1,4 @@
-//! A clock that jumps, a platform that answers by a script, and first snapshots.
+//! Test fixtures: a clock that can jump, a scripted platform, and snapshots.
 
 use std::{
     collections::VecDeque,
@@ -26,7 +26,7 @@
 use bytes::Bytes;
 use tokio::time::{self, Instant};
 
-/// Follows the time of the test, and jumps when the process is "paused".
+/// Follows the test's time, and jumps ahead to simulate a pause of the process.
 #[derive(Debug)]
 pub(crate) struct JumpClock {
     origin: Instant,
@@ -54,22 +54,22 @@
     }
 }
 
-/// How one reading of policies goes.
+/// The result of one read of policies.
 #[derive(Clone, Debug)]
 pub(crate) enum PolicyRead {
-    /// Answers rows with this sequence.
+    /// Returns rows with this sequence number.
     Ok(u64, Vec<Row>),
-    /// The same, while the process is paused for so long.
+    /// Returns the same after a pause of the process, in milliseconds.
     Paused(u64, Vec<Row>, u64),
-    /// Refuses.
+    /// Fails.
     Down,
 }
 
-/// Answers by a script, its last line again and again.
+/// Returns scripted results, and the last of them repeatedly.
 pub(crate) struct ScriptedPlatform {
     pub(crate) clock: Arc<JumpClock>,
     pub(crate) list: InstanceList,
-    /// How often the list is refused at first.
+    /// Reads of the list that fail before the first that succeeds.
     pub(crate) list_failures: AtomicU64,
     reads: Mutex<VecDeque<PolicyRead>>,
     pub(crate) requested_sequences: Mutex<Vec<u64>>,
@@ -104,7 +104,7 @@
             PolicyRead::Ok(sequence, rows) => Ok(Changes { sequence, rows }),
             PolicyRead::Paused(sequence, rows, ms) => {
                 self.clock.jump(ms);
-                // The pause is noticed before the old answer is read.
+                // Lets the membership task detect the pause before the response comes.
                 time::sleep(Duration::from_millis(600)).await;
                 Ok(Changes { sequence, rows })
             }
@@ -122,7 +122,7 @@
     }
 
     async fn read(&self, _table: Table, _key: &str) -> Result<Option<Row>> {
-        unimplemented!("configuration is read by its changes")
+        unimplemented!("the poller reads changes, not rows")
     }
 
     async fn transact(&self, _writes: &[Write]) -> Result<Commit> {
@@ -134,7 +134,7 @@
     }
 
     async fn get_object(&self, _name: &str) -> Result<Option<Bytes>> {
-        unimplemented!("configuration is no object")
+        unimplemented!("the poller reads no objects")
     }
 }
 
@@ -193,7 +193,7 @@
     }))
 }
 
-/// A configuration with version 5 in force, ready.
+/// Starts a configuration with version 5 in force that is ready.
 pub(crate) fn ready(clock: &Arc<JumpClock>, list: InstanceList) -> (Config, Snapshots) {
     let clock: Arc<dyn Clock> = Arc::clone(clock) as _;
     let (config, snapshots) = Config::start_with_clock(empty_snapshot(), clock);
@@ -207,7 +207,7 @@
     snapshots.current().policies.get("desk").map_or(0, |policy| policy.version)
 }
 
-/// Lets the tasks take in what was sent to them.
+/// Lets the tasks handle the messages that were sent to them.
 pub(crate) async fn run_pending_tasks() {
     for _ in 0..20 {
         tokio::task::yield_now().await;
