--- a/crates/azuregate/tests/configuration/links.rs
+++ b/crates/azuregate/tests/configuration/links.rs
@@ -1,4 +1,4 @@
-//! The contract of a link, for web sockets and for a channel in memory.
+//! Tests of the `PeerLink` contract, for WebSockets and for a channel in memory.
 
 use std::time::Duration;
 
@@ -14,27 +14,26 @@
 };
 use tokio_tungstenite::{WebSocketStream, accept_async, tungstenite::Message};
 
-/// How long a test waits for what should come, or should not.
 const RECV_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the other end of a link does.
+/// What the remote end of a link does.
 #[derive(Clone, Debug)]
 enum Action {
     /// Sends a frame.
     Frame(Frame),
-    /// Sends what is no frame.
+    /// Sends bytes that do not decode to a frame.
     InvalidFrame,
-    /// Sends more than a frame may have.
+    /// Sends a message above the size limit.
     OversizedFrame,
     /// Closes the link.
     Close,
-    /// Breaks off without closing.
+    /// Resets the connection without a close handshake.
     Reset,
-    /// Does nothing for longer than anyone waits.
+    /// Does nothing for longer than `RECV_TIMEOUT`.
     Stall,
 }
 
-/// What is received.
+/// The outcome of receiving from a link.
 #[derive(Debug, PartialEq)]
 enum Received {
     Frame(Frame),
@@ -52,11 +51,15 @@
     let sent = |last| vec![Action::Frame(one.clone()), Action::Frame(two.clone()), last];
     let received = |last| vec![Received::Frame(one.clone()), Received::Frame(two.clone()), last];
     vec![
-        ("ok, then closed", sent(Action::Close), received(Received::Closed)),
-        ("ok, then silent", sent(Action::Stall), received(Received::Timeout)),
-        ("ok, then cut", sent(Action::Reset), received(Received::Broken)),
-        ("ok, then garbage", sent(Action::InvalidFrame), received(Received::Broken)),
-        ("ok, then too much", sent(Action::OversizedFrame), received(Received::Broken)),
+        ("two frames, then close", sent(Action::Close), received(Received::Closed)),
+        ("two frames, then silence", sent(Action::Stall), received(Received::Timeout)),
+        ("two frames, then reset", sent(Action::Reset), received(Received::Broken)),
+        ("two frames, then an invalid one", sent(Action::InvalidFrame), received(Received::Broken)),
+        (
+            "two frames, then an oversized one",
+            sent(Action::OversizedFrame),
+            received(Received::Broken),
+        ),
     ]
 }
 
@@ -104,7 +107,7 @@
             return;
         }
         Action::Reset => {
-            // With nothing lingering, dropping the socket resets the connection.
+            // With a linger time of 0, dropping the socket resets the connection.
             socket.get_ref().set_zero_linger().unwrap();
             return;
         }
@@ -113,7 +116,7 @@
     let _ = socket.send(message).await;
 }
 
-/// A web socket whose other end does what it is told.
+/// Opens a WebSocket whose remote end performs `actions`.
 async fn ws_link(actions: Vec<Action>) -> WsLink {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
@@ -137,7 +140,7 @@
 }
 
 async fn receive(link: &mut dyn PeerLink) -> Received {
-    // A wait that is given up at once must lose no frame.
+    // `recv` must be cancel-safe: a cancelled call loses no frame.
     if let Ok(frame) = time::timeout(Duration::ZERO, link.recv()).await {
         return received(frame);
     }
@@ -174,7 +177,8 @@
     }
 }
 
-// The other end takes links and never speaks the protocol. Dialling gives up.
+// A remote end that accepts connections but never answers the handshake must not
+// block dialling for ever.
 #[tokio::test]
 async fn dialling_times_out_without_a_handshake() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
