--- a/crates/azuregate/tests/configuration/mesh.rs
+++ b/crates/azuregate/tests/configuration/mesh.rs
@@ -1,4 +1,4 @@
-//! Links between instances on loopback, without a platform.
+//! Tests of links between instances on loopback, without a platform.
 
 use std::{
     net::{IpAddr, Ipv4Addr, SocketAddr},
@@ -23,10 +23,9 @@
 
 use crate::world::{empty_snapshot, instance, list, policy, server};
 
-/// How long anything may take before a test gives up.
 const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An instance with nothing but its peer links.
+/// An instance that runs only its peer links.
 struct Node {
     config: Config,
     snapshots: Snapshots,
@@ -40,8 +39,8 @@
     }
 }
 
-/// IP numbers of one test of one run: another run of the same tests on this
-/// machine would otherwise hold the ports.
+/// Returns a loopback address that depends on the process ID, so that concurrent test
+/// runs do not compete for ports.
 fn ip(test: u8, last: u8) -> IpAddr {
     let [.., run_high, run_low] =
         hash::stable_hash(&[&std::process::id().to_string()]).to_be_bytes();
@@ -74,7 +73,7 @@
     Node { config, snapshots, members, mesh: tokio::spawn(mesh.serve(listener)) }
 }
 
-/// An instance that the platform told of `listed` and of version 5.
+/// Starts an instance with the list `listed` and version 5 of the policy in force.
 async fn start_configured(of: &Instance, listed: &[Instance]) -> Node {
     let node = start_node(of).await;
     node.config.change(Change::List(list(listed)));
@@ -87,7 +86,7 @@
 async fn wait_until(what: &str, node: &Node, holds: impl Fn(&Snapshot) -> bool) {
     let start = Instant::now();
     while !holds(&node.snapshots.current()) {
-        assert!(start.elapsed() < TEST_TIMEOUT, "never: {what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "timed out waiting for {what}");
         time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -101,9 +100,9 @@
     found.is_some_and(|instance| instance.liveness == Liveness::Leaving)
 }
 
-// An instance starts while the platform is down: it has no list, so it can dial
-// nobody, and the others leave dialling to it, since its name comes first. They
-// dial in the end. It gets the list and the policy, and serves once two agree.
+// An instance without a list cannot dial its neighbours, so they must dial it although
+// its name sorts first. It then gets the list and the policy, and becomes ready when
+// two peers agree.
 #[tokio::test]
 async fn an_instance_starts_while_the_platform_is_down() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(1, name.as_bytes()[0])));
@@ -111,14 +110,12 @@
     let starting = start_node(a).await;
     starting.members.platform_read_failed();
     let (_b, _c) = (start_configured(b, &all).await, start_configured(c, &all).await);
-    wait_until("ready by its peers", &starting, |s| s.readiness == Readiness::Peers(2)).await;
+    wait_until("readiness by peers", &starting, |s| s.readiness == Readiness::Peers(2)).await;
     let snapshot = starting.snapshots.current();
     assert_eq!((version(&snapshot), snapshot.listed.len()), (5, 3));
 }
 
-// One instance takes in a change, a leaving server and the update that another
-// stops. All reach an instance that it has a link to; a later start of the
-// stopped one would count anew.
+// A policy, a leaving server and a stopping instance must reach the other instances.
 #[tokio::test]
 async fn changes_reach_the_neighbours() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(2, name.as_bytes()[0])));
@@ -131,14 +128,14 @@
     first.config.change(Change::Policy(Box::new(policy(6)), Source::Platform));
     first.config.change(Change::Leaving(server(0).id, StartNumber(1), Source::Backend));
     first.config.change(Change::Stopping(a.id.clone(), StartNumber(1)));
-    wait_until("the change", &second, |s| version(s) == 6).await;
+    wait_until("the policy", &second, |s| version(s) == 6).await;
     wait_until("the leaving server", &second, |s| s.leaving.len() == 1).await;
     wait_until("the stop", &second, |s| is_leaving(s, a)).await;
     assert!(!is_leaving(&second.snapshots.current(), c));
 }
 
-// One of three is gone without a message. The others stop naming it, long before
-// any list says so, and name it again when it is back.
+// An instance that disappears without a message must get no new work, without any
+// change of the platform's list, until it is back.
 #[tokio::test]
 async fn a_silent_instance_is_away_until_it_is_back() {
     let all = ["a", "b", "c"].map(|name| instance(name, ip(3, name.as_bytes()[0])));
@@ -148,14 +145,13 @@
     time::sleep(Duration::from_millis(1_500)).await;
     assert!(!is_leaving(&first.snapshots.current(), c));
     drop(third);
-    wait_until("away", &first, |s| is_leaving(s, c)).await;
+    wait_until("the instance to be away", &first, |s| is_leaving(s, c)).await;
     let _third = start_configured(c, &all).await;
-    wait_until("back", &first, |s| !is_leaving(s, c)).await;
+    wait_until("the instance to be back", &first, |s| !is_leaving(s, c)).await;
 }
 
-// Some process reaches the port of the peers and offers a policy. It is not
-// listed, or claims another's name, or does not greet: its link is closed, and
-// the policy in force stays.
+// A process that is not listed, uses the name of another instance or sends no hello
+// must not change the policy in force; its link is closed.
 #[tokio::test]
 async fn policies_from_unidentified_peers_are_rejected() {
     let all = ["a", "b"].map(|name| instance(name, ip(4, name.as_bytes()[0])));
@@ -168,8 +164,8 @@
     let offer = Frame::Policy(Box::new(policy(9)));
     let cases = [
         ("not listed", ip(4, 9), vec![hello("z"), offer.clone()]),
-        ("another's name", ip(4, 9), vec![hello("b"), offer.clone()]),
-        ("no greeting", all[1].ip, vec![offer.clone()]),
+        ("name of another instance", ip(4, 9), vec![hello("b"), offer.clone()]),
+        ("no hello frame", all[1].ip, vec![offer.clone()]),
     ];
     for (case, from, frames) in cases {
         let mut link = WsLink::dial(from, all[0].peer_addr()).await.unwrap();
@@ -177,14 +173,16 @@
             let _ = link.send(&frame).await;
         }
         let closing = async { while let Ok(Some(_)) = link.recv().await {} };
-        assert!(time::timeout(TEST_TIMEOUT, closing).await.is_ok(), "{case}: the link stays");
+        assert!(
+            time::timeout(TEST_TIMEOUT, closing).await.is_ok(),
+            "{case}: the link was not closed"
+        );
         assert_eq!(version(&node.snapshots.current()), 5, "{case}");
     }
 }
 
-// A neighbour takes a link and then neither reads nor says anything: it is
-// frozen, or something on the way has lost the connection. The link is given up
-// and dialled anew.
+// A link to a neighbour that hangs, or whose connection was lost silently, must be
+// closed and dialled again.
 #[tokio::test]
 async fn a_silent_link_is_dialled_again() {
     let all = ["a", "b"].map(|name| instance(name, ip(5, name.as_bytes()[0])));
@@ -194,7 +192,7 @@
     let mut links = Vec::new();
     for _ in 0..2 {
         let accepted = time::timeout(TEST_TIMEOUT, listener.accept()).await;
-        let (stream, _) = accepted.expect("the link is dialled anew").unwrap();
+        let (stream, _) = accepted.expect("the link is dialled again").unwrap();
         links.push(WsLink::accept(stream).await.unwrap());
     }
 }
