--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -1,4 +1,4 @@
-//! Reading the platform.
+//! Tests of polling the platform.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -62,21 +62,26 @@
     Row { key: "desk".to_owned(), version: 9, value: serde_json::json!({ "service": 7 }) }
 }
 
-// The platform is read a few times, by a script. What is in force at the end
-// never goes back, and only its newest state makes an instance ready.
+// The version in force must never decrease, and only the platform's newest state may
+// make an instance ready.
 #[tokio::test(start_paused = true)]
 async fn policy_reads_set_version_and_readiness() {
     use PolicyRead::{Down, Ok, Paused};
 
     let cases: Vec<(&str, Vec<PolicyRead>, u64, Readiness)> = vec![
-        ("plain", vec![Ok(3, vec![row(5)])], 5, Readiness::Platform),
-        ("down", vec![Down], 0, Readiness::Starting),
-        ("goes down", vec![Ok(3, vec![row(5)]), Down], 5, Readiness::Platform),
-        ("lagging", vec![Ok(3, vec![row(5)]), Ok(2, vec![row(4)])], 5, Readiness::Platform),
-        ("garbage", vec![Ok(3, vec![row(5)]), Ok(4, vec![invalid_row()])], 5, Readiness::Platform),
-        ("row deleted", vec![Ok(3, vec![row(5)]), Ok(4, vec![])], 5, Readiness::Platform),
+        ("one read", vec![Ok(3, vec![row(5)])], 5, Readiness::Platform),
+        ("platform down", vec![Down], 0, Readiness::Starting),
+        ("platform down after a read", vec![Ok(3, vec![row(5)]), Down], 5, Readiness::Platform),
+        ("lagging read", vec![Ok(3, vec![row(5)]), Ok(2, vec![row(4)])], 5, Readiness::Platform),
         (
-            "an old answer",
+            "invalid row",
+            vec![Ok(3, vec![row(5)]), Ok(4, vec![invalid_row()])],
+            5,
+            Readiness::Platform,
+        ),
+        ("deleted row", vec![Ok(3, vec![row(5)]), Ok(4, vec![])], 5, Readiness::Platform),
+        (
+            "response delayed by a pause",
             vec![Paused(3, vec![row(5)], PAUSE_THRESHOLD_MS + 1), Down],
             5,
             Readiness::Woken,
@@ -91,8 +96,8 @@
     }
 }
 
-// The platform comes up between two reads: the list was refused, policies are
-// answered. Served now, every request would find no backend server.
+// If policies are read but the list is not, a ready instance would have no backend
+// server for any request.
 #[tokio::test(start_paused = true)]
 async fn policies_without_an_instance_list_do_not_make_ready() {
     let world = start(&instances(3), &[PolicyRead::Ok(3, vec![row(5)])]);
@@ -103,9 +108,8 @@
     assert!(world.snapshots.current().ready);
 }
 
-// A copy of the platform lags: its answer is older than what was read before. It
-// does not count as a confirmation, or an instance would stay in the answers of
-// the others with a configuration that was replaced meanwhile.
+// If a read from a lagging replica counted as a confirmation, an instance with an
+// outdated configuration would keep getting work.
 #[tokio::test(start_paused = true)]
 async fn an_older_state_is_not_a_confirmation() {
     let older = PolicyRead::Ok(2, vec![row(4)]);
@@ -115,14 +119,17 @@
     let first = world.members.confirmed_at_ms();
     time::sleep(Duration::from_millis(1_100)).await;
     assert_eq!(world.members.confirmed_at_ms(), first);
-    // A platform that was restored stays older; in the end that is its state.
+    // After a restore from a backup, the state stays older and is accepted in the end.
     time::sleep(Duration::from_secs(5)).await;
     assert!(world.members.confirmed_at_ms() > first);
-    assert!(world.platform.requested_sequences.lock().unwrap().contains(&0), "all is read again");
+    assert!(
+        world.platform.requested_sequences.lock().unwrap().contains(&0),
+        "reading did not start again from 0"
+    );
     assert_eq!(version(&world.snapshots), 5);
 }
 
-// All instances together read the platform at a fixed rate.
+// The rate of reads of all instances together must not grow with their number.
 #[tokio::test(start_paused = true)]
 async fn instances_share_the_read_rate() {
     for count in [3, 90, 680] {
@@ -131,12 +138,12 @@
         let polls = world.platform.requested_sequences.lock().unwrap().len();
         let reads_per_s = polls as f64 * 2.0 * count as f64 / 600.0;
         let limit = (READS_PER_S as f64 * 1.1).max(4.0 * count.min(10) as f64 * 1.5);
-        assert!(reads_per_s <= limit, "{count} instances read {reads_per_s} a second");
+        assert!(reads_per_s <= limit, "{count} instances: {reads_per_s} reads/s, limit {limit}");
     }
 }
 
-// The platform is down when an instance starts. One peer may be as ignorant of a
-// change as anyone; two that agree are enough, and the instance says so.
+// A single peer may have missed a change, so one that agrees must not be enough to
+// become ready.
 #[tokio::test(start_paused = true)]
 async fn two_agreeing_peers_make_an_instance_ready_while_the_platform_is_down() {
     let world = start(&instances(5), &[PolicyRead::Down]);
@@ -156,7 +163,7 @@
     receive(2, other_digest);
     receive(3, not_ready);
     time::sleep(Duration::from_millis(600)).await;
-    assert!(!world.snapshots.current().ready, "one peer agrees");
+    assert!(!world.snapshots.current().ready, "ready with only one agreeing peer");
     receive(1, heartbeat);
     receive(2, heartbeat);
     time::sleep(Duration::from_millis(600)).await;
