--- a/crates/azuregate/tests/configuration/probe.rs
+++ b/crates/azuregate/tests/configuration/probe.rs
@@ -1,4 +1,4 @@
-//! Probing backend servers, and what becomes of connections to them.
+//! Tests of probing backend servers and of closing their pooled connections.
 
 use std::{
     collections::HashSet,
@@ -25,18 +25,18 @@
 
 use crate::world::{JumpClock, instance, ready, run_pending_tasks, server};
 
-/// How a backend server takes a probe.
+/// How a backend server fails.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 enum Fault {
-    /// No connection.
+    /// It refuses connections.
     ConnectionRefused,
-    /// It takes connections and never answers.
+    /// It accepts connections and never answers.
     NoResponse,
-    /// It refuses, which is an answer.
+    /// It answers with 503, which counts as reachable.
     Overloaded,
 }
 
-/// Dials servers, some of which are in trouble.
+/// Dials fake servers, some of which fail.
 #[derive(Clone, Default)]
 struct FakeDialer {
     faults: Arc<Mutex<HashSet<(u16, Fault)>>>,
@@ -81,7 +81,8 @@
     }
 }
 
-/// Four servers with ports from 1, and one instance, which watches all of them.
+/// Starts a configuration with four servers, on ports from 1, and one instance, which
+/// probes all of them.
 fn start_with_servers(clock: &Arc<JumpClock>) -> (Config, Snapshots) {
     let backends = (0..4).map(|index| BackendServer {
         addr: SocketAddr::new([127, 0, 0, 1].into(), index + 1),
@@ -95,17 +96,21 @@
     snapshots.current().unreachable.iter().map(ToString::to_string).collect()
 }
 
-// Servers get into trouble for some seconds. They are out of service while they do
-// not answer, and are back with the same start number.
+// Servers that do not answer probes must be marked as unreachable, and be reachable
+// again, with the same start number, when they answer.
 #[tokio::test(start_paused = true)]
 async fn failing_servers_are_unreachable_until_they_answer() {
     let [first, second, third] = [1, 2, 3].map(|port| (port, Fault::ConnectionRefused));
     let cases = [
-        ("all answer", vec![], vec![]),
-        ("gone", vec![first], vec!["desk-0"]),
-        ("silent", vec![(2, Fault::NoResponse)], vec!["desk-1"]),
-        ("sheds", vec![(3, Fault::Overloaded)], vec![]),
-        ("the watcher is cut off", vec![first, second, third], vec![]),
+        ("no fault", vec![], vec![]),
+        ("connection refused", vec![first], vec!["desk-0"]),
+        ("no response", vec![(2, Fault::NoResponse)], vec!["desk-1"]),
+        ("overloaded", vec![(3, Fault::Overloaded)], vec![]),
+        (
+            "most servers fail, so the prober is assumed to be at fault",
+            vec![first, second, third],
+            vec![],
+        ),
     ];
     for (case, faults, expected) in cases {
         let (config, snapshots) = start_with_servers(&JumpClock::start());
@@ -125,12 +130,11 @@
         assert_eq!(unreachable(&snapshots), expected, "{case}");
         dialer.faults.lock().unwrap().clear();
         time::sleep(Duration::from_secs(3)).await;
-        assert!(unreachable(&snapshots).is_empty(), "{case}: they answer again");
+        assert!(unreachable(&snapshots).is_empty(), "{case}: not reachable again");
     }
 }
 
-// A server leaves by whatever sign. A connection to it that was kept for the next
-// request would carry that request there.
+// A pooled connection to a leaving server would carry the next request to it.
 #[tokio::test(start_paused = true)]
 async fn pooled_connections_to_a_leaving_server_are_closed() {
     let clock = JumpClock::start();
@@ -145,6 +149,6 @@
     }
     config.change(Change::Leaving(server(0).id, StartNumber(1), Source::Peer));
     run_pending_tasks().await;
-    assert!(pool.take(addrs[0]).await.is_none(), "it is leaving");
-    assert!(pool.take(addrs[1]).await.is_some(), "it is not");
+    assert!(pool.take(addrs[0]).await.is_none(), "leaving server");
+    assert!(pool.take(addrs[1]).await.is_some(), "other server");
 }
