--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/answer.rs
@@ -2,7 +2,7 @@
 //! request.
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody},
+    claim::{StoredBody, StoredResponse},
     error::{Error, ErrorKind},
 };
 use bytes::Bytes;
@@ -36,13 +36,13 @@
 impl CompleteAnswer {
     /// Returns the answer as a claim stores it, and its body. Headers whose values
     /// are not text are left out.
-    pub(crate) fn to_kept(&self) -> (KeptAnswer, Bytes) {
+    pub(crate) fn to_kept(&self) -> (StoredResponse, Bytes) {
         let headers = self.head.headers.iter();
         let headers = headers
             .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
             .collect();
-        let body = KeptBody::Inline(self.bytes.to_vec());
-        let kept = KeptAnswer { status: self.head.status.as_u16(), headers, body };
+        let body = StoredBody::Inline(self.bytes.to_vec());
+        let kept = StoredResponse { status: self.head.status.as_u16(), headers, body };
         (kept, self.bytes.clone())
     }
 
@@ -75,14 +75,14 @@
 /// if it is there.
 pub(crate) async fn replay(
     platform: &dyn Platform,
-    kept: KeptAnswer,
+    kept: StoredResponse,
 ) -> Result<Response<Body>, Error> {
     let bytes = match kept.body {
-        KeptBody::Inline(bytes) => Bytes::from(bytes),
-        KeptBody::Object(name) => {
+        StoredBody::Inline(bytes) => Bytes::from(bytes),
+        StoredBody::Object(name) => {
             let object = platform.get_object(&name).await;
             let object = object.map_err(|e| {
-                Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_earlier_unknown()
+                Error::new(ErrorKind::ClaimUnknown, e.to_string()).with_unknown_earlier_attempt()
             })?;
             let gone = || Error::new(ErrorKind::AnswerNotKept, format!("object {name} not found"));
             object.ok_or_else(gone)?
--- a/crates/azuregate/src/claims/cleanup.rs
+++ b/crates/azuregate/src/claims/cleanup.rs
@@ -50,7 +50,7 @@
         // With different clocks or instance lists, two instances may sweep at the
         // same time, or none. Rows are deleted only at the version that was read,
         // so concurrent sweeps are safe.
-        if claim::cleaner(&snapshot.instances, now_ms) != Some(&self.instance) {
+        if claim::cleanup_instance(&snapshot.instances, now_ms) != Some(&self.instance) {
             return;
         }
         for _ in 0..MAX_PAGES_PER_SWEEP {
@@ -70,15 +70,15 @@
         let asked_at_ms = self.clock.now();
         let page = self.platform.page(Table::Claim, 0, PAGE_ROWS).await?;
         let now_ms = self.clock.epoch();
-        let is_old = |row: &Row| {
+        let is_expired = |row: &Row| {
             let claim: Option<Claim> = serde_json::from_value(row.value.clone()).ok();
-            claim.is_some_and(|claim| claim.is_old(now_ms))
+            claim.is_some_and(|claim| claim.is_expired(now_ms))
         };
         let delete = |row: Row| {
             let expect = Expect::Version(row.version);
             Write { table: Table::Claim, key: row.key, expect, value: None }
         };
-        let writes: Vec<Write> = page.rows.into_iter().filter(is_old).map(delete).collect();
+        let writes: Vec<Write> = page.rows.into_iter().filter(is_expired).map(delete).collect();
         if writes.is_empty() {
             return Ok(0);
         }
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -1,7 +1,7 @@
 //! Claims in the memory of this process, owned by one task.
 
 use azuregate_core::{
-    claim::{Settled, Verdict},
+    claim::{Decision, Settled},
     error::{Error, ErrorKind},
     home::{Config, HomeTable},
     names::StartNumber,
@@ -16,8 +16,8 @@
     sender: mpsc::UnboundedSender<Message>,
 }
 
-struct Decision {
-    verdict: Verdict,
+struct ClaimReply {
+    verdict: Decision,
     sequence: u64,
     /// Time until a full table accepts another key.
     room_in_ms: u64,
@@ -31,9 +31,19 @@
 }
 
 enum Message {
-    Claim { key: String, fingerprint: u64, issued_at_ms: Millis, reply: oneshot::Sender<Decision> },
-    Settle { held: HeldKey, settled: Settled },
-    Release { held: HeldKey },
+    Claim {
+        key: String,
+        fingerprint: u64,
+        issued_at_ms: Millis,
+        reply: oneshot::Sender<ClaimReply>,
+    },
+    Settle {
+        held: HeldKey,
+        settled: Settled,
+    },
+    Release {
+        held: HeldKey,
+    },
 }
 
 impl Home {
@@ -48,15 +58,15 @@
         &self,
         request: ClaimRequest<'_>,
         issued_at_ms: Millis,
-    ) -> Result<(Verdict, HeldKey), Error> {
+    ) -> Result<(Decision, HeldKey), Error> {
         let key = format!("{}/{}", request.service, request.key);
         let (reply, answer) = oneshot::channel();
         let fingerprint = request.fingerprint;
         let _ =
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let decision = answer.await.map_err(gone).map_err(Error::with_earlier_unknown)?;
-        if decision.verdict == Verdict::Refuse(ErrorKind::ClaimsFull) {
+        let decision = answer.await.map_err(gone).map_err(Error::with_unknown_earlier_attempt)?;
+        if decision.verdict == Decision::Reject(ErrorKind::ClaimsFull) {
             let error = Error::new(ErrorKind::ClaimsFull, "the table of idempotency keys is full");
             return Err(error.with_retry_after_ms(decision.room_in_ms));
         }
@@ -86,8 +96,8 @@
             Message::Claim { key, fingerprint, issued_at_ms, reply } => {
                 let now_ms = origin_ms + clock.now();
                 let (verdict, sequence) = table.claim(&key, fingerprint, issued_at_ms, now_ms);
-                let room_in_ms = table.room_in_ms(now_ms);
-                let _ = reply.send(Decision { verdict, sequence, room_in_ms });
+                let room_in_ms = table.next_expiry_in_ms(now_ms);
+                let _ = reply.send(ClaimReply { verdict, sequence, room_in_ms });
             }
             Message::Settle { held, settled } => table.settle(&held.key, held.sequence, settled),
             Message::Release { held } => table.release(&held.key, held.sequence),
--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -17,7 +17,7 @@
 use std::{sync::Arc, time::Duration};
 
 use azuregate_core::{
-    claim::{KeptAnswer, Settled, Verdict},
+    claim::{Decision, Settled, StoredResponse},
     error::{Error, ErrorKind, Outcome},
     home::HomeToken,
     names::{InstanceId, ServiceName, StartNumber},
@@ -74,7 +74,7 @@
     /// The request must be run, and the claim settled afterwards.
     Run(HeldClaim),
     /// The request ran before, with this answer.
-    Repeat(KeptAnswer),
+    Repeat(StoredResponse),
 }
 
 impl Claims {
@@ -135,9 +135,9 @@
             }
         };
         match verdict {
-            Verdict::Run => Ok(ClaimDecision::Run(HeldClaim(held))),
-            Verdict::Repeat(kept) => Ok(ClaimDecision::Repeat(kept)),
-            Verdict::Refuse(kind) => {
+            Decision::Run => Ok(ClaimDecision::Run(HeldClaim(held))),
+            Decision::Replay(kept) => Ok(ClaimDecision::Repeat(kept)),
+            Decision::Reject(kind) => {
                 Err(Error::new(kind, format!("the idempotency key is {:?}", request.key)))
             }
         }
@@ -187,7 +187,7 @@
     /// # Errors
     ///
     /// Fails if the body cannot be read from the object store.
-    pub async fn replay(&self, kept: KeptAnswer) -> Result<Response<Body>, Error> {
+    pub async fn replay(&self, kept: StoredResponse) -> Result<Response<Body>, Error> {
         answer::replay(self.platform.as_ref(), kept).await
     }
 
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -9,7 +9,7 @@
 };
 
 use azuregate_core::{
-    claim::{self, AttemptId, Claim, KeptBody, Settled, Verdict},
+    claim::{self, AttemptId, Claim, Decision, Settled, StoredBody},
     error::{Error, ErrorKind},
     names::{InstanceId, StartNumber},
     time::Millis,
@@ -67,7 +67,7 @@
     pub(crate) async fn claim(
         &self,
         request: ClaimRequest<'_>,
-    ) -> Result<(Verdict, HeldRow), Error> {
+    ) -> Result<(Decision, HeldRow), Error> {
         let attempt = AttemptId {
             instance: self.owner.instance.clone(),
             start: self.owner.start,
@@ -92,7 +92,7 @@
 
     /// Inserts the row, retrying on errors. A retry is safe: the attempt in the row
     /// tells whether an earlier insert took effect whose response was lost.
-    async fn insert(&self, mut held: HeldRow) -> Result<(Verdict, HeldRow), Error> {
+    async fn insert(&self, mut held: HeldRow) -> Result<(Decision, HeldRow), Error> {
         let write = held.write(Expect::Absent)?;
         let mut may_be_inserted = false;
         let mut detail = "the claim of another request was just deleted".to_owned();
@@ -100,14 +100,14 @@
             match self.platform.transact(std::slice::from_ref(&write)).await {
                 Ok(Commit::Done(versions)) => {
                     held.row_version = versions.first().copied().unwrap_or(1);
-                    return Ok((Verdict::Run, held));
+                    return Ok((Decision::Run, held));
                 }
                 Ok(Commit::Conflict { row: Some(row), .. }) => {
                     let existing: Claim = serde_json::from_value(row.value).map_err(internal)?;
                     held.row_version = row.version;
                     let live = self.may_still_run(&existing);
                     let own = &held.claim;
-                    let verdict = claim::judge(&existing, &own.attempt, own.fingerprint, live);
+                    let verdict = claim::decide(&existing, &own.attempt, own.fingerprint, live);
                     return Ok((verdict, held));
                 }
                 Ok(Commit::Conflict { row: None, .. }) => {}
@@ -153,7 +153,7 @@
         {
             // With the attempt in its name, the object belongs to one request only.
             let name = format!("answer/{}/{}", held.key, held.claim.attempt);
-            kept.body = KeptBody::Object(name.clone());
+            kept.body = StoredBody::Object(name.clone());
             object = Some((name, bytes));
         }
         held.claim.settled = Some(settled);
@@ -183,7 +183,7 @@
 /// Creates an error from before the claim was read, when an earlier request may
 /// have used the key.
 fn earlier_unknown(kind: ErrorKind, detail: impl Into<String>) -> Error {
-    Error::new(kind, detail).with_earlier_unknown()
+    Error::new(kind, detail).with_unknown_earlier_attempt()
 }
 
 fn internal(e: impl ToString) -> Error {
--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -46,7 +46,7 @@
             return snapshot;
         }
         let mut unconfirmed = Snapshot::clone(&snapshot);
-        unconfirmed.set_readiness(Readiness::Woken);
+        unconfirmed.set_readiness(Readiness::Resumed);
         Arc::new(unconfirmed)
     }
 
@@ -168,7 +168,7 @@
             most_others_available(snapshot, &backend)
                 && mark_leaving(snapshot, &backend, start, &Source::Backend)
         }
-        Change::Started(instance, start) => snapshot.add_start(&instance, start),
+        Change::Started(instance, start) => snapshot.record_start(&instance, start),
         Change::Stopping(instance, start) => {
             let is_new = snapshot.stopping.insert((instance.clone(), start));
             if is_new {
@@ -177,9 +177,9 @@
             is_new
         }
         Change::Away(away) => {
-            let changed = snapshot.set_away(away);
+            let changed = snapshot.set_unavailable(away);
             if changed {
-                log::info!(away:? = snapshot.away; "instances away");
+                log::info!(away:? = snapshot.unavailable; "instances away");
             }
             changed
         }
@@ -188,7 +188,7 @@
         Change::ConfirmedByPeers(count) => {
             !snapshot.ready && set_readiness(snapshot, Readiness::Peers(count))
         }
-        Change::PauseDetected => set_readiness(snapshot, Readiness::Woken),
+        Change::PauseDetected => set_readiness(snapshot, Readiness::Resumed),
         Change::WatchdogTick(_) => false,
     }
 }
@@ -220,7 +220,7 @@
     start: StartNumber,
     source: &Source,
 ) -> bool {
-    let is_new = snapshot.add_leaving(backend, start);
+    let is_new = snapshot.mark_leaving(backend, start);
     if is_new {
         log::info!(backend:% = backend, start:% = start, source:? = source; "backend server leaving");
     }
@@ -244,7 +244,7 @@
 
 fn apply_probes(snapshot: &mut Snapshot, watcher: &InstanceId, report: ProbeReport) -> bool {
     let before = snapshot.unreachable.clone();
-    let changed = snapshot.add_probes(watcher, report);
+    let changed = snapshot.record_probe_report(watcher, report);
     if before != snapshot.unreachable {
         log::warn!(backends:? = snapshot.unreachable; "backend servers unreachable");
     }
--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -1,7 +1,7 @@
 //! Tracks which other instances are available, and detects pauses of this process.
 
 use azuregate_core::{
-    membership::{Heartbeat, Membership, Pace, READY_PEERS},
+    membership::{Heartbeat, HeartbeatTiming, Membership, READY_QUORUM},
     names::{InstanceId, StartNumber},
     neighbours,
     snapshot::{Instance, Snapshot},
@@ -130,12 +130,12 @@
         match message {
             Message::Heartbeat(id, start, heartbeat) => {
                 let digest = self.parts.snapshots.current().digest();
-                self.membership.heard(&id, start, heartbeat, digest, now_ms);
+                self.membership.record_heartbeat(&id, start, heartbeat, digest, now_ms);
             }
             Message::PlatformRead if self.was_paused(now_ms) => {}
             Message::PlatformRead => {
                 self.platform_down = false;
-                self.membership.confirmed(now_ms);
+                self.membership.record_confirmation(now_ms);
                 // In this order: otherwise an instance that has just started would
                 // be ready while its own snapshot still lists it as away.
                 self.publish_away(now_ms);
@@ -150,7 +150,7 @@
         if self.was_paused(now_ms) {
             // Changes made during the pause have not arrived here.
             log::warn!(paused_ms = now_ms.since(self.last_check_at_ms).0; "process was paused");
-            self.membership.woke(now_ms);
+            self.membership.reset_after_pause(now_ms);
             self.parts.config.change(Change::PauseDetected);
         }
         self.last_check_at_ms = now_ms;
@@ -166,7 +166,7 @@
     }
 
     fn publish_away(&mut self, now_ms: Millis) {
-        let away = self.membership.away(now_ms);
+        let away = self.membership.unavailable(now_ms);
         if away != self.away {
             self.away = away.clone();
             self.parts.config.change(Change::Away(away));
@@ -177,12 +177,13 @@
         if !Arc::ptr_eq(&self.listed, &snapshot.listed) {
             self.listed = Arc::clone(&snapshot.listed);
             let neighbours = neighbours::neighbours(&self.parts.instance, &self.listed);
-            self.membership.watch(&neighbours, now_ms);
-            self.membership.set_pace(Pace::of(self.listed.len()));
+            self.membership.set_neighbours(&neighbours, now_ms);
+            self.membership
+                .set_heartbeat_timing(HeartbeatTiming::for_deployment(self.listed.len()));
         }
-        self.membership.set_confirm_limit(snapshot.confirm_limit_ms());
+        self.membership.set_confirmation_timeout_ms(snapshot.confirmation_timeout_ms());
         for (instance, start) in &snapshot.stopping {
-            self.membership.stopping(instance, *start);
+            self.membership.record_stopping(instance, *start);
         }
     }
 
@@ -190,8 +191,8 @@
     /// same versions. This is safe: while the platform is down, no change can be
     /// committed that those peers do not know.
     fn confirm_by_peers(&self, snapshot: &Snapshot, now_ms: Millis) {
-        let required_peers = READY_PEERS.min(self.listed.len().saturating_sub(1)).max(1);
-        let agreeing_peers = self.membership.agreeing(now_ms);
+        let required_peers = READY_QUORUM.min(self.listed.len().saturating_sub(1)).max(1);
+        let agreeing_peers = self.membership.agreeing_peers(now_ms);
         if self.platform_down && !snapshot.ready && agreeing_peers >= required_peers {
             self.parts.config.change(Change::ConfirmedByPeers(agreeing_peers));
         }
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -4,7 +4,7 @@
 
 use azuregate_core::{
     names::{BackendId, InstanceId, StartNumber},
-    probe::{ProbeReport, Watch, watched},
+    probe::{ProbeReport, ProbeTracker, watched_servers},
     snapshot::{BackendServer, Snapshot},
 };
 use futures_util::future;
@@ -42,25 +42,25 @@
     /// Probes until the task is aborted.
     pub async fn serve(self) {
         let mut ticks = self.timer.subscribe(PROBE_INTERVAL_MS);
-        let mut watch = Watch::default();
+        let mut tracker = ProbeTracker::default();
         let mut report = self.report(0, BTreeSet::new());
         let mut last_snapshot = self.snapshots.current();
-        let mut servers = watched(&self.instance, &last_snapshot);
+        let mut servers = watched_servers(&self.instance, &last_snapshot);
         while ticks.recv().await.is_some() {
             let snapshot = self.snapshots.current();
             // Assigning the servers hashes every pair of an instance and a server,
             // which takes 0.2 s of CPU time with 680 instances and 3,000 servers, so
             // it is done only when a list has changed.
-            if !snapshot.has_lists_of(&last_snapshot) {
-                servers = watched(&self.instance, &snapshot);
+            if !snapshot.shares_lists_with(&last_snapshot) {
+                servers = watched_servers(&self.instance, &snapshot);
                 last_snapshot = snapshot;
             }
-            watch.set_servers(&servers.iter().map(|server| server.id.clone()).collect());
+            tracker.set_servers(&servers.iter().map(|server| server.id.clone()).collect());
             let probes = servers.iter().map(|server| self.probe(server));
             for (id, answered) in future::join_all(probes).await {
-                watch.probed(&id, answered);
+                tracker.record_probe(&id, answered);
             }
-            let failed = watch.failed();
+            let failed = tracker.failed_servers();
             if failed != report.failed {
                 report = self.report(report.sequence + 1, failed);
                 self.config.change(Change::Probes(self.instance.clone(), report.clone()));
--- a/crates/azuregate/tests/configuration/config.rs
+++ b/crates/azuregate/tests/configuration/config.rs
@@ -39,7 +39,7 @@
 
     clock.jump(PAUSE_THRESHOLD_MS + 1);
     let after_pause = snapshots.current();
-    assert_eq!((after_pause.ready, after_pause.readiness), (false, Readiness::Woken));
+    assert_eq!((after_pause.ready, after_pause.readiness), (false, Readiness::Resumed));
 
     config.change(Change::PauseDetected);
     config.change(Change::WatchdogTick(1_000 + PAUSE_THRESHOLD_MS + 1));
--- a/crates/azuregate/tests/configuration/poll.rs
+++ b/crates/azuregate/tests/configuration/poll.rs
@@ -84,7 +84,7 @@
             "response delayed by a pause",
             vec![Paused(3, vec![row(5)], PAUSE_THRESHOLD_MS + 1), Down],
             5,
-            Readiness::Woken,
+            Readiness::Resumed,
         ),
     ];
     for (case, reads, in_force, readiness) in cases {
