--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -7,10 +7,10 @@
 the header names (`home`), without any call to the platform.
 */
 
-mod answer;
 mod cleanup;
 mod held;
 mod home;
+mod response;
 mod retry_queue;
 mod rows;
 
@@ -74,7 +74,7 @@
     /// The request must be run, and the claim settled afterwards.
     Run(HeldClaim),
     /// The request ran before, with this answer.
-    Repeat(StoredResponse),
+    Replay(StoredResponse),
 }
 
 impl Claims {
@@ -136,7 +136,7 @@
         };
         match verdict {
             Decision::Run => Ok(ClaimDecision::Run(HeldClaim(held))),
-            Decision::Replay(kept) => Ok(ClaimDecision::Repeat(kept)),
+            Decision::Replay(stored) => Ok(ClaimDecision::Replay(stored)),
             Decision::Reject(kind) => {
                 Err(Error::new(kind, format!("the idempotency key is {:?}", request.key)))
             }
@@ -165,13 +165,13 @@
                 return Err(e);
             }
         };
-        match answer::buffer(response).await {
-            Ok(answer::Buffered::Complete(answer)) => {
-                let (kept, bytes) = answer.to_kept();
-                self.record(held, Settled::Answer(kept), Some(bytes)).await;
-                Ok(answer.into_response())
+        match response::buffer(response).await {
+            Ok(response::Buffered::Complete(buffered)) => {
+                let (stored, bytes) = buffered.to_stored();
+                self.record(held, Settled::Answer(stored), Some(bytes)).await;
+                Ok(buffered.into_response())
             }
-            Ok(answer::Buffered::TooLarge(response)) => {
+            Ok(response::Buffered::TooLarge(response)) => {
                 self.record(held, Settled::NotKept, None).await;
                 Ok(response)
             }
@@ -187,8 +187,8 @@
     /// # Errors
     ///
     /// Fails if the body cannot be read from the object store.
-    pub async fn replay(&self, kept: StoredResponse) -> Result<Response<Body>, Error> {
-        answer::replay(self.platform.as_ref(), kept).await
+    pub async fn replay(&self, stored: StoredResponse) -> Result<Response<Body>, Error> {
+        response::replay(self.platform.as_ref(), stored).await
     }
 
     /// Waits until pending writes are in the platform, for at most 10 seconds.
--- a/crates/azuregate/src/claims/answer.rs
+++ b/crates/azuregate/src/claims/response.rs
@@ -17,33 +17,33 @@
 
 /// The largest answer body that is stored. A larger one is streamed to the caller,
 /// and a repeated request learns only that the request ran.
-const MAX_KEPT_BYTES: usize = 1 << 20;
+const MAX_STORED_BYTES: usize = 1 << 20;
 
 /// The result of buffering an answer.
 pub(crate) enum Buffered {
     /// The body is in memory.
-    Complete(CompleteAnswer),
-    /// The body exceeds [`MAX_KEPT_BYTES`]; the response streams all of it.
+    Complete(CompleteResponse),
+    /// The body exceeds [`MAX_STORED_BYTES`]; the response streams all of it.
     TooLarge(Response<Body>),
 }
 
 /// An answer whose body is in memory.
-pub(crate) struct CompleteAnswer {
+pub(crate) struct CompleteResponse {
     head: response::Parts,
     bytes: Bytes,
 }
 
-impl CompleteAnswer {
+impl CompleteResponse {
     /// Returns the answer as a claim stores it, and its body. Headers whose values
     /// are not text are left out.
-    pub(crate) fn to_kept(&self) -> (StoredResponse, Bytes) {
+    pub(crate) fn to_stored(&self) -> (StoredResponse, Bytes) {
         let headers = self.head.headers.iter();
         let headers = headers
             .filter_map(|(name, value)| Some((name.to_string(), value.to_str().ok()?.to_owned())))
             .collect();
         let body = StoredBody::Inline(self.bytes.to_vec());
-        let kept = StoredResponse { status: self.head.status.as_u16(), headers, body };
-        (kept, self.bytes.clone())
+        let stored = StoredResponse { status: self.head.status.as_u16(), headers, body };
+        (stored, self.bytes.clone())
     }
 
     pub(crate) fn into_response(self) -> Response<Body> {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads an answer into memory, up to [`MAX_KEPT_BYTES`] of body.
+/// Reads an answer into memory, up to [`MAX_STORED_BYTES`] of body.
 pub(crate) async fn buffer(response: Response<Body>) -> Result<Buffered, Error> {
     let (head, mut rest) = response.into_parts();
     let mut frames = Vec::new();
@@ -61,23 +61,23 @@
         let Ok(data) = frame.into_data() else { continue };
         length += data.len();
         frames.push(data);
-        if length > MAX_KEPT_BYTES {
+        if length > MAX_STORED_BYTES {
             let first = stream::iter(frames).map(|data| Ok(Frame::data(data)));
             let all = first.chain(BodyStream::new(rest));
             let body = BodyExt::boxed_unsync(StreamBody::new(all));
             return Ok(Buffered::TooLarge(Response::from_parts(head, body)));
         }
     }
-    Ok(Buffered::Complete(CompleteAnswer { head, bytes: frames.concat().into() }))
+    Ok(Buffered::Complete(CompleteResponse { head, bytes: frames.concat().into() }))
 }
 
 /// Builds a response from a stored answer, reading its body from the object store
 /// if it is there.
 pub(crate) async fn replay(
     platform: &dyn Platform,
-    kept: StoredResponse,
+    stored: StoredResponse,
 ) -> Result<Response<Body>, Error> {
-    let bytes = match kept.body {
+    let bytes = match stored.body {
         StoredBody::Inline(bytes) => Bytes::from(bytes),
         StoredBody::Object(name) => {
             let object = platform.get_object(&name).await;
@@ -88,8 +88,8 @@
             object.ok_or_else(gone)?
         }
     };
-    let mut builder = Response::builder().status(kept.status);
-    for (name, value) in &kept.headers {
+    let mut builder = Response::builder().status(stored.status);
+    for (name, value) in &stored.headers {
         builder = builder.header(name, value);
     }
     builder
--- a/crates/azuregate/src/claims/retry_queue.rs
+++ b/crates/azuregate/src/claims/retry_queue.rs
@@ -28,7 +28,7 @@
 /// Further writes are dropped. A repeated request then gets the outcome `unknown`.
 const MAX_QUEUED_WRITES: usize = 4_096;
 /// Limits the memory of queued answers. Of further ones, only the outcome is stored.
-const MAX_QUEUED_ANSWER_BYTES: usize = 16 << 20;
+const MAX_QUEUED_RESPONSE_BYTES: usize = 16 << 20;
 /// The age of a claim after which its writes are dropped. It must be longer than any
 /// deadline, and much shorter than the retention of claims; see `is_expired`.
 const RETRY_LIMIT_MS: u64 = 2 * 3_600_000;
@@ -52,38 +52,38 @@
 /// A handle to the task that retries writes.
 pub(crate) struct RetryQueue {
     sender: mpsc::Sender<Message>,
-    answer_bytes: Arc<AtomicUsize>,
+    response_bytes: Arc<AtomicUsize>,
 }
 
 impl RetryQueue {
     /// Starts the task; it ends when the handle is dropped and the queue is empty.
     pub(crate) fn start(platform: SharedPlatform, clock: SharedClock) -> RetryQueue {
         let (sender, receiver) = mpsc::channel(MAX_QUEUED_WRITES);
-        let answer_bytes = Arc::new(AtomicUsize::new(0));
+        let response_bytes = Arc::new(AtomicUsize::new(0));
         let task = Task {
             platform,
             clock,
             receiver,
-            answer_bytes: Arc::clone(&answer_bytes),
+            response_bytes: Arc::clone(&response_bytes),
             queue: VecDeque::new(),
             flush_waiters: Vec::new(),
         };
         tokio::spawn(task.serve());
-        RetryQueue { sender, answer_bytes }
+        RetryQueue { sender, response_bytes }
     }
 
     /// Adds a write, or drops it if the queue is full.
     pub(crate) fn add(&self, mut write: PendingWrite) {
-        let queued_bytes = self.answer_bytes.load(Ordering::Relaxed);
-        if queued_bytes + write.answer_bytes() > MAX_QUEUED_ANSWER_BYTES {
-            write.discard_answer();
+        let queued_bytes = self.response_bytes.load(Ordering::Relaxed);
+        if queued_bytes + write.response_bytes() > MAX_QUEUED_RESPONSE_BYTES {
+            write.discard_response();
         }
-        let answer_bytes = write.answer_bytes();
+        let response_bytes = write.response_bytes();
         if self.sender.try_send(Message::Write(write)).is_err() {
             log::warn!("claim retry queue is full; write dropped");
             return;
         }
-        self.answer_bytes.fetch_add(answer_bytes, Ordering::Relaxed);
+        self.response_bytes.fetch_add(response_bytes, Ordering::Relaxed);
     }
 
     /// Waits until the queue is empty.
@@ -99,7 +99,7 @@
     platform: SharedPlatform,
     clock: SharedClock,
     receiver: mpsc::Receiver<Message>,
-    answer_bytes: Arc<AtomicUsize>,
+    response_bytes: Arc<AtomicUsize>,
     queue: VecDeque<PendingWrite>,
     flush_waiters: Vec<oneshot::Sender<()>>,
 }
@@ -112,7 +112,7 @@
                 false => write.run(self.platform.as_ref()).await.is_ok(),
             };
             if is_done {
-                self.answer_bytes.fetch_sub(write.answer_bytes(), Ordering::Relaxed);
+                self.response_bytes.fetch_sub(write.response_bytes(), Ordering::Relaxed);
                 continue;
             }
             // To the end of the queue, so that a write that keeps failing does not
@@ -159,7 +159,7 @@
         is_expired
     }
 
-    fn answer_bytes(&self) -> usize {
+    fn response_bytes(&self) -> usize {
         match self {
             PendingWrite::Settle { object: Some((_, bytes)), .. } => bytes.len(),
             _ => 0,
@@ -167,7 +167,7 @@
     }
 
     /// Replaces the answer by the outcome alone.
-    fn discard_answer(&mut self) {
+    fn discard_response(&mut self) {
         if let PendingWrite::Settle { held, object } = self {
             held.claim.settled = Some(Settled::NotKept);
             *object = None;
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -148,12 +148,12 @@
         body: Option<Bytes>,
     ) {
         let mut object = None;
-        if let Settled::Answer(kept) = &mut settled
+        if let Settled::Answer(stored) = &mut settled
             && let Some(bytes) = body.filter(|bytes| bytes.len() > INLINE_LIMIT_BYTES)
         {
             // With the attempt in its name, the object belongs to one request only.
             let name = format!("answer/{}/{}", held.key, held.claim.attempt);
-            kept.body = StoredBody::Object(name.clone());
+            stored.body = StoredBody::Object(name.clone());
             object = Some((name, bytes));
         }
         held.claim.settled = Some(settled);
--- a/crates/azuregate/src/gateway/keyed.rs
+++ b/crates/azuregate/src/gateway/keyed.rs
@@ -75,7 +75,7 @@
                 let result = self.forward.run(&head, payload).await;
                 claims.settle(held, result).await
             }
-            ClaimDecision::Repeat(kept) => claims.replay(kept).await,
+            ClaimDecision::Replay(kept) => claims.replay(kept).await,
         }
     }
 }
