--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -100,7 +100,7 @@
     /// An instance has started a planned stop.
     Stopping(InstanceId, StartNumber),
     /// The instances that get no new work, as determined from the peer links.
-    Away(BTreeSet<InstanceId>),
+    Unavailable(BTreeSet<InstanceId>),
     /// The probe results of the given instance.
     Probes(InstanceId, ProbeReport),
     /// All policies of the platform have been applied.
@@ -176,8 +176,8 @@
             }
             is_new
         }
-        Change::Away(away) => {
-            let changed = snapshot.set_unavailable(away);
+        Change::Unavailable(unavailable) => {
+            let changed = snapshot.set_unavailable(unavailable);
             if changed {
                 log::info!(away:? = snapshot.unavailable; "instances away");
             }
--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -55,7 +55,7 @@
         let task = Task {
             membership: Membership::new(&parts.instance),
             listed: Arc::from([]),
-            away: BTreeSet::new(),
+            unavailable: BTreeSet::new(),
             last_check_at_ms: parts.clock.now(),
             platform_down: false,
             publish,
@@ -97,7 +97,7 @@
     parts: Parts,
     membership: Membership,
     listed: Arc<[Instance]>,
-    away: BTreeSet<InstanceId>,
+    unavailable: BTreeSet<InstanceId>,
     last_check_at_ms: Millis,
     platform_down: bool,
     publish: watch::Sender<Option<Millis>>,
@@ -138,7 +138,7 @@
                 self.membership.record_confirmation(now_ms);
                 // In this order: otherwise an instance that has just started would
                 // be ready while its own snapshot still lists it as away.
-                self.publish_away(now_ms);
+                self.publish_unavailable(now_ms);
                 self.parts.config.change(Change::Confirmed);
             }
             Message::PlatformReadFailed => self.platform_down = true,
@@ -157,7 +157,7 @@
         self.parts.config.change(Change::WatchdogTick(now_ms.0));
         let snapshot = self.parts.snapshots.current();
         self.update_neighbours(&snapshot, now_ms);
-        self.publish_away(now_ms);
+        self.publish_unavailable(now_ms);
         self.confirm_by_peers(&snapshot, now_ms);
     }
 
@@ -165,11 +165,11 @@
         now_ms.since(self.last_check_at_ms).0 > PAUSE_THRESHOLD_MS
     }
 
-    fn publish_away(&mut self, now_ms: Millis) {
-        let away = self.membership.unavailable(now_ms);
-        if away != self.away {
-            self.away = away.clone();
-            self.parts.config.change(Change::Away(away));
+    fn publish_unavailable(&mut self, now_ms: Millis) {
+        let unavailable = self.membership.unavailable(now_ms);
+        if unavailable != self.unavailable {
+            self.unavailable = unavailable.clone();
+            self.parts.config.change(Change::Unavailable(unavailable));
         }
     }
 
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -98,7 +98,7 @@
 
     /// The link to the other instance has found it away.
     pub(crate) fn peer_is_away(&self) {
-        self.config.change(Change::Away([InstanceId::new("entry-2")].into()));
+        self.config.change(Change::Unavailable([InstanceId::new("entry-2")].into()));
     }
 
     /// A frame of the dispatcher about the server's group.
