--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -112,28 +112,28 @@
         alive.remove(names[rng.usize(..names.len())]);
     }
     let first = *alive.iter().nth(rng.usize(..alive.len())).unwrap_or(&names[0]);
-    let mut heard_from: BTreeMap<&InstanceId, BTreeSet<&InstanceId>> = BTreeMap::new();
-    heard_from.insert(first, BTreeSet::new());
-    let mut newly = vec![first];
+    let mut received_from: BTreeMap<&InstanceId, BTreeSet<&InstanceId>> = BTreeMap::new();
+    received_from.insert(first, BTreeSet::new());
+    let mut frontier = vec![first];
     let mut sent: BTreeMap<&InstanceId, usize> = alive.iter().map(|id| (*id, 0)).collect();
     let mut hops = 0;
-    while !newly.is_empty() {
+    while !frontier.is_empty() {
         let mut frames = Vec::new();
-        for from in newly.drain(..) {
-            let came_from = &heard_from[from];
-            let to = graph[from].iter().filter(|to| alive.contains(to) && !came_from.contains(to));
+        for from in frontier.drain(..) {
+            let senders = &received_from[from];
+            let to = graph[from].iter().filter(|to| alive.contains(to) && !senders.contains(to));
             frames.extend(to.map(|to| (from, to)));
         }
         for (from, to) in frames {
             *sent.entry(from).or_default() += 1;
-            if !heard_from.contains_key(to) {
-                newly.push(to);
+            if !received_from.contains_key(to) {
+                frontier.push(to);
             }
-            heard_from.entry(to).or_default().insert(from);
+            received_from.entry(to).or_default().insert(from);
         }
-        hops += usize::from(!newly.is_empty());
+        hops += usize::from(!frontier.is_empty());
     }
-    let not_reached = alive.len() - heard_from.len();
+    let not_reached = alive.len() - received_from.len();
     Spread { hops, not_reached, sent: sent.into_values().collect() }
 }
 
