--- a/crates/azuregate/src/claims/mod.rs
+++ b/crates/azuregate/src/claims/mod.rs
@@ -68,12 +68,12 @@
     Home(home::HeldKey),
 }
 
-/// Whether a request runs or gets a stored answer.
+/// Whether a request runs or gets a stored response.
 #[derive(Debug)]
 pub enum ClaimDecision {
     /// The request must be run, and the claim settled afterwards.
     Run(HeldClaim),
-    /// The request ran before, with this answer.
+    /// The request ran before, with this response.
     Replay(StoredResponse),
 }
 
@@ -143,12 +143,12 @@
         }
     }
 
-    /// Stores the answer of a request that ran, or releases the claim if the
+    /// Stores the response to a request that ran, or releases the claim if the
     /// request certainly did not run.
     ///
     /// # Errors
     ///
-    /// Returns the error of `result`, or the one of reading the answer's body.
+    /// Returns the error of `result`, or the one of reading the response body.
     pub async fn settle(
         &self,
         held: HeldClaim,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Returns a stored answer as a response.
+    /// Returns a stored response to send to the caller.
     ///
     /// # Errors
     ///
--- a/crates/azuregate/src/claims/response.rs
+++ b/crates/azuregate/src/claims/response.rs
@@ -1,4 +1,4 @@
-//! Stores the answer of a request in its claim, and replays it for a repeated
+//! Buffers the response to a request for its claim, and replays it for a repeated
 //! request.
 
 use azuregate_core::{
@@ -15,11 +15,11 @@
     platform::Platform,
 };
 
-/// The largest answer body that is stored. A larger one is streamed to the caller,
+/// The largest response body that is stored. A larger one is streamed to the caller,
 /// and a repeated request learns only that the request ran.
 const MAX_STORED_BYTES: usize = 1 << 20;
 
-/// The result of buffering an answer.
+/// The result of buffering a response.
 pub(crate) enum Buffered {
     /// The body is in memory.
     Complete(CompleteResponse),
@@ -27,14 +27,14 @@
     TooLarge(Response<Body>),
 }
 
-/// An answer whose body is in memory.
+/// A response whose body is in memory.
 pub(crate) struct CompleteResponse {
     head: response::Parts,
     bytes: Bytes,
 }
 
 impl CompleteResponse {
-    /// Returns the answer as a claim stores it, and its body. Headers whose values
+    /// Returns the response as a claim stores it, and its body. Headers whose values
     /// are not text are left out.
     pub(crate) fn to_stored(&self) -> (StoredResponse, Bytes) {
         let headers = self.head.headers.iter();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Reads an answer into memory, up to [`MAX_STORED_BYTES`] of body.
+/// Reads a response into memory, up to [`MAX_STORED_BYTES`] of body.
 pub(crate) async fn buffer(response: Response<Body>) -> Result<Buffered, Error> {
     let (head, mut rest) = response.into_parts();
     let mut frames = Vec::new();
@@ -71,8 +71,8 @@
     Ok(Buffered::Complete(CompleteResponse { head, bytes: frames.concat().into() }))
 }
 
-/// Builds a response from a stored answer, reading its body from the object store
-/// if it is there.
+/// Builds a response from a stored one, reading its body from the object store if it
+/// is there.
 pub(crate) async fn replay(
     platform: &dyn Platform,
     stored: StoredResponse,
@@ -94,5 +94,5 @@
     }
     builder
         .body(body::full(bytes))
-        .map_err(|e| Error::new(ErrorKind::Internal, format!("invalid stored answer: {e}")))
+        .map_err(|e| Error::new(ErrorKind::Internal, format!("invalid stored response: {e}")))
 }
--- a/crates/azuregate/src/claims/retry_queue.rs
+++ b/crates/azuregate/src/claims/retry_queue.rs
@@ -27,7 +27,7 @@
 
 /// Further writes are dropped. A repeated request then gets the outcome `unknown`.
 const MAX_QUEUED_WRITES: usize = 4_096;
-/// Limits the memory of queued answers. Of further ones, only the outcome is stored.
+/// Limits the memory of queued responses. Of further ones, only the outcome is stored.
 const MAX_QUEUED_RESPONSE_BYTES: usize = 16 << 20;
 /// The age of a claim after which its writes are dropped. It must be longer than any
 /// deadline, and much shorter than the retention of claims; see `is_expired`.
@@ -38,8 +38,8 @@
 pub(crate) enum PendingWrite {
     /// Deletes the row of a request that did not run.
     Release(HeldRow),
-    /// Stores how a request ended, and the body of its answer as an object if it
-    /// is too large for the row.
+    /// Stores how a request ended, and its response body as an object if that is too
+    /// large for the row.
     Settle { held: HeldRow, object: Option<(String, Bytes)> },
 }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Replaces the answer by the outcome alone.
+    /// Replaces the response by the outcome alone.
     fn discard_response(&mut self) {
         if let PendingWrite::Settle { held, object } = self {
             held.claim.settled = Some(Settled::NotKept);
--- a/crates/azuregate/src/claims/rows.rs
+++ b/crates/azuregate/src/claims/rows.rs
@@ -28,10 +28,10 @@
     platform::{Commit, Effect, Expect, PlatformError, SharedPlatform},
 };
 
-/// A larger answer body is stored as an object instead of in the row.
+/// A larger response body is stored as an object instead of in the row.
 const INLINE_LIMIT_BYTES: usize = 4 << 10;
 const MAX_INSERT_ATTEMPTS: usize = 3;
-/// Time after its deadline in which an owner may still write the answer.
+/// Time after its deadline in which an owner may still write the response.
 const SETTLE_GRACE_MS: u64 = 10_000;
 
 /// The instance and start that own the claims made here.
@@ -63,7 +63,7 @@
         Rows { platform, clock, snapshots, owner, sequence: AtomicU64::new(0), retry_queue }
     }
 
-    /// Inserts the claim of a request, or returns the verdict of the existing one.
+    /// Inserts the claim of a request, or decides by the existing one.
     pub(crate) async fn claim(
         &self,
         request: ClaimRequest<'_>,
@@ -162,9 +162,9 @@
             return;
         }
         if let Err(e) = pending.run(self.platform.as_ref()).await {
-            // The caller gets the answer nevertheless. Until a retry succeeds, a
+            // The caller gets the response nevertheless. Until a retry succeeds, a
             // repeated request is told that this one is in progress.
-            log::warn!(error:% = e; "failed to store answer; will retry");
+            log::warn!(error:% = e; "failed to store response; will retry");
             self.retry_queue.add(pending);
         }
     }
