--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -137,7 +137,8 @@
                 self.platform_down = false;
                 self.membership.record_confirmation(now_ms);
                 // In this order: otherwise an instance that has just started would
-                // be ready while its own snapshot still lists it as away.
+                // be ready while its own snapshot still lists it as
+                // unavailable.
                 self.publish_unavailable(now_ms);
                 self.parts.config.change(Change::Confirmed);
             }
