--- a/crates/azuregate/src/lib.rs
+++ b/crates/azuregate/src/lib.rs
@@ -9,7 +9,7 @@
 
 # async fn example() -> Result<(), Box<dyn std::error::Error>> {
 let settings = Settings::load("entry-1.jsonc".as_ref())?;
-let (_stopper, stop) = stop::channel();
+let (_stop_handle, stop) = stop::channel();
 run::run(settings, stop).await?;
 # Ok(())
 # }
