--- a/crates/azuregate/src/serve/ports.rs
+++ b/crates/azuregate/src/serve/endpoints.rs
@@ -1,5 +1,4 @@
-//! The ports for questions: which instances to use, whether this one is ready, and
-//! its metrics.
+//! HTTP endpoints for instance lookups, readiness and metrics.
 
 use std::{convert::Infallible, rc::Rc};
 
@@ -12,26 +11,25 @@
 use hyper_util::rt::TokioIo;
 use tokio::{net::TcpListener, task::spawn_local};
 
-use super::{answer::plain, metrics::Gauges, state::State};
+use super::{metrics::Gauges, response::full_response, state::State};
 use crate::accept;
 
-/// For how long clients may keep the answer to a lookup. Short, so that they
-/// learn soon of an instance that has left; each client asks that often.
-pub(super) const KEEP_MS: u64 = 2_000;
+/// The TTL of lookup results. A short TTL directs clients away from a stopped instance
+/// soon, at the cost of one lookup per client and TTL.
+pub(super) const LOOKUP_TTL_MS: u64 = 2_000;
 
-/// Where metrics are served.
 const METRICS_PATH: &str = "/metrics";
 
-/// Who asks at a port.
+/// The audience of a port, which determines the available endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Audience {
-    /// Clients and the platform, whom metrics do not concern.
+    /// Clients and the platform, without access to metrics.
     Clients,
-    /// Whoever is on call.
+    /// Operators, with access to metrics.
     Operators,
 }
 
-/// Serves a port until the process ends.
+/// Serves the endpoints of one port until the process ends.
 pub(super) async fn serve(state: Rc<State>, listener: TcpListener, audience: Audience) {
     loop {
         let (stream, _) = accept::next(&listener).await;
@@ -41,7 +39,7 @@
                 let response = respond(&state, audience, &request);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // An error means that the client has left.
+            // An error means that the client disconnected.
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
@@ -56,7 +54,7 @@
         READINESS_PATH => ready(state),
         METRICS_PATH if audience == Audience::Operators => metrics(state),
         LOOKUP_PATH => lookup(state, request.uri().query().unwrap_or_default()),
-        _ => plain(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
+        _ => full_response(StatusCode::NOT_FOUND, "text/plain", Vec::new()),
     }
 }
 
@@ -65,7 +63,7 @@
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     };
-    plain(status, "text/plain", Vec::new())
+    full_response(status, "text/plain", Vec::new())
 }
 
 fn metrics(state: &State) -> Response<Full<Bytes>> {
@@ -78,7 +76,7 @@
         config_version: state.config().map(|config| config.version()),
         age_ms: state.contact.borrow().age_ms(state.now_ms()),
     };
-    plain(StatusCode::OK, "text/plain", state.metrics.text(gauges).into_bytes())
+    full_response(StatusCode::OK, "text/plain", state.metrics.render(gauges).into_bytes())
 }
 
 fn lookup(state: &State, query: &str) -> Response<Full<Bytes>> {
@@ -91,8 +89,8 @@
     let mut addrs = state.members.borrow().lookup(&lookup.zone, region, state.now_ms());
     addrs.retain(|addr| Some(*addr) != own);
     if addrs.is_empty() {
-        return plain(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
+        return full_response(StatusCode::SERVICE_UNAVAILABLE, "text/plain", Vec::new());
     }
-    let keep_ms = KEEP_MS.min(state.bounds().lookup_ttl_ms);
-    plain(StatusCode::OK, "application/json", encode_lookup_response(&addrs, keep_ms))
+    let ttl_ms = LOOKUP_TTL_MS.min(state.bounds().lookup_ttl_ms);
+    full_response(StatusCode::OK, "application/json", encode_lookup_response(&addrs, ttl_ms))
 }
--- /dev/null
+++ b/crates/azuregate/src/serve/response.rs
@@ -0,0 +1,145 @@
+//! Locally generated responses, and filtering of forwarded headers.
+
+use azuregate_core::balance::RetryReason;
+use azuregate_platform::request;
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::{
+    HeaderMap, Response, StatusCode,
+    header::{self, HeaderName},
+};
+
+use super::response_body::ResponseBody;
+
+/// Why the instance responds to a request itself instead of forwarding a response.
+#[derive(Clone, Copy, Debug, Eq, PartialEq)]
+pub(super) enum RequestError {
+    /// The configuration or the list of backend servers is not loaded yet.
+    NotReady,
+    /// No route matches.
+    NoRoute,
+    /// No route matches, but contact with the store is lost and the configuration may
+    /// be outdated; the request was not executed.
+    StoreContactLost,
+    /// The request is malformed.
+    BadRequest,
+    /// The body exceeds the size limit.
+    BodyTooLarge,
+    /// The client's body could not be read completely.
+    BodyIncomplete,
+    /// No backend server has capacity; the request was not executed.
+    NoCapacity,
+    /// Every attempted backend server rejected the request; it was not executed.
+    Rejected,
+    /// The deadline passed before a response arrived.
+    TimedOut,
+    /// The response was lost or is invalid; the request may have been executed.
+    ResponseLost,
+}
+
+impl RequestError {
+    /// Returns the error code used in logs and metrics.
+    pub(super) fn code(self) -> &'static str {
+        match self {
+            RequestError::NotReady => "not-ready",
+            RequestError::NoRoute => "no-route",
+            RequestError::StoreContactLost => "out-of-contact",
+            RequestError::BadRequest => "bad-request",
+            RequestError::BodyTooLarge => "body-too-long",
+            RequestError::BodyIncomplete => "body-broken",
+            RequestError::NoCapacity => "no-room",
+            RequestError::Rejected => "rejected",
+            RequestError::TimedOut => "timed-out",
+            RequestError::ResponseLost => "answer-lost",
+        }
+    }
+
+    /// Returns why the request was not served if it was certainly not executed, so
+    /// that the client may retry it.
+    fn retry_reason(self) -> Option<RetryReason> {
+        match self {
+            RequestError::NotReady | RequestError::StoreContactLost => {
+                Some(RetryReason::StaleState)
+            }
+            RequestError::NoCapacity | RequestError::Rejected => Some(RetryReason::NoCapacity),
+            _ => None,
+        }
+    }
+
+    fn status(self) -> StatusCode {
+        match self {
+            RequestError::NotReady
+            | RequestError::StoreContactLost
+            | RequestError::NoCapacity
+            | RequestError::Rejected => StatusCode::SERVICE_UNAVAILABLE,
+            RequestError::NoRoute => StatusCode::NOT_FOUND,
+            RequestError::BadRequest | RequestError::BodyIncomplete => StatusCode::BAD_REQUEST,
+            RequestError::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RequestError::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            RequestError::ResponseLost => StatusCode::BAD_GATEWAY,
+        }
+    }
+
+    /// Converts the error into a response, with a `Retry-After` header if the request
+    /// was not executed.
+    pub(super) fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(ResponseBody::buffered(Bytes::new()));
+        *response.status_mut() = self.status();
+        if let Some(retry_reason) = self.retry_reason() {
+            let retry_after_ms = fastrand::u64(retry_reason.retry_after_ms());
+            let seconds = format!("{:.3}", retry_after_ms as f64 / 1_000.0);
+            let value = seconds.parse().expect("a number is a valid header value");
+            response.headers_mut().insert(header::RETRY_AFTER, value);
+        }
+        response
+    }
+}
+
+/// Returns a response with a complete body.
+pub(super) fn full_response(
+    status: StatusCode,
+    content_type: &'static str,
+    text: Vec<u8>,
+) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = status;
+    let value = header::HeaderValue::from_static(content_type);
+    response.headers_mut().insert(header::CONTENT_TYPE, value);
+    response
+}
+
+/// Hop-by-hop headers, which a proxy must not forward (RFC 9110, section 7.6.1).
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
+    header::CONNECTION,
+    header::TRANSFER_ENCODING,
+    header::TE,
+    header::TRAILER,
+    header::UPGRADE,
+    header::PROXY_AUTHENTICATE,
+    header::PROXY_AUTHORIZATION,
+];
+
+/// Removes the hop-by-hop headers, including those named by `Connection`.
+pub(super) fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        .collect();
+    for name in listed.iter().chain(&HOP_BY_HOP_HEADERS) {
+        headers.remove(name);
+    }
+    headers.remove("keep-alive");
+    headers.remove("proxy-connection");
+}
+
+/// Removes the headers used only between entry instances and backend servers.
+pub(super) fn remove_internal_headers(headers: &mut HeaderMap) {
+    for name in
+        [request::BACKEND_LOAD, request::BACKEND_ID, request::WARMUP_MS, request::NOT_EXECUTED]
+    {
+        headers.remove(name);
+    }
+}
--- a/crates/azuregate/tests/serve/at_most_once.rs
+++ b/crates/azuregate/tests/serve/at_most_once.rs
@@ -1,13 +1,13 @@
-//! What must not run twice does not, and "not run" is true.
+//! Non-idempotent requests are executed at most once, and a 503 means not executed.
 
 use azuregate_platform::fakes::Behaviour;
 
-use crate::world::{World, read_request, write_request};
+use crate::cluster::{TestCluster, get_request, post_request};
 
-/// A server closes the connection after it got a write. It may have run it, so no
-/// other server gets it, and the client is promised nothing.
+/// Guards against executing a write twice by retrying it on another server, or by
+/// inviting the client to retry it.
 #[tokio::test]
-async fn a_write_that_may_have_run_is_not_sent_again() {
+async fn possibly_executed_write_is_not_retried() {
     for behaviour in [
         Behaviour::DropResponse,
         Behaviour::Truncate,
@@ -15,59 +15,58 @@
         Behaviour::StaleResponse,
         Behaviour::ServerError,
     ] {
-        let world = World::start(3).await;
-        let entry = world.instance(1).await;
-        world.backends.iter().for_each(|backend| backend.set(behaviour.clone()));
-        let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-        assert!(matches!(answer.status, 500 | 502), "{behaviour:?} gave {}", answer.status);
-        assert_eq!(answer.header("retry-after"), None);
-        assert_eq!(world.arrivals("w1"), 1, "{behaviour:?}");
+        let cluster = TestCluster::start(3).await;
+        let instance = cluster.start_ready_instance(1).await;
+        cluster.backends.iter().for_each(|backend| backend.set(behaviour.clone()));
+        let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+        assert!(matches!(response.status, 500 | 502), "{behaviour:?} returned {}", response.status);
+        assert_eq!(response.header("retry-after"), None);
+        assert_eq!(cluster.request_count("w1"), 1, "{behaviour:?}");
     }
 }
 
-/// The first server rejects the write. It has not run it, so the second one gets
-/// the write with its whole body.
+/// Guards against failing a write, or losing its body, when only one server rejects it.
 #[tokio::test]
-async fn a_write_that_was_rejected_runs_elsewhere() {
+async fn rejected_write_is_retried_on_another_server() {
     for behaviour in [Behaviour::Reject, Behaviour::Misdirect] {
-        let world = World::start(2).await;
-        let entry = world.instance(1).await;
-        entry.send(&read_request("/read/x", "first")).await.unwrap();
-        let used = world.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
+        let cluster = TestCluster::start(2).await;
+        let instance = cluster.start_ready_instance(1).await;
+        instance.send(&get_request("/read/x", "first")).await.unwrap();
+        let used = cluster.backends.iter().find(|backend| !backend.received().is_empty()).unwrap();
         used.set(behaviour.clone());
-        let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-        assert_eq!(answer.status, 200, "{behaviour:?}");
-        let other = world.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
+        let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+        assert_eq!(response.status, 200, "{behaviour:?}");
+        let other = cluster.backends.iter().find(|backend| backend.id() != used.id()).unwrap();
         assert_eq!(other.received()[0].body, b"body");
     }
 }
 
-/// All servers reject. The client is told that the request has not run and when to
-/// come back, at once.
+/// Guards against delaying the 503, or omitting its `Retry-After`, when all servers reject
+/// a request.
 #[tokio::test]
-async fn a_request_that_all_reject_is_refused_at_once() {
-    let world = World::start(2).await;
-    let entry = world.instance(1).await;
-    world.backends.iter().for_each(|backend| backend.set(Behaviour::Reject));
+async fn request_rejected_by_all_servers_fails_fast() {
+    let cluster = TestCluster::start(2).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.backends.iter().for_each(|backend| backend.set(Behaviour::Reject));
     let start = std::time::Instant::now();
-    let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-    assert_eq!(answer.status, 503);
-    let retry_after: f64 = answer.header("retry-after").unwrap().parse().unwrap();
+    let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+    assert_eq!(response.status, 503);
+    let retry_after: f64 = response.header("retry-after").unwrap().parse().unwrap();
     assert!((0.03..=0.15).contains(&retry_after), "{retry_after}");
     assert!(start.elapsed().as_millis() < 2_000);
 }
 
-/// No server listens any more. Nothing was sent, and the client may come back.
+/// Guards against a 502 for a request that was never sent.
 #[tokio::test]
-async fn a_request_that_reached_no_server_is_refused() {
-    let world = World::start(0).await;
-    let gone = {
+async fn request_fails_when_no_server_is_reachable() {
+    let cluster = TestCluster::start(0).await;
+    let unused_addr = {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.local_addr().unwrap()
     };
-    let row = azuregate_platform::fakes::backend_row("shop", gone, "zone-a", "ready");
-    world.store.put("servers", "gone", row);
-    let entry = world.instance(1).await;
-    let answer = entry.send(&write_request("/write/x", "w1", "body")).await.unwrap();
-    assert_eq!(answer.status, 503);
+    let row = azuregate_platform::fakes::backend_row("shop", unused_addr, "zone-a", "ready");
+    cluster.store.put("servers", "gone", row);
+    let instance = cluster.start_ready_instance(1).await;
+    let response = instance.send(&post_request("/write/x", "w1", "body")).await.unwrap();
+    assert_eq!(response.status, 503);
 }
--- a/crates/azuregate/tests/serve/configuration.rs
+++ b/crates/azuregate/tests/serve/configuration.rs
@@ -1,109 +1,105 @@
-//! What operators decide is in force soon, and stays so.
+//! Propagation of configuration changes from the store.
 
 use std::time::Duration;
 
 use azuregate_platform::fakes::{StoreFault, config_row};
 use tokio::time;
 
-use crate::world::{World, eventually, read_request};
+use crate::cluster::{TestCluster, eventually, get_request};
 
 #[tokio::test]
-async fn a_new_route_is_served_soon() {
-    let mut world = World::start(1).await;
-    let entry = world.instance(1).await;
-    assert_eq!(entry.send(&read_request("/new/x", "r1")).await.unwrap().status, 404);
-    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
+async fn new_route_takes_effect() {
+    let mut cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    assert_eq!(instance.send(&get_request("/new/x", "r1")).await.unwrap().status, 404);
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
     eventually("the route is served", async || {
-        entry.send(&read_request("/new/x", "r2")).await.unwrap().status == 200
+        instance.send(&get_request("/new/x", "r2")).await.unwrap().status == 200
     })
     .await;
 }
 
-/// The store answers from a copy that is behind, with a configuration from before
-/// the one in force. Clients go on as the newer one says.
+/// Guards against a lagging store replica reverting the configuration.
 #[tokio::test]
-async fn an_older_configuration_never_comes_back() {
-    let mut world = World::start(1).await;
-    let old = config_row(&world.config);
-    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
-    let entry = world.instance(1).await;
-    world.store.put("op", "config", old);
+async fn older_configuration_is_ignored() {
+    let mut cluster = TestCluster::start(1).await;
+    let old = config_row(&cluster.config);
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.put("op", "config", old);
     time::sleep(Duration::from_millis(800)).await;
-    assert_eq!(entry.send(&read_request("/new/x", "r1")).await.unwrap().status, 200);
+    assert_eq!(instance.send(&get_request("/new/x", "r1")).await.unwrap().status, 200);
 }
 
-/// The store goes silent on open connections while a change is made, and comes
-/// back. The instance notices that its watch is dead, and has the change in force
-/// within its wait and a retry.
+/// Guards against missing a change because a watch waits on a dead connection.
 #[tokio::test]
-async fn a_watch_that_went_silent_is_noticed() {
-    let mut world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Hang);
+async fn silent_store_connection_is_replaced() {
+    let mut cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.set_fault(StoreFault::Hang);
     time::sleep(Duration::from_millis(300)).await;
-    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
-    world.store.set_fault(StoreFault::None);
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
+    cluster.store.set_fault(StoreFault::None);
     eventually("the route is served", async || {
-        entry.send(&read_request("/new/x", "r1")).await.unwrap().status == 200
+        instance.send(&get_request("/new/x", "r1")).await.unwrap().status == 200
     })
     .await;
 }
 
-/// The store drops its history while an instance watches: the tables are read
-/// anew, and nothing is missed.
+/// Guards against missing a change that the store no longer has in its change history.
 #[tokio::test]
-async fn a_lost_history_is_read_anew() {
-    let mut world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.configure(|config| config.extra_prefixes.push("/new/".to_owned()));
-    world.store.discard_history();
+async fn tables_are_reread_after_history_loss() {
+    let mut cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.update_config(|config| config.extra_prefixes.push("/new/".to_owned()));
+    cluster.store.discard_history();
     eventually("the route is served", async || {
-        entry.send(&read_request("/new/x", "r1")).await.unwrap().status == 200
+        instance.send(&get_request("/new/x", "r1")).await.unwrap().status == 200
     })
     .await;
 }
 
-/// A row that another writer left cut short is passed over; the configuration in
-/// force stays, and so do the servers.
+/// Guards against malformed rows replacing the current configuration or servers.
 #[tokio::test]
-async fn rows_that_cannot_be_read_change_nothing() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.store.put("op", "config", &br#"{"configVersion":"000000ff","listen"#[..]);
-    world.store.put("servers", "strange", &br#"{"backend":"shop","state":"asleep"}"#[..]);
-    world.store.put("servers", "noise", &[0xff, 0x00][..]);
+async fn malformed_rows_are_ignored() {
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.put("op", "config", &br#"{"configVersion":"000000ff","listen"#[..]);
+    cluster.store.put("servers", "strange", &br#"{"backend":"shop","state":"asleep"}"#[..]);
+    cluster.store.put("servers", "noise", &[0xff, 0x00][..]);
     time::sleep(Duration::from_millis(800)).await;
-    assert_eq!(entry.send(&read_request("/read/x", "r1")).await.unwrap().status, 200);
+    assert_eq!(instance.send(&get_request("/read/x", "r1")).await.unwrap().status, 200);
 }
 
-/// An instance starts while the store refuses it. It says that it is not ready,
-/// and promises clients that nothing has run.
+/// Guards against reporting ready, or returning anything but 503, before the first
+/// configuration is loaded.
 #[tokio::test]
-async fn without_a_configuration_nothing_is_served() {
-    let world = World::start(1).await;
-    world.store.set_fault(StoreFault::ErrorStatus(503));
-    let entry = world.start_instance(1);
-    eventually("the instance answers", async || entry.ready().await == 503).await;
-    let answer = entry.send(&read_request("/read/x", "r1")).await.unwrap();
-    assert_eq!(answer.status, 503);
-    world.store.set_fault(StoreFault::None);
-    eventually("the instance is ready", async || entry.ready().await == 200).await;
+async fn instance_without_configuration_is_not_ready() {
+    let cluster = TestCluster::start(1).await;
+    cluster.store.set_fault(StoreFault::ErrorStatus(503));
+    let instance = cluster.start_instance(1);
+    eventually("the instance responds", async || instance.readiness().await == 503).await;
+    let response = instance.send(&get_request("/read/x", "r1")).await.unwrap();
+    assert_eq!(response.status, 503);
+    cluster.store.set_fault(StoreFault::None);
+    eventually("the instance is ready", async || instance.readiness().await == 200).await;
 }
 
-/// Guards against denying a route that an instance cannot know yet, since it has lost
-/// contact with the store.
+/// Guards against a 404 for a route that was added while the instance had no contact with
+/// the store.
 #[tokio::test]
-async fn without_contact_no_route_is_denied() {
-    let world = World::start(1).await;
-    let entry = world.instance(1).await;
-    world.store.set_fault(StoreFault::Hang);
-    let denied = |path| {
-        let entry = &entry;
-        async move { entry.send(&read_request(path, "r1")).await.unwrap().status }
+async fn unknown_route_returns_503_without_store_contact() {
+    let cluster = TestCluster::start(1).await;
+    let instance = cluster.start_ready_instance(1).await;
+    cluster.store.set_fault(StoreFault::Hang);
+    let status_of = |path| {
+        let instance = &instance;
+        async move { instance.send(&get_request(path, "r1")).await.unwrap().status }
     };
-    assert_eq!(denied("/new/x").await, 404);
-    eventually("the route is not denied", async || denied("/new/x").await == 503).await;
-    assert_eq!(denied("/read/x").await, 200);
-    world.store.set_fault(StoreFault::None);
-    eventually("the route is denied again", async || denied("/new/x").await == 404).await;
+    assert_eq!(status_of("/new/x").await, 404);
+    eventually("an unknown route returns 503", async || status_of("/new/x").await == 503).await;
+    assert_eq!(status_of("/read/x").await, 200);
+    cluster.store.set_fault(StoreFault::None);
+    eventually("an unknown route returns 404 again", async || status_of("/new/x").await == 404)
+        .await;
 }
--- a/crates/azuregate/tests/soak/main.rs
+++ b/crates/azuregate/tests/soak/main.rs
@@ -16,13 +16,13 @@
 
 mod checks;
 mod clients;
+#[allow(dead_code, reason = "shared with the tests of single instances")]
+#[path = "../serve/cluster.rs"]
+mod cluster;
 mod plan;
 mod processes;
 mod proxy;
 mod run;
-#[allow(dead_code, reason = "shared with the tests of single instances")]
-#[path = "../serve/world.rs"]
-mod world;
 
 /// Availability zones and their regions, as in the settings fixture.
 const ZONES: [(&str, &str); 3] =
