--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -41,7 +41,7 @@
 pub struct Entry {
     /// The instance's entry in the example.
     pub example: EntryExample,
-    stopper: stop::Stopper,
+    stopper: stop::StopHandle,
     task: JoinHandle<()>,
 }
 
@@ -226,7 +226,7 @@
     let (stopper, stop) = stop::channel();
     let settings = example.settings(entry);
     let task = tokio::spawn(async move {
-        if let Err(e) = run::run_with(settings, stop, rule).await {
+        if let Err(e) = run::run_with_rule(settings, stop, rule).await {
             eprintln!("{e:?}");
         }
     });
--- a/crates/azuregate/examples/spread.rs
+++ b/crates/azuregate/examples/spread.rs
@@ -1,9 +1,9 @@
-//! How one change spreads over the links between instances, as plain values.
+//! Simulates how one change floods the links between instances.
 //!
-//! `cargo run -p azuregate --example spread` prints a table for
-//! docs/CAPACITY.md. It walks the graph of links in steps: an instance that has
-//! heard of the change sends it on all its links but those that it came on. No
-//! time passes and no socket is opened; it measures the graph, not a network.
+//! `cargo run -p azuregate --example spread` prints a table for docs/CAPACITY.md. In
+//! each round, an instance that received the change sends it on all of its links
+//! except those on which it arrived. The simulation covers the graph of links only,
+//! without time or sockets.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,11 +21,10 @@
     time::Millis,
 };
 
-/// Numbers of instances with numbers of zones.
+/// Numbers of instances and zones.
 const SIZES: [(usize, usize); 4] = [(9, 6), (85, 19), (340, 19), (680, 19)];
-/// How many random sets of dead instances are tried for each size.
+/// Random sets of dead instances for each size.
 const SEEDS: u64 = 20;
-/// Changes of configuration in a day.
 const CHANGES_PER_DAY: f64 = 1_200.0;
 const S_PER_DAY: f64 = 86_400.0;
 
@@ -88,12 +87,12 @@
     (values.iter().sum::<f64>() / values.len().max(1) as f64, max)
 }
 
-/// How a change went round.
+/// The result of flooding one change.
 #[derive(Debug, Default)]
 struct Spread {
     hops: usize,
     not_reached: usize,
-    /// Frames that each instance sent.
+    /// Frames sent by each instance that is alive.
     sent: Vec<usize>,
 }
 
@@ -113,28 +112,28 @@
         alive.remove(names[rng.usize(..names.len())]);
     }
     let first = *alive.iter().nth(rng.usize(..alive.len())).unwrap_or(&names[0]);
-    let mut heard_from: BTreeMap<&InstanceId, BTreeSet<&InstanceId>> = BTreeMap::new();
-    heard_from.insert(first, BTreeSet::new());
-    let mut newly = vec![first];
+    let mut received_from: BTreeMap<&InstanceId, BTreeSet<&InstanceId>> = BTreeMap::new();
+    received_from.insert(first, BTreeSet::new());
+    let mut frontier = vec![first];
     let mut sent: BTreeMap<&InstanceId, usize> = alive.iter().map(|id| (*id, 0)).collect();
     let mut hops = 0;
-    while !newly.is_empty() {
+    while !frontier.is_empty() {
         let mut frames = Vec::new();
-        for from in newly.drain(..) {
-            let came_from = &heard_from[from];
-            let to = graph[from].iter().filter(|to| alive.contains(to) && !came_from.contains(to));
+        for from in frontier.drain(..) {
+            let senders = &received_from[from];
+            let to = graph[from].iter().filter(|to| alive.contains(to) && !senders.contains(to));
             frames.extend(to.map(|to| (from, to)));
         }
         for (from, to) in frames {
             *sent.entry(from).or_default() += 1;
-            if !heard_from.contains_key(to) {
-                newly.push(to);
+            if !received_from.contains_key(to) {
+                frontier.push(to);
             }
-            heard_from.entry(to).or_default().insert(from);
+            received_from.entry(to).or_default().insert(from);
         }
-        hops += usize::from(!newly.is_empty());
+        hops += usize::from(!frontier.is_empty());
     }
-    let not_reached = alive.len() - heard_from.len();
+    let not_reached = alive.len() - received_from.len();
     Spread { hops, not_reached, sent: sent.into_values().collect() }
 }
 
--- a/crates/azuregate/src/claims/home.rs
+++ b/crates/azuregate/src/claims/home.rs
@@ -1,4 +1,4 @@
-//! Claims in the memory of this start, owned by one task.
+//! Claims in the memory of this process, owned by one task.
 
 use azuregate_core::{
     claim::{Decision, Settled},
@@ -9,22 +9,21 @@
 };
 use tokio::sync::{mpsc, oneshot};
 
-use crate::{claims::Wanted, clock::SharedClock};
+use crate::{claims::ClaimRequest, clock::SharedClock};
 
-/// A handle to the task that owns the keys.
+/// A handle to the task that owns the in-memory claims.
 pub(crate) struct Home {
     sender: mpsc::UnboundedSender<Message>,
 }
 
-/// What the task decided for a key.
-struct Decided {
+struct ClaimReply {
     verdict: Decision,
     sequence: u64,
-    /// When a full home has room again.
+    /// Time until a full table accepts another key.
     room_in_ms: u64,
 }
 
-/// A key that a request holds while it runs.
+/// An in-memory claim that a request owns while it runs.
 #[derive(Debug)]
 pub(crate) struct HeldKey {
     key: String,
@@ -32,9 +31,19 @@
 }
 
 enum Message {
-    Claim { key: String, fingerprint: u64, issued_at_ms: Millis, reply: oneshot::Sender<Decided> },
-    Settle { held: HeldKey, settled: Settled },
-    Release { held: HeldKey },
+    Claim {
+        key: String,
+        fingerprint: u64,
+        issued_at_ms: Millis,
+        reply: oneshot::Sender<ClaimReply>,
+    },
+    Settle {
+        held: HeldKey,
+        settled: Settled,
+    },
+    Release {
+        held: HeldKey,
+    },
 }
 
 impl Home {
@@ -47,21 +56,21 @@
 
     pub(crate) async fn claim(
         &self,
-        wanted: Wanted<'_>,
+        request: ClaimRequest<'_>,
         issued_at_ms: Millis,
     ) -> Result<(Decision, HeldKey), Error> {
-        let key = format!("{}/{}", wanted.service, wanted.key);
+        let key = format!("{}/{}", request.service, request.key);
         let (reply, answer) = oneshot::channel();
-        let fingerprint = wanted.fingerprint;
+        let fingerprint = request.fingerprint;
         let _ =
             self.sender.send(Message::Claim { key: key.clone(), fingerprint, issued_at_ms, reply });
         let gone = |_| Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let decided = answer.await.map_err(gone).map_err(Error::with_unknown_earlier_attempt)?;
-        if decided.verdict == Decision::Reject(ErrorKind::ClaimsFull) {
-            let error = Error::new(ErrorKind::ClaimsFull, "this home remembers all it can");
-            return Err(error.with_retry_after_ms(decided.room_in_ms));
+        let decision = answer.await.map_err(gone).map_err(Error::with_unknown_earlier_attempt)?;
+        if decision.verdict == Decision::Reject(ErrorKind::ClaimsFull) {
+            let error = Error::new(ErrorKind::ClaimsFull, "the table of idempotency keys is full");
+            return Err(error.with_retry_after_ms(decision.room_in_ms));
         }
-        Ok((decided.verdict, HeldKey { key, sequence: decided.sequence }))
+        Ok((decision.verdict, HeldKey { key, sequence: decision.sequence }))
     }
 
     pub(crate) fn settle(&self, held: HeldKey, settled: Settled) {
@@ -79,8 +88,8 @@
     mut receiver: mpsc::UnboundedReceiver<Message>,
 ) {
     let mut table = HomeTable::new(Config::default());
-    // Time since the epoch as it was at the start, plus monotonic time: a clock
-    // that jumps back would make an expired token valid again.
+    // Derived from the monotonic clock: if the system clock jumped back, an expired
+    // token would become valid again.
     let origin_ms = Millis(start.0) - clock.now();
     while let Some(message) = receiver.recv().await {
         match message {
@@ -88,7 +97,7 @@
                 let now_ms = origin_ms + clock.now();
                 let (verdict, sequence) = table.claim(&key, fingerprint, issued_at_ms, now_ms);
                 let room_in_ms = table.next_expiry_in_ms(now_ms);
-                let _ = reply.send(Decided { verdict, sequence, room_in_ms });
+                let _ = reply.send(ClaimReply { verdict, sequence, room_in_ms });
             }
             Message::Settle { held, settled } => table.settle(&held.key, held.sequence, settled),
             Message::Release { held } => table.release(&held.key, held.sequence),
--- a/crates/azuregate/src/cli/mod.rs
+++ b/crates/azuregate/src/cli/mod.rs
@@ -32,7 +32,7 @@
     jsonc::Problem,
     logs, run, serve,
     settings::{Settings, SettingsError},
-    stop::{self, Stop},
+    stop::{self, StopSignal},
 };
 
 pub use stdout::print_line;
@@ -249,7 +249,7 @@
 ///
 /// Must be called before ports are opened. An earlier signal would kill the process,
 /// and with it connections that wait to be accepted.
-fn stop_on_signal() -> Stop {
+fn stop_on_signal() -> StopSignal {
     use tokio::signal::unix::{SignalKind, signal};
 
     let (stopper, stop) = stop::channel();
--- a/crates/azuregate/src/config.rs
+++ b/crates/azuregate/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: one task owns it and publishes snapshots.
+//! The configuration in force: one task owns it and publishes immutable snapshots.
 
 use std::{
     collections::BTreeSet,
@@ -18,45 +18,47 @@
 
 use crate::clock::{SharedClock, SystemClock};
 
-/// A process that did not get to run for this long may have missed changes.
-pub const PAUSE_MS: u64 = 2_000;
+/// After a pause of this length, a process may have missed changes and must confirm its
+/// configuration before it serves.
+pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
 
-/// The highest step that a peer's version may take over the one in force. One
-/// frame with an absurd version would keep out all later changes for good.
-const VERSION_STEP: u64 = 1_000_000;
+/// The most by which a policy version from a peer may exceed the one in force. A
+/// corrupt frame with a huge version would otherwise block all later changes.
+const MAX_PEER_VERSION_STEP: u64 = 1_000_000;
 
 /// Reads the newest snapshot; cheap to clone.
 #[derive(Clone)]
 pub struct Snapshots {
     receiver: watch::Receiver<Arc<Snapshot>>,
     clock: SharedClock,
-    beat_at_ms: Arc<AtomicU64>,
+    last_tick_at_ms: Arc<AtomicU64>,
 }
 
 impl Snapshots {
-    /// The newest snapshot.
+    /// Returns the newest snapshot.
     ///
-    /// After a pause of the whole process it is not ready. Requests that waited
-    /// in its sockets would otherwise be served by a configuration that may have
-    /// been replaced long ago, before any task finds out.
+    /// After a pause of the process, the snapshot is not ready. Otherwise requests
+    /// that waited in the sockets would be served with an outdated configuration
+    /// before the membership task detects the pause.
     pub fn current(&self) -> Arc<Snapshot> {
         let snapshot = self.receiver.borrow().clone();
         if !snapshot.ready || !self.was_paused() {
             return snapshot;
         }
-        let mut woken = Snapshot::clone(&snapshot);
-        woken.set_readiness(Readiness::Resumed);
-        Arc::new(woken)
+        let mut unconfirmed = Snapshot::clone(&snapshot);
+        unconfirmed.set_readiness(Readiness::Resumed);
+        Arc::new(unconfirmed)
     }
 
-    /// Tells of each new snapshot.
+    /// Returns a receiver of each new snapshot.
     pub fn watch(&self) -> watch::Receiver<Arc<Snapshot>> {
         self.receiver.clone()
     }
 
     fn was_paused(&self) -> bool {
-        let beat_at_ms = self.beat_at_ms.load(Ordering::Relaxed);
-        beat_at_ms > 0 && self.clock.now().0.saturating_sub(beat_at_ms) > PAUSE_MS
+        let last_tick_at_ms = self.last_tick_at_ms.load(Ordering::Relaxed);
+        last_tick_at_ms > 0
+            && self.clock.now().0.saturating_sub(last_tick_at_ms) > PAUSE_THRESHOLD_MS
     }
 }
 
@@ -66,53 +68,52 @@
     }
 }
 
-/// Where a change was heard of.
+/// Where a change comes from.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// From the platform, or from the commit of this instance.
+    /// The platform, or a commit by this instance.
     Platform,
-    /// From another instance.
+    /// Another instance.
     Peer,
-    /// From the backend server itself.
+    /// The backend server itself.
     Backend,
 }
 
 /// A change to the configuration in force.
 #[derive(Clone, Debug)]
 pub enum Change {
-    /// A policy; ignored unless its version is higher than the one in force.
+    /// A policy; ignored unless its version is higher than that in force.
     Policy(Box<Policy>, Source),
-    /// The platform's list.
+    /// The platform's instance list.
     List(InstanceList),
-    /// A peer's copy of the platform's list; ignored if there is one already.
-    ListOfPeer(InstanceList),
-    /// A backend server that is leaving, by any sign.
+    /// A peer's copy of the instance list; ignored if there is a list already.
+    PeerList(InstanceList),
+    /// A backend server is leaving.
     Leaving(BackendId, StartNumber, Source),
-    /// A backend server that closed a connection after its first answer.
+    /// A backend server closed a connection after its first answer.
     ///
-    /// A server that closes an idle connection, or one that has carried enough
-    /// requests, says nothing about itself; one that closes fresh connections
-    /// wants no more work.
-    Closed(BackendId, StartNumber),
-    /// A start of an instance, as it told itself.
+    /// Servers also close idle connections, and those that have carried many
+    /// requests. Closing a new connection is a sign that the server is leaving.
+    ConnectionClosed(BackendId, StartNumber),
+    /// The start number that an instance announced.
     Started(InstanceId, StartNumber),
-    /// An instance that has started a planned stop.
+    /// An instance has started a planned stop.
     Stopping(InstanceId, StartNumber),
-    /// The instances that get no new work, as far as the peer links tell.
-    Away(BTreeSet<InstanceId>),
-    /// What a watcher of backend servers says.
+    /// The instances that get no new work, as determined from the peer links.
+    Unavailable(BTreeSet<InstanceId>),
+    /// The probe results of the given instance.
     Probes(InstanceId, ProbeReport),
-    /// All policies that the platform holds have been taken in.
+    /// All policies of the platform have been applied.
     Confirmed,
-    /// The platform is down, and so many peers serve with the same versions.
+    /// The platform is down, and this number of peers serve the same versions.
     ConfirmedByPeers(usize),
     /// This process was paused.
-    Woken,
-    /// This process runs, at this monotonic time.
-    Beat(u64),
+    PauseDetected,
+    /// This process was running at this monotonic time, in milliseconds.
+    WatchdogTick(u64),
 }
 
-/// A handle to the configuration's task; cheap to clone.
+/// A handle to the configuration task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Config {
     sender: mpsc::UnboundedSender<Change>,
@@ -124,18 +125,18 @@
         Config::start_with_clock(first, Arc::new(SystemClock::new()))
     }
 
-    /// Starts the task; `clock` tells whether the process was paused.
+    /// Starts the task; `clock` is used to detect pauses of the process.
     pub fn start_with_clock(first: Snapshot, clock: SharedClock) -> (Config, Snapshots) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let (publish, snapshots) = watch::channel(Arc::new(first));
-        let beat_at_ms = Arc::new(AtomicU64::new(0));
-        tokio::spawn(serve(receiver, publish, Arc::clone(&beat_at_ms)));
-        (Config { sender }, Snapshots { receiver: snapshots, clock, beat_at_ms })
+        let last_tick_at_ms = Arc::new(AtomicU64::new(0));
+        tokio::spawn(serve(receiver, publish, Arc::clone(&last_tick_at_ms)));
+        (Config { sender }, Snapshots { receiver: snapshots, clock, last_tick_at_ms })
     }
 
     /// Sends a change to the task.
     pub fn change(&self, change: Change) {
-        // The task ends only after the last handle, and this is a handle.
+        // The task runs as long as any handle exists, so sending cannot fail.
         let _ = self.sender.send(change);
     }
 }
@@ -143,11 +144,11 @@
 async fn serve(
     mut receiver: mpsc::UnboundedReceiver<Change>,
     publish: watch::Sender<Arc<Snapshot>>,
-    beat_at_ms: Arc<AtomicU64>,
+    last_tick_at_ms: Arc<AtomicU64>,
 ) {
     while let Some(change) = receiver.recv().await {
-        if let Change::Beat(at_ms) = change {
-            beat_at_ms.store(at_ms, Ordering::Relaxed);
+        if let Change::WatchdogTick(at_ms) = change {
+            last_tick_at_ms.store(at_ms, Ordering::Relaxed);
             continue;
         }
         let mut snapshot = Snapshot::clone(&publish.borrow());
@@ -161,21 +162,22 @@
     match change {
         Change::Policy(policy, source) => apply_policy(snapshot, *policy, &source),
         Change::List(list) => snapshot.set_list(list),
-        Change::ListOfPeer(list) => snapshot.listed.is_empty() && snapshot.set_list(list),
-        Change::Leaving(backend, start, source) => leave(snapshot, &backend, start, &source),
-        Change::Closed(backend, start) => {
-            most_stay(snapshot, &backend) && leave(snapshot, &backend, start, &Source::Backend)
+        Change::PeerList(list) => snapshot.listed.is_empty() && snapshot.set_list(list),
+        Change::Leaving(backend, start, source) => mark_leaving(snapshot, &backend, start, &source),
+        Change::ConnectionClosed(backend, start) => {
+            most_others_available(snapshot, &backend)
+                && mark_leaving(snapshot, &backend, start, &Source::Backend)
         }
         Change::Started(instance, start) => snapshot.record_start(&instance, start),
         Change::Stopping(instance, start) => {
-            let fresh = snapshot.stopping.insert((instance.clone(), start));
-            if fresh {
+            let is_new = snapshot.stopping.insert((instance.clone(), start));
+            if is_new {
                 log::info!(instance:% = instance, start:% = start; "instance stopping");
             }
-            fresh
+            is_new
         }
-        Change::Away(away) => {
-            let changed = snapshot.set_unavailable(away);
+        Change::Unavailable(unavailable) => {
+            let changed = snapshot.set_unavailable(unavailable);
             if changed {
                 log::info!(away:? = snapshot.unavailable; "instances away");
             }
@@ -186,24 +188,24 @@
         Change::ConfirmedByPeers(count) => {
             !snapshot.ready && set_readiness(snapshot, Readiness::Peers(count))
         }
-        Change::Woken => set_readiness(snapshot, Readiness::Resumed),
-        Change::Beat(_) => false,
+        Change::PauseDetected => set_readiness(snapshot, Readiness::Resumed),
+        Change::WatchdogTick(_) => false,
     }
 }
 
 fn apply_policy(snapshot: &mut Snapshot, policy: Policy, source: &Source) -> bool {
     let in_force = snapshot.policies.get(&policy.service).map_or(0, |p| p.version);
     let (service, version) = (policy.service.clone(), policy.version);
-    if *source == Source::Peer && version.saturating_sub(in_force) > VERSION_STEP {
-        log::error!(service:% = service, version = version, in_force = in_force; "policy of a peer refused");
+    if *source == Source::Peer && version.saturating_sub(in_force) > MAX_PEER_VERSION_STEP {
+        log::error!(service:% = service, version = version, in_force = in_force; "policy from peer rejected: version too high");
         return false;
     }
     if let Err(e) = policy.check() {
-        log::error!(service:% = service, version = version, error:% = e, source:? = source; "policy refused");
+        log::error!(service:% = service, version = version, error:% = e, source:? = source; "policy rejected");
         return false;
     }
     if *source == Source::Platform && version < in_force {
-        log::warn!(service:% = service, version = version, in_force = in_force; "platform answered an older policy");
+        log::warn!(service:% = service, version = version, in_force = in_force; "platform returned an older policy");
     }
     let applied = snapshot.apply_policy(policy);
     if applied {
@@ -212,23 +214,25 @@
     applied
 }
 
-fn leave(
+fn mark_leaving(
     snapshot: &mut Snapshot,
     backend: &BackendId,
     start: StartNumber,
     source: &Source,
 ) -> bool {
-    let fresh = snapshot.mark_leaving(backend, start);
-    if fresh {
+    let is_new = snapshot.mark_leaving(backend, start);
+    if is_new {
         log::info!(backend:% = backend, start:% = start, source:? = source; "backend server leaving");
     }
-    fresh
+    is_new
 }
 
-/// Whether most servers of a service would still take work without `backend`.
+/// Returns whether at least half of the servers of a service would be available
+/// without `backend`.
 ///
-/// If most close their connections, that is their habit and no sign of leaving.
-fn most_stay(snapshot: &Snapshot, backend: &BackendId) -> bool {
+/// If more of them close new connections, closing is usual for this service and no
+/// sign of leaving.
+fn most_others_available(snapshot: &Snapshot, backend: &BackendId) -> bool {
     let Some(server) = snapshot.backend(backend) else {
         return false;
     };
--- a/crates/azuregate/src/membership.rs
+++ b/crates/azuregate/src/membership.rs
@@ -1,4 +1,4 @@
-//! Owns what this instance believes of the others, and notices its own pauses.
+//! Tracks which other instances are available, and detects pauses of this process.
 
 use azuregate_core::{
     membership::{Heartbeat, HeartbeatTiming, Membership, READY_QUORUM},
@@ -12,14 +12,13 @@
 
 use crate::{
     clock::SharedClock,
-    config::{Change, Config, PAUSE_MS, Snapshots},
+    config::{Change, Config, PAUSE_THRESHOLD_MS, Snapshots},
     timer::Timer,
 };
 
-/// How often beliefs are looked over.
-const LOOK_MS: u64 = 250;
+const CHECK_INTERVAL_MS: u64 = 250;
 
-/// A handle to the membership's task; cheap to clone.
+/// A handle to the membership task; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct Members {
     sender: mpsc::UnboundedSender<Message>,
@@ -28,23 +27,23 @@
 
 #[derive(Debug)]
 enum Message {
-    Heard(InstanceId, StartNumber, Heartbeat),
+    Heartbeat(InstanceId, StartNumber, Heartbeat),
     PlatformRead,
-    PlatformFailed,
+    PlatformReadFailed,
 }
 
-/// What the task works with.
+/// The dependencies of the membership task.
 #[derive(Clone)]
 pub struct Parts {
-    /// The name of this instance.
+    /// The ID of this instance.
     pub instance: InstanceId,
-    /// Takes in beliefs.
+    /// Receives changes of availability and readiness.
     pub config: Config,
     /// The configuration in force.
     pub snapshots: Snapshots,
-    /// The clock.
+    /// Measures the age of heartbeats, and pauses.
     pub clock: SharedClock,
-    /// When to look beliefs over.
+    /// Starts the periodic checks.
     pub timer: Timer,
 }
 
@@ -56,8 +55,8 @@
         let task = Task {
             membership: Membership::new(&parts.instance),
             listed: Arc::from([]),
-            away: BTreeSet::new(),
-            looked_at_ms: parts.clock.now(),
+            unavailable: BTreeSet::new(),
+            last_check_at_ms: parts.clock.now(),
             platform_down: false,
             publish,
             parts,
@@ -66,29 +65,30 @@
         Members { sender, confirmed_at_ms }
     }
 
-    /// Passes on a neighbour's heartbeat.
-    pub fn heard(&self, id: &InstanceId, start: StartNumber, heartbeat: Heartbeat) {
-        self.send(Message::Heard(id.clone(), start, heartbeat));
+    /// Records a heartbeat of a neighbour.
+    pub fn heartbeat_received(&self, id: &InstanceId, start: StartNumber, heartbeat: Heartbeat) {
+        self.send(Message::Heartbeat(id.clone(), start, heartbeat));
     }
 
-    /// Tells that all that the platform holds was read and sent to the
-    /// configuration, which is ready from then on.
+    /// Records that the platform's newest state was read and sent to the
+    /// configuration, which makes this instance ready.
     pub fn platform_read(&self) {
         self.send(Message::PlatformRead);
     }
 
-    /// Tells that the platform could not be read.
-    pub fn platform_failed(&self) {
-        self.send(Message::PlatformFailed);
+    /// Records that a read of the platform failed.
+    pub fn platform_read_failed(&self) {
+        self.send(Message::PlatformReadFailed);
     }
 
-    /// When the versions in force were last known to be the platform's newest.
+    /// Returns when the versions in force were last confirmed as the platform's
+    /// newest.
     pub fn confirmed_at_ms(&self) -> Option<Millis> {
         *self.confirmed_at_ms.borrow()
     }
 
     fn send(&self, message: Message) {
-        // The task ends only after the last handle, and this is a handle.
+        // The task runs as long as any handle exists, so sending cannot fail.
         let _ = self.sender.send(message);
     }
 }
@@ -97,26 +97,26 @@
     parts: Parts,
     membership: Membership,
     listed: Arc<[Instance]>,
-    away: BTreeSet<InstanceId>,
-    looked_at_ms: Millis,
+    unavailable: BTreeSet<InstanceId>,
+    last_check_at_ms: Millis,
     platform_down: bool,
     publish: watch::Sender<Option<Millis>>,
 }
 
 impl Task {
     async fn serve(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
-        let mut ticks = self.parts.timer.subscribe(LOOK_MS);
+        let mut ticks = self.parts.timer.subscribe(CHECK_INTERVAL_MS);
         loop {
             tokio::select! {
                 message = receiver.recv() => {
                     let Some(message) = message else { return };
-                    self.take(message);
+                    self.handle_message(message);
                 }
                 tick = ticks.recv() => {
                     if tick.is_none() {
                         return;
                     }
-                    self.look();
+                    self.check();
                 }
             }
             let now_ms = self.parts.clock.now();
@@ -125,10 +125,10 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now_ms = self.parts.clock.now();
         match message {
-            Message::Heard(id, start, heartbeat) => {
+            Message::Heartbeat(id, start, heartbeat) => {
                 let digest = self.parts.snapshots.current().digest();
                 self.membership.record_heartbeat(&id, start, heartbeat, digest, now_ms);
             }
@@ -136,44 +136,45 @@
             Message::PlatformRead => {
                 self.platform_down = false;
                 self.membership.record_confirmation(now_ms);
-                // In this order, or an instance that has just started would be
-                // ready while it still calls itself away.
-                self.tell_away(now_ms);
+                // In this order: otherwise an instance that has just started would
+                // be ready while its own snapshot still lists it as
+                // unavailable.
+                self.publish_unavailable(now_ms);
                 self.parts.config.change(Change::Confirmed);
             }
-            Message::PlatformFailed => self.platform_down = true,
+            Message::PlatformReadFailed => self.platform_down = true,
         }
     }
 
-    fn look(&mut self) {
+    fn check(&mut self) {
         let now_ms = self.parts.clock.now();
         if self.was_paused(now_ms) {
-            // Whatever was decided meanwhile is not known here yet.
-            log::warn!(paused_ms = now_ms.since(self.looked_at_ms).0; "process was paused");
+            // Changes made during the pause have not arrived here.
+            log::warn!(paused_ms = now_ms.since(self.last_check_at_ms).0; "process was paused");
             self.membership.reset_after_pause(now_ms);
-            self.parts.config.change(Change::Woken);
+            self.parts.config.change(Change::PauseDetected);
         }
-        self.looked_at_ms = now_ms;
-        self.parts.config.change(Change::Beat(now_ms.0));
+        self.last_check_at_ms = now_ms;
+        self.parts.config.change(Change::WatchdogTick(now_ms.0));
         let snapshot = self.parts.snapshots.current();
-        self.watch(&snapshot, now_ms);
-        self.tell_away(now_ms);
-        self.get_ready(&snapshot, now_ms);
+        self.update_neighbours(&snapshot, now_ms);
+        self.publish_unavailable(now_ms);
+        self.confirm_by_peers(&snapshot, now_ms);
     }
 
     fn was_paused(&self, now_ms: Millis) -> bool {
-        now_ms.since(self.looked_at_ms).0 > PAUSE_MS
+        now_ms.since(self.last_check_at_ms).0 > PAUSE_THRESHOLD_MS
     }
 
-    fn tell_away(&mut self, now_ms: Millis) {
-        let away = self.membership.unavailable(now_ms);
-        if away != self.away {
-            self.away = away.clone();
-            self.parts.config.change(Change::Away(away));
+    fn publish_unavailable(&mut self, now_ms: Millis) {
+        let unavailable = self.membership.unavailable(now_ms);
+        if unavailable != self.unavailable {
+            self.unavailable = unavailable.clone();
+            self.parts.config.change(Change::Unavailable(unavailable));
         }
     }
 
-    fn watch(&mut self, snapshot: &Snapshot, now_ms: Millis) {
+    fn update_neighbours(&mut self, snapshot: &Snapshot, now_ms: Millis) {
         if !Arc::ptr_eq(&self.listed, &snapshot.listed) {
             self.listed = Arc::clone(&snapshot.listed);
             let neighbours = neighbours::neighbours(&self.parts.instance, &self.listed);
@@ -187,13 +188,14 @@
         }
     }
 
-    /// With the platform down, the word of several peers is enough to serve:
-    /// no change can be made that they do not know of.
-    fn get_ready(&self, snapshot: &Snapshot, now_ms: Millis) {
-        let needed = READY_QUORUM.min(self.listed.len().saturating_sub(1)).max(1);
-        let agreeing = self.membership.agreeing_peers(now_ms);
-        if self.platform_down && !snapshot.ready && agreeing >= needed {
-            self.parts.config.change(Change::ConfirmedByPeers(agreeing));
+    /// Makes this instance ready if the platform is down and enough peers serve the
+    /// same versions. This is safe: while the platform is down, no change can be
+    /// committed that those peers do not know.
+    fn confirm_by_peers(&self, snapshot: &Snapshot, now_ms: Millis) {
+        let required_peers = READY_QUORUM.min(self.listed.len().saturating_sub(1)).max(1);
+        let agreeing_peers = self.membership.agreeing_peers(now_ms);
+        if self.platform_down && !snapshot.ready && agreeing_peers >= required_peers {
+            self.parts.config.change(Change::ConfirmedByPeers(agreeing_peers));
         }
     }
 }
--- a/crates/azuregate/src/operators/mod.rs
+++ b/crates/azuregate/src/operators/mod.rs
@@ -50,7 +50,7 @@
     config::{Change, Config, Snapshots, Source},
     metrics::Recorder,
     platform::SharedPlatform,
-    stop::Stop,
+    stop::StopSignal,
 };
 
 /// Number of versions in a history when the request sets no limit.
@@ -80,7 +80,7 @@
     /// Holds the latency histograms.
     pub recorder: Recorder,
     /// Signals a planned stop.
-    pub stop: Stop,
+    pub stop: StopSignal,
 }
 
 /// Implements the operators' gRPC service. Cheap to clone.
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -17,15 +17,14 @@
 
 use crate::{
     callers::Callers, dispatch::Rule, operators::OperatorsService, probe, settings::Settings,
-    status, stop::Stop,
+    status, stop::StopSignal,
 };
 
 use self::{ports::Ports, shared::Shared};
 
-/// How long a planned stop waits for operators' calls in progress.
-const OPERATORS_STOP_LIMIT_MS: u64 = 5_000;
+const OPERATORS_SHUTDOWN_TIMEOUT_MS: u64 = 5_000;
 
-/// An instance that could not start.
+/// The error of an instance that could not start.
 #[derive(Debug)]
 pub struct RunError;
 
@@ -37,22 +36,26 @@
 
 impl std::error::Error for RunError {}
 
-/// Runs an entry instance until `stop` says so, then finishes what is in
-/// progress.
+/// Runs an entry instance until `stop` is signalled and the requests in progress
+/// have ended.
 ///
 /// # Errors
 ///
-/// When a port cannot be opened.
-pub async fn run(settings: Settings, stop: Stop) -> Result<(), Report<RunError>> {
-    run_with(settings, stop, Rule::default()).await
+/// Fails if a port cannot be opened.
+pub async fn run(settings: Settings, stop: StopSignal) -> Result<(), Report<RunError>> {
+    run_with_rule(settings, stop, Rule::default()).await
 }
 
-/// Runs an entry instance that chooses backend servers by `rule`.
+/// Runs an entry instance, as [`run`] does, that selects backend servers by `rule`.
 ///
 /// # Errors
 ///
-/// When a port cannot be opened.
-pub async fn run_with(settings: Settings, stop: Stop, rule: Rule) -> Result<(), Report<RunError>> {
+/// Fails if a port cannot be opened.
+pub async fn run_with_rule(
+    settings: Settings,
+    stop: StopSignal,
+    rule: Rule,
+) -> Result<(), Report<RunError>> {
     let stop_delay_ms = settings.stop_delay_ms;
     let ports = Ports::open(&settings).await?;
     let shared = Shared::start(settings, stop)?;
@@ -70,13 +73,13 @@
     callers.serve(ports.traffic, stop_delay_ms).await;
     log::info!(instance:% = shared.settings.instance; "entry instance stopped");
 
-    // Dropping the set ends its tasks.
+    // Dropping the set aborts its tasks.
     drop(background);
     operators.stop().await;
     Ok(())
 }
 
-/// Starts the tasks that run beside requests and calls.
+/// Starts the tasks that serve neither callers nor operators.
 fn start_background(shared: &Shared, peers: TcpListener, status: TcpListener) -> JoinSet<()> {
     let members = shared.members();
     let mut tasks = JoinSet::new();
@@ -89,29 +92,31 @@
     tasks
 }
 
-/// The operators' port, which finishes its calls before it closes.
+/// The server of the operators' calls.
 struct OperatorsPort {
-    open: oneshot::Sender<()>,
+    shutdown: oneshot::Sender<()>,
     task: JoinHandle<Result<(), tonic::transport::Error>>,
 }
 
 impl OperatorsPort {
     fn start(service: OperatorsService, listener: TcpListener) -> OperatorsPort {
-        let (open, closed) = oneshot::channel::<()>();
-        // An answer is several small writes; without nodelay the later ones wait
-        // 40 ms for the acknowledgement of the first.
+        let (shutdown, shutdown_requested) = oneshot::channel::<()>();
+        // A response is several small writes. With Nagle's algorithm, the later ones
+        // would wait up to 40 ms for a delayed acknowledgement.
         let incoming = TcpIncoming::from(listener).with_nodelay(Some(true));
         let server = tonic::transport::Server::builder()
             .add_service(OperatorsServer::new(service))
             .serve_with_incoming_shutdown(incoming, async {
-                let _ = closed.await;
+                let _ = shutdown_requested.await;
             });
-        OperatorsPort { open, task: tokio::spawn(server) }
+        OperatorsPort { shutdown, task: tokio::spawn(server) }
     }
 
-    /// An operator's change that is in progress is settled, and its outcome told.
+    /// Stops accepting calls and waits for those in progress, so that an operator
+    /// learns the outcome of a change.
     async fn stop(self) {
-        drop(self.open);
-        let _ = time::timeout(Duration::from_millis(OPERATORS_STOP_LIMIT_MS), self.task).await;
+        drop(self.shutdown);
+        let _ =
+            time::timeout(Duration::from_millis(OPERATORS_SHUTDOWN_TIMEOUT_MS), self.task).await;
     }
 }
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of an entry instance share, and the parts made from it.
+//! The resources that an entry instance's components share, and their construction.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 
 use crate::{
     backend::{HttpDialer, Pool, SharedDialer},
-    claims::{Claims, Cleaner},
+    claims::{ClaimCleaner, Claims},
     clock::{SharedClock, SystemClock},
     config::{Config, Snapshots},
     dispatch::{Exchange, Rule},
@@ -23,15 +23,15 @@
     selector::{SelectorParts, Selectors},
     settings::Settings,
     status::Status,
-    stop::Stop,
+    stop::StopSignal,
     timer::Timer,
 };
 
-/// Settings, clocks and handles to tasks; every part has its own clones.
+/// Settings, clocks and handles to tasks; each component gets clones of these.
 pub(super) struct Shared {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
-    pub(super) stop: Stop,
+    pub(super) stop: StopSignal,
     pub(super) config: Config,
     pub(super) snapshots: Snapshots,
     pub(super) pool: Pool,
@@ -44,13 +44,13 @@
 }
 
 impl Shared {
-    /// Starts the tasks that every part works with.
-    pub(super) fn start(settings: Settings, stop: Stop) -> Result<Shared, Report<RunError>> {
+    /// Starts the tasks that all components use.
+    pub(super) fn start(settings: Settings, stop: StopSignal) -> Result<Shared, Report<RunError>> {
         let clock: SharedClock = Arc::new(SystemClock::new());
         let first = Snapshot::empty(Arc::new(settings.topology.clone()));
         let (config, snapshots) = Config::start_with_clock(first, Arc::clone(&clock));
         let platform = &settings.platform;
-        let platform = HttpPlatform::from_ip(settings.ip, platform.addr, platform.timeout_ms);
+        let platform = HttpPlatform::with_local_ip(settings.ip, platform.addr, platform.timeout_ms);
         Ok(Shared {
             start: StartNumber(clock.epoch().0),
             stop,
@@ -85,7 +85,7 @@
             members: members.clone(),
             clock: Arc::clone(&self.clock),
             timer: self.timer.clone(),
-            every_ms: self.settings.platform.poll_ms,
+            min_interval_ms: self.settings.platform.poll_ms,
         }
     }
 
@@ -100,8 +100,8 @@
         }
     }
 
-    pub(super) fn cleaner(&self) -> Cleaner {
-        Cleaner {
+    pub(super) fn cleaner(&self) -> ClaimCleaner {
+        ClaimCleaner {
             instance: self.settings.instance.clone(),
             platform: Arc::clone(&self.platform),
             clock: Arc::clone(&self.clock),
--- a/crates/azuregate/src/serve/mod.rs
+++ b/crates/azuregate/src/serve/mod.rs
@@ -61,7 +61,7 @@
 };
 
 use self::{endpoints::Audience, listen::Listeners, shutdown_phase::ShutdownPhase, state::State};
-use crate::stop::Stop;
+use crate::stop::StopSignal;
 
 /// The error of an entry instance that cannot start.
 #[derive(Debug)]
@@ -97,7 +97,7 @@
 pub async fn run(
     settings: Settings,
     file: Option<PathBuf>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> Result<(), Report<ServeError>> {
     LocalSet::new().run_until(run_local(settings, file, stop)).await
 }
@@ -105,7 +105,7 @@
 async fn run_local(
     settings: Settings,
     file: Option<PathBuf>,
-    stop: Stop,
+    stop: StopSignal,
 ) -> Result<(), Report<ServeError>> {
     let listeners = Listeners::open(&settings).await?;
     let (phase, phases) = sync::watch::channel(ShutdownPhase::Serving);
--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -19,7 +19,7 @@
     encoding::EncodedChangesCache, metrics::Metrics, pool::ConnectionPool,
     shutdown_phase::ShutdownPhase, tables::Tables,
 };
-use crate::{stop::Stop, timer::Timer};
+use crate::{stop::StopSignal, timer::Timer};
 
 /// The share of the retry budget that is used. Instances count requests when they send
 /// them and backend servers when they receive them, so their windows differ slightly.
@@ -32,7 +32,7 @@
 pub(super) struct State {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
-    pub(super) stop: Stop,
+    pub(super) stop: StopSignal,
     pub(super) phase: watch::Receiver<ShutdownPhase>,
     pub(super) timer: Timer,
     pub(super) balancer: RefCell<Balancer>,
@@ -72,7 +72,7 @@
 impl State {
     pub(super) fn new(
         settings: Settings,
-        stop: Stop,
+        stop: StopSignal,
         phase: watch::Receiver<ShutdownPhase>,
     ) -> State {
         let balancer = Balancer::new(balance::Settings {
