--- a/crates/azuregate/src/gateway/entry_answers.rs
+++ b/crates/azuregate/src/gateway/entry_answers.rs
@@ -14,7 +14,7 @@
 };
 use bytes::Bytes;
 
-use crate::gateway::Parts;
+use crate::gateway::GatewayContext;
 
 /// How long an answer is handed out. It names the time at which it was made, by
 /// which the homes of idempotency keys run out.
@@ -42,18 +42,18 @@
     /// The answer for a caller, in JSON.
     pub(crate) fn get(
         &self,
-        parts: &Parts,
+        context: &GatewayContext,
         snapshot: &Snapshot,
         service: &ServiceName,
         caller: SocketAddr,
     ) -> Result<Bytes, Error> {
         let salt = caller.ip().to_string();
         let key = (service.clone(), entries::variant(&salt));
-        let now_ms = parts.clock.now().0;
+        let now_ms = context.clock.now().0;
         if let Some(made) = self.kept_answer(snapshot, &key, now_ms) {
             return Ok(made);
         }
-        let json = Bytes::from(make(parts, snapshot, service, &salt)?);
+        let json = Bytes::from(make(context, snapshot, service, &salt)?);
         let made = Made { json: json.clone(), until_ms: now_ms + KEPT_MS };
         let mut kept = self.lock();
         // Another request may have brought in a newer list meanwhile.
@@ -92,14 +92,14 @@
 }
 
 fn make(
-    parts: &Parts,
+    context: &GatewayContext,
     snapshot: &Snapshot,
     service: &ServiceName,
     salt: &str,
 ) -> Result<Vec<u8>, Error> {
-    let mut entries: Entries = entries::entries(snapshot, service, &parts.zone, salt);
+    let mut entries: Entries = entries::entries(snapshot, service, &context.zone, salt);
     for entry in &mut entries.entries {
-        let home = parts.claims.home_token(&entry.id, snapshot);
+        let home = context.claims.home_token(&entry.id, snapshot);
         entry.home = home.map(|home| home.to_string());
     }
     serde_json::to_vec(&entries).map_err(|e| Error::new(ErrorKind::Internal, e.to_string()))
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -12,7 +12,7 @@
 use crate::{
     backend::BackendConn,
     body::Body,
-    gateway::{Attributes, Parts, payload::Payload, retries::Retries},
+    gateway::{Attributes, GatewayContext, payload::Payload, retries::Retries},
     selector::{Handed, Lease, Selector, Want},
 };
 
@@ -24,7 +24,7 @@
 /// It owns what it needs, since a request with an idempotency key goes on when
 /// its caller has left.
 pub(crate) struct Forward {
-    pub(crate) parts: Arc<Parts>,
+    pub(crate) context: Arc<GatewayContext>,
     pub(crate) selector: Selector,
     pub(crate) retries: Retries,
     pub(crate) attributes: Attributes,
@@ -103,7 +103,7 @@
     }
 
     pub(crate) fn remaining_ms(&self) -> u64 {
-        self.deadline_ms.saturating_sub(self.parts.clock.now().0)
+        self.deadline_ms.saturating_sub(self.context.clock.now().0)
     }
 
     fn want(&self, up_bytes: u64) -> Want {
@@ -158,12 +158,12 @@
     /// made one connection to a server useless may have hit all of them.
     async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<Link, Error> {
         if attempt == 1
-            && let Some(pooled) = self.parts.pool.take(lease.addr).await
+            && let Some(pooled) = self.context.pool.take(lease.addr).await
         {
             return Ok(Link { conn: pooled.conn, pooled: true });
         }
         let remaining = Duration::from_millis(self.remaining_ms());
-        match time::timeout(remaining, self.parts.dialer.dial(lease.addr)).await {
+        match time::timeout(remaining, self.context.dialer.dial(lease.addr)).await {
             Ok(Ok(conn)) => Ok(Link { conn, pooled: false }),
             Ok(Err(e)) => {
                 lease.set_ending(Completion::Failed);
--- a/crates/azuregate/src/gateway/keyed.rs
+++ b/crates/azuregate/src/gateway/keyed.rs
@@ -16,7 +16,7 @@
     body::{self, Body},
     claims::{Claimed, Wanted},
     gateway::{
-        Parts,
+        GatewayContext,
         forward::Forward,
         headers,
         payload::Payload,
@@ -46,8 +46,8 @@
     ) -> Result<Response<Body>, Error> {
         let running = orders.spawn(async move {
             match &self.home {
-                Some(home) if !self.forward.parts.claims.is_here(home) => {
-                    pass_on(&self.forward.parts, home, head, payload, self.forward.remaining_ms())
+                Some(home) if !self.forward.context.claims.is_here(home) => {
+                    pass_on(&self.forward.context, home, head, payload, self.forward.remaining_ms())
                         .await
                 }
                 _ => self.run_here(head, payload).await,
@@ -69,7 +69,7 @@
             fingerprint: payload.fingerprint(attributes.fingerprint),
             remaining_ms: self.forward.remaining_ms(),
         };
-        let claims = &self.forward.parts.claims;
+        let claims = &self.forward.context.claims;
         match claims.claim(wanted, self.home.as_ref()).await? {
             Claimed::Run(held) => {
                 let result = self.forward.run(&head, payload).await;
@@ -85,7 +85,7 @@
 /// The home runs it at most once whatever happens here, so a failure is safe to
 /// repeat, but says nothing of what ran.
 async fn pass_on(
-    parts: &Arc<Parts>,
+    context: &Arc<GatewayContext>,
     home: &HomeToken,
     head: request::Parts,
     payload: Payload,
@@ -95,7 +95,7 @@
         let detail = format!("{home} was sought here by another instance");
         return Err(Error::new(ErrorKind::HomeGone, detail));
     }
-    let snapshot = parts.snapshots.current();
+    let snapshot = context.snapshots.current();
     let listed = snapshot.instances.iter().find(|instance| instance.id == home.instance);
     let Some(instance) = listed else {
         return Err(Error::new(ErrorKind::HomeGone, format!("{} is not listed", home.instance)));
@@ -107,7 +107,7 @@
         Error::new(ErrorKind::HomeUnreachable, format!("{home} at {addr}: {detail}"))
     };
     let exchange = async {
-        let mut conn = parts.dialer.dial(addr).await.map_err(|e| failed(e.to_string()))?;
+        let mut conn = context.dialer.dial(addr).await.map_err(|e| failed(e.to_string()))?;
         let response = conn.send(request).await.map_err(|e| failed(e.detail))?;
         Ok(relay(response, conn, deadline))
     };
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -47,7 +47,7 @@
 const ENTRIES_PATH: &str = "/v1/entries";
 
 /// What the gateway works with.
-pub struct Parts {
+pub struct GatewayContext {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -72,7 +72,7 @@
 
 /// Serves callers; shared between their connections.
 pub struct Gateway {
-    parts: Arc<Parts>,
+    context: Arc<GatewayContext>,
     answers: EntryAnswers,
     retries: AllRetries,
     /// Requests with a key, which run on when their callers leave.
@@ -81,9 +81,9 @@
 
 impl Gateway {
     /// Makes a gateway.
-    pub fn new(parts: Parts) -> Gateway {
+    pub fn new(context: GatewayContext) -> Gateway {
         let (answers, retries) = (EntryAnswers::default(), AllRetries::default());
-        Gateway { parts: Arc::new(parts), answers, retries, orders: TaskTracker::new() }
+        Gateway { context: Arc::new(context), answers, retries, orders: TaskTracker::new() }
     }
 
     /// Waits for the requests whose callers have left, and for what the platform
@@ -91,13 +91,13 @@
     pub async fn finish(&self) {
         self.orders.close();
         self.orders.wait().await;
-        self.parts.claims.finish().await;
+        self.context.claims.finish().await;
     }
 
     /// Answers one request of the caller at `caller`.
     pub async fn handle(&self, mut request: Request<Body>, caller: SocketAddr) -> Response<Body> {
-        let started_ms = self.parts.clock.now();
-        let snapshot = self.parts.snapshots.current();
+        let started_ms = self.context.clock.now();
+        let snapshot = self.context.snapshots.current();
         if request.uri().path() == ENTRIES_PATH && request.method() == Method::GET {
             return self.entries(&request, &snapshot, caller).unwrap_or_else(|e| answer::error(&e));
         }
@@ -110,9 +110,9 @@
             Err(e) => return answer::error(&e),
         };
         let result = self.serve(request, &attributes, &snapshot, handed.clone()).await;
-        let taken_ms = self.parts.clock.now().since(started_ms).0;
+        let taken_ms = self.context.clock.now().since(started_ms).0;
         let code = result.as_ref().map_or_else(|e| e.kind().code(), |_| ANSWERED);
-        self.parts.recorder.record(Sample {
+        self.context.recorder.record(Sample {
             service: attributes.service.clone(),
             tenant: attributes.tenant.clone(),
             class: attributes.class,
@@ -131,7 +131,7 @@
             response.headers_mut().insert(request::REQUEST_ID, id);
         }
         if let Some(handed) = handed {
-            let selector = self.parts.selectors.get(&attributes.service);
+            let selector = self.context.selectors.get(&attributes.service);
             handover::set_load(response.headers_mut(), selector.load_for(&handed).await);
         }
         response
@@ -148,7 +148,7 @@
             let detail = format!("no policy names {service}");
             return Err(Error::new(ErrorKind::UnknownService, detail));
         }
-        let json = self.answers.get(&self.parts, snapshot, &service, caller)?;
+        let json = self.answers.get(&self.context, snapshot, &service, caller)?;
         Response::builder()
             .header(header::CONTENT_TYPE, "application/json")
             .header(header::CACHE_CONTROL, format!("max-age={MAX_AGE_S}"))
@@ -179,11 +179,11 @@
         };
         let timeout_ms = attributes.timeout_ms.unwrap_or(policy.timeout_ms);
         let forward = forward::Forward {
-            parts: Arc::clone(&self.parts),
-            selector: self.parts.selectors.get(&attributes.service),
+            context: Arc::clone(&self.context),
+            selector: self.context.selectors.get(&attributes.service),
             retries: self.retries.of(&attributes.service),
             attributes: attributes.clone(),
-            deadline_ms: self.parts.clock.now().0 + timeout_ms,
+            deadline_ms: self.context.clock.now().0 + timeout_ms,
             queue_ms: policy.queue_ms,
             handed,
         };
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -64,7 +64,7 @@
         request: Request<Body>,
         late_ms: Option<u64>,
     ) -> Result<Response<Body>, (Error, bool)> {
-        let sent_at_ms = self.parts.clock.now();
+        let sent_at_ms = self.context.clock.now();
         let (request, progress) = watched(request);
         let response = match self.wait_for_head(&mut lease, &mut link, request, late_ms).await {
             Ok(Ok(response)) => response,
@@ -79,7 +79,7 @@
             }
             Err(failed) => return Err(failed),
         };
-        let latency_ms = self.parts.clock.now().since(sent_at_ms).0;
+        let latency_ms = self.context.clock.now().since(sent_at_ms).0;
         if lease.handed_to.is_some() {
             let reusable = progress.is_ended() && !headers::is_last(response.headers());
             return match handover::take_answer(&lease, response) {
@@ -124,7 +124,7 @@
         let (mut head, body) = response.into_parts();
         let body = body::with_deadline(metered::down(body, lease.meter.as_ref()), deadline);
         head.headers = headers::without_hop_by_hop(&head.headers);
-        let pool = self.parts.pool.clone();
+        let pool = self.context.pool.clone();
         let request_id = self.attributes.request_id.clone();
         let held = Held { request_id, lease, conn: link.conn, pool, latency_ms, reusable };
         Response::from_parts(head, LeaseBody::new(body, held).boxed_unsync())
@@ -147,7 +147,7 @@
             }
             if self.retries.try_take() {
                 // The others in the pool may have gone silent with this one.
-                self.parts.pool.forget(lease.addr);
+                self.context.pool.forget(lease.addr);
                 let detail = format!("no answer from {} within {late_ms} ms", lease.backend);
                 return Err((Error::new(ErrorKind::BackendLost, detail), true));
             }
@@ -172,7 +172,7 @@
         }
         let collected = body::collect(body, REFUSAL_LIMIT_BYTES as usize);
         if let Ok(Ok(_)) = time::timeout(REFUSAL_WAIT, collected).await {
-            self.parts.pool.put(lease.addr, link.conn);
+            self.context.pool.put(lease.addr, link.conn);
         }
     }
 
@@ -183,7 +183,7 @@
     /// connection that has carried requests before may have counted enough of
     /// them; the next request goes on a new connection, whose first answer tells.
     fn learn(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
-        if let Some(report) = headers::load_report(headers, self.parts.clock.now()) {
+        if let Some(report) = headers::load_report(headers, self.context.clock.now()) {
             lease.report(report);
         }
         if !headers::is_last(headers) {
@@ -191,11 +191,11 @@
         }
         let (backend, start) = (lease.backend.clone(), lease.start);
         if headers::is_refusal(headers) {
-            self.parts.config.change(Change::Leaving(backend, start, Source::Backend));
+            self.context.config.change(Change::Leaving(backend, start, Source::Backend));
         } else if !pooled {
-            self.parts.config.change(Change::Closed(backend, start));
+            self.context.config.change(Change::Closed(backend, start));
         }
-        self.parts.pool.forget(lease.addr);
+        self.context.pool.forget(lease.addr);
         true
     }
 }
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -11,7 +11,7 @@
     clock::{SharedClock, SystemClock},
     config::{Config, Snapshots},
     dispatch::{Exchange, Rule},
-    gateway::{self, Gateway},
+    gateway::{Gateway, GatewayContext},
     membership::{self, Members},
     metrics::{MetricSink, NullSink, Recorder, StatsdSink},
     operators::{self, OperatorsService},
@@ -20,7 +20,7 @@
     poll::Poller,
     probe::Prober,
     run::RunError,
-    selector::{SelectorParts, Selectors},
+    selector::{SelectorContext, Selectors},
     settings::Settings,
     status::Status,
     stop::Stop,
@@ -147,7 +147,7 @@
     }
 
     pub(super) fn gateway(&self, rule: Rule) -> Gateway {
-        Gateway::new(gateway::Parts {
+        Gateway::new(GatewayContext {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
             snapshots: self.snapshots.clone(),
@@ -172,7 +172,7 @@
     }
 
     fn selectors(&self, rule: Rule) -> Selectors {
-        Selectors::new(SelectorParts {
+        Selectors::new(SelectorContext {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
             start: self.start,
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -43,7 +43,7 @@
 
 /// What selectors work with.
 #[derive(Clone)]
-pub struct SelectorParts {
+pub struct SelectorContext {
     /// This instance.
     pub instance: InstanceId,
     /// Its availability zone.
@@ -96,20 +96,20 @@
 
 impl Selector {
     /// Starts a selector for `service`; it ends when the last handle is dropped.
-    pub fn start(service: &ServiceName, parts: &SelectorParts) -> Selector {
+    pub fn start(service: &ServiceName, context: &SelectorContext) -> Selector {
         let (sender, receiver) = mpsc::unbounded_channel();
         let config = |grouping, make_router| Config {
             service: service.clone(),
-            instance: parts.instance.clone(),
-            zone: parts.zone.clone(),
-            start: parts.start,
+            instance: context.instance.clone(),
+            zone: context.zone.clone(),
+            start: context.start,
             grouping,
             make_router,
         };
-        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &parts.rule {
+        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &context.rule {
             Rule::Dispatch => {
                 let make_router = Box::new(|| Box::new(SlotTable::default()) as _);
-                let steer = Box::new(CappedSteer::new(service, &parts.instance, &parts.zone));
+                let steer = Box::new(CappedSteer::new(service, &context.instance, &context.zone));
                 (config(Grouping::PerZone, make_router), Some(steer))
             }
             Rule::Alone(make_router) => {
@@ -117,7 +117,7 @@
                 (config(Grouping::WholeService, Box::new(move || make_router())), None)
             }
         };
-        let task = Task::new(service, parts, Dispatch::new(config), steer, sender.downgrade());
+        let task = Task::new(service, context, Dispatch::new(config), steer, sender.downgrade());
         tokio::spawn(task.serve(receiver));
         Selector { sender }
     }
@@ -172,14 +172,14 @@
 ///
 /// Looking one up takes no lock: a request must not wait for another.
 pub struct Selectors {
-    parts: SelectorParts,
+    context: SelectorContext,
     by_service: ArcSwap<HashMap<ServiceName, Selector>>,
 }
 
 impl Selectors {
     /// Makes the collection; no selector is started yet.
-    pub fn new(parts: SelectorParts) -> Selectors {
-        Selectors { parts, by_service: ArcSwap::default() }
+    pub fn new(context: SelectorContext) -> Selectors {
+        Selectors { context, by_service: ArcSwap::default() }
     }
 
     /// The selector of a service.
@@ -187,7 +187,7 @@
         if let Some(selector) = self.by_service.load().get(service) {
             return selector.clone();
         }
-        let started = Selector::start(service, &self.parts);
+        let started = Selector::start(service, &self.context);
         self.by_service.rcu(|selectors| {
             let mut selectors = HashMap::clone(selectors);
             selectors.entry(service.clone()).or_insert_with(|| started.clone());
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -10,10 +10,10 @@
     clock::{SharedClock, SystemClock},
     config::{Change, Config, Source},
     dispatch::{Exchange, LoadUpdate, Rule},
-    gateway::{Gateway, Parts},
+    gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
     platform::{Changes, Commit, Effect, Platform, PlatformError, Result, Row, Table, Write},
-    selector::{SelectorParts, Selectors},
+    selector::{SelectorContext, Selectors},
     timer::Timer,
 };
 use azuregate_core::{
@@ -67,7 +67,7 @@
         let (instance, zone) = (InstanceId::new("entry-1"), ZoneName::new("r-a"));
         let start = StartNumber(clock.epoch().0);
         let exchange = Exchange::default();
-        let selectors = Selectors::new(SelectorParts {
+        let selectors = Selectors::new(SelectorContext {
             instance: instance.clone(),
             zone: zone.clone(),
             start,
@@ -77,7 +77,7 @@
             exchange: exchange.clone(),
             timer: Timer::start(),
         });
-        let gateway = Gateway::new(Parts {
+        let gateway = Gateway::new(GatewayContext {
             instance: instance.clone(),
             zone,
             snapshots: snapshots.clone(),
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -16,9 +16,9 @@
     clock::{Clock, SharedClock, SystemClock},
     config::{Change, Config, Snapshots, Source},
     dispatch::{Exchange, Rule},
-    gateway::{Gateway, Parts},
+    gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
-    selector::{SelectorParts, Selectors},
+    selector::{SelectorContext, Selectors},
     timer::Timer,
 };
 use azuregate_core::{
@@ -138,7 +138,7 @@
         watch.wait_for(|snapshot| snapshot.ready).await.unwrap();
         let instance = InstanceId::new(name);
         let start = StartNumber(clock.epoch().0 - clock.now().0);
-        let selectors = Selectors::new(SelectorParts {
+        let selectors = Selectors::new(SelectorContext {
             instance: instance.clone(),
             zone: ZoneName::new("r-a"),
             start,
@@ -148,7 +148,7 @@
             exchange: Exchange::default(),
             timer: Timer::start(),
         });
-        let gateway = Gateway::new(Parts {
+        let gateway = Gateway::new(GatewayContext {
             instance: instance.clone(),
             zone: ZoneName::new("r-a"),
             snapshots: snapshots.clone(),
