--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -13,7 +13,7 @@
     backend::BackendConn,
     body::Body,
     gateway::{Attributes, GatewayContext, payload::Payload, retries::Retries},
-    selector::{Handed, Lease, Selector, Want},
+    selector::{IncomingHandOver, Lease, Selector, SlotRequest},
 };
 
 /// How often a request is tried at the most.
@@ -32,7 +32,7 @@
     pub(crate) deadline_ms: u64,
     pub(crate) queue_ms: u64,
     /// Who handed the request over, if it is here on its second hop.
-    pub(crate) handed: Option<Handed>,
+    pub(crate) incoming_hand_over: Option<IncomingHandOver>,
 }
 
 /// A failed attempt, with the body if it can be sent again.
@@ -106,11 +106,17 @@
         self.deadline_ms.saturating_sub(self.context.clock.now().0)
     }
 
-    fn want(&self, up_bytes: u64) -> Want {
-        let left_ms = self.remaining_ms();
-        let wait_ms = self.queue_ms.min(left_ms);
+    fn slot_request(&self, body_bytes: u64) -> SlotRequest {
+        let remaining_ms = self.remaining_ms();
+        let max_wait_ms = self.queue_ms.min(remaining_ms);
         let idempotent = self.attributes.idempotent;
-        Want { wait_ms, left_ms, up_bytes, idempotent, handed: self.handed.clone() }
+        SlotRequest {
+            max_wait_ms,
+            remaining_ms,
+            body_bytes,
+            idempotent,
+            incoming_hand_over: self.incoming_hand_over.clone(),
+        }
     }
 
     async fn attempt(
@@ -119,7 +125,7 @@
         payload: Payload,
         attempt: usize,
     ) -> Result<Response<Body>, Failed> {
-        let (lease, link) = match self.reach(attempt, payload.up_bytes()).await {
+        let (lease, link) = match self.reach(attempt, payload.body_bytes()).await {
             Ok(reached) => reached,
             Err(error) => return Err(Failed { error, payload: Some(payload), paid: false }),
         };
@@ -134,9 +140,9 @@
     }
 
     /// Takes a slot of a backend server and a connection to it.
-    async fn reach(&self, attempt: usize, up_bytes: u64) -> Result<(Lease, Link), Error> {
+    async fn reach(&self, attempt: usize, body_bytes: u64) -> Result<(Lease, Link), Error> {
         self.check_deadline()?;
-        let mut lease = self.selector.acquire(self.want(up_bytes)).await?;
+        let mut lease = self.selector.acquire(self.slot_request(body_bytes)).await?;
         let link = self.connect(&mut lease, attempt).await?;
         self.check_deadline()?;
         Ok((lease, link))
@@ -166,12 +172,12 @@
         match time::timeout(remaining, self.context.dialer.dial(lease.addr)).await {
             Ok(Ok(conn)) => Ok(Link { conn, pooled: false }),
             Ok(Err(e)) => {
-                lease.set_ending(Completion::Failed);
+                lease.set_completion(Completion::Failed);
                 let detail = format!("cannot connect to {} at {}: {e}", lease.backend, lease.addr);
                 Err(Error::new(ErrorKind::ConnectFailed, detail))
             }
             Err(_) => {
-                lease.set_ending(Completion::Failed);
+                lease.set_completion(Completion::Failed);
                 let detail = format!("no connection to {} in time", lease.backend);
                 Err(Error::new(ErrorKind::DeadlineBeforeSend, detail))
             }
@@ -186,7 +192,7 @@
     /// and only on a pooled connection is silence the likely cause.
     /// A dispatcher is left out: a request may well wait in its queue.
     fn late_after_ms(&self, lease: &Lease, link: &Link, repeatable: bool) -> Option<u64> {
-        let elsewhere = lease.handed_to.is_some();
+        let elsewhere = lease.outgoing_hand_over.is_some();
         if elsewhere || !link.pooled || !repeatable || !self.attributes.idempotent {
             return None;
         }
--- a/crates/azuregate/src/gateway/handover.rs
+++ b/crates/azuregate/src/gateway/handover.rs
@@ -19,7 +19,7 @@
 use crate::{
     body::Body,
     gateway::answer::OUTCOME,
-    selector::{Handed, HandedTo, Lease},
+    selector::{IncomingHandOver, Lease, OutgoingHandOver},
 };
 
 /// Names the group that a request is handed over for, and how many milliseconds
@@ -40,7 +40,7 @@
     headers: &mut HeaderMap,
     caller: SocketAddr,
     snapshot: &Snapshot,
-) -> Result<Option<Handed>, Error> {
+) -> Result<Option<IncomingHandOver>, Error> {
     let Some(mark) = headers.remove(HAND_OVER) else {
         return Ok(None);
     };
@@ -50,9 +50,9 @@
         return Err(Error::new(ErrorKind::NotReady, detail));
     };
     let parsed = mark.to_str().ok().and_then(|mark| {
-        let (group, wait_ms) = mark.split_once(' ')?;
-        let (group, wait_ms) = (group.parse().ok()?, wait_ms.parse().ok()?);
-        Some(Handed { from: sender.id.clone(), group, wait_ms })
+        let (group, max_wait_ms) = mark.split_once(' ')?;
+        let (group, max_wait_ms) = (group.parse().ok()?, max_wait_ms.parse().ok()?);
+        Some(IncomingHandOver { from: sender.id.clone(), group, max_wait_ms })
     });
     let malformed = || Error::new(ErrorKind::BadRequest, "the hand-over names no group");
     parsed.map(Some).ok_or_else(malformed)
@@ -62,10 +62,10 @@
 pub(crate) fn mark(headers: &mut HeaderMap, lease: &Lease) {
     // A caller's own mark never goes on.
     headers.remove(HAND_OVER);
-    let Some(HandedTo { group, wait_ms, .. }) = &lease.handed_to else {
+    let Some(OutgoingHandOver { group, max_wait_ms, .. }) = &lease.outgoing_hand_over else {
         return;
     };
-    if let Ok(mark) = HeaderValue::from_str(&format!("{group} {wait_ms}")) {
+    if let Ok(mark) = HeaderValue::from_str(&format!("{group} {max_wait_ms}")) {
         headers.insert(HAND_OVER, mark);
     }
 }
@@ -91,7 +91,7 @@
 ) -> Result<Response<Body>, Error> {
     let load = response.headers_mut().remove(LOAD);
     if let Some(load) = load.and_then(|load| load.to_str().ok()?.parse().ok()) {
-        lease.hear(load);
+        lease.record_group_load(load);
     }
     let outcome = response.headers().get(OUTCOME).and_then(|outcome| outcome.to_str().ok());
     if outcome.and_then(Outcome::parse) != Some(Outcome::NotRun) {
--- a/crates/azuregate/src/gateway/lease_body.rs
+++ b/crates/azuregate/src/gateway/lease_body.rs
@@ -56,7 +56,7 @@
         let Some(mut held) = self.held.take() else {
             return;
         };
-        held.lease.set_ending(Completion::Responded { latency_ms: held.latency_ms });
+        held.lease.set_completion(Completion::Responded { latency_ms: held.latency_ms });
         if held.reusable {
             held.pool.put(held.lease.addr, held.conn);
         }
@@ -66,7 +66,7 @@
     fn cut(&mut self, detail: &str) -> Error {
         let error = Error::new(ErrorKind::AnswerCut, detail);
         if let Some(mut held) = self.held.take() {
-            held.lease.set_cut();
+            held.lease.set_truncated();
             log::info!(
                 request = held.request_id, backend:% = held.lease.backend,
                 code = error.kind().code(), detail = detail;
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -3,13 +3,13 @@
 */
 
 mod answer;
+mod count_bytes;
 mod entry_answers;
 mod forward;
 mod handover;
 mod headers;
 mod keyed;
 mod lease_body;
-mod metered;
 mod payload;
 mod request;
 mod retries;
@@ -36,7 +36,7 @@
     clock::SharedClock,
     config::{Config, Snapshots},
     metrics::{ANSWERED, Recorder, Sample},
-    selector::{Handed, Selectors},
+    selector::{IncomingHandOver, Selectors},
 };
 
 use self::{entry_answers::EntryAnswers, keyed::Keyed, payload::Payload, retries::AllRetries};
@@ -101,15 +101,15 @@
         if request.uri().path() == ENTRIES_PATH && request.method() == Method::GET {
             return self.entries(&request, &snapshot, caller).unwrap_or_else(|e| answer::error(&e));
         }
-        let handed = match handover::read(request.headers_mut(), caller, &snapshot) {
-            Ok(handed) => handed,
+        let incoming_hand_over = match handover::read(request.headers_mut(), caller, &snapshot) {
+            Ok(incoming_hand_over) => incoming_hand_over,
             Err(e) => return answer::error(&e),
         };
         let attributes = match Attributes::read(&request) {
             Ok(attributes) => attributes,
             Err(e) => return answer::error(&e),
         };
-        let result = self.serve(request, &attributes, &snapshot, handed.clone()).await;
+        let result = self.serve(request, &attributes, &snapshot, incoming_hand_over.clone()).await;
         let taken_ms = self.context.clock.now().since(started_ms).0;
         let code = result.as_ref().map_or_else(|e| e.kind().code(), |_| ANSWERED);
         self.context.recorder.record(Sample {
@@ -130,9 +130,12 @@
         if let Ok(id) = HeaderValue::from_str(&attributes.request_id) {
             response.headers_mut().insert(request::REQUEST_ID, id);
         }
-        if let Some(handed) = handed {
+        if let Some(incoming_hand_over) = incoming_hand_over {
             let selector = self.context.selectors.get(&attributes.service);
-            handover::set_load(response.headers_mut(), selector.load_for(&handed).await);
+            handover::set_load(
+                response.headers_mut(),
+                selector.load_for(&incoming_hand_over).await,
+            );
         }
         response
     }
@@ -161,11 +164,11 @@
         request: Request<Body>,
         attributes: &Attributes,
         snapshot: &Snapshot,
-        handed: Option<Handed>,
+        incoming_hand_over: Option<IncomingHandOver>,
     ) -> Result<Response<Body>, Error> {
         // The claim of a request that was handed over was made by the instance
         // that its caller chose.
-        let key = attributes.idempotency_key.clone().filter(|_| handed.is_none());
+        let key = attributes.idempotency_key.clone().filter(|_| incoming_hand_over.is_none());
         let keyed = key.is_some();
         // A request with a key is refused here before its claim was read.
         let refuse = |e: Error| if keyed { e.with_earlier_unknown() } else { e };
@@ -185,7 +188,7 @@
             attributes: attributes.clone(),
             deadline_ms: self.context.clock.now().0 + timeout_ms,
             queue_ms: policy.queue_ms,
-            handed,
+            incoming_hand_over,
         };
         let (head, body) = request.into_parts();
         let payload = Payload::read(body, timeout_ms).await.map_err(refuse)?;
--- a/crates/azuregate/src/gateway/payload.rs
+++ b/crates/azuregate/src/gateway/payload.rs
@@ -50,7 +50,7 @@
     }
 
     /// Its length in bytes, as far as that is known.
-    pub(crate) fn up_bytes(&self) -> u64 {
+    pub(crate) fn body_bytes(&self) -> u64 {
         match self {
             Payload::Buffered(bytes) => bytes.len() as u64,
             Payload::Streaming(body) => {
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -16,10 +16,10 @@
     config::{Change, Source},
     gateway::{
         answer::OUTCOME,
+        count_bytes,
         forward::{Forward, Link},
         handover, headers,
         lease_body::{Held, LeaseBody},
-        metered,
         request::{REQUEST_ID, TIMEOUT_MS},
     },
     selector::Lease,
@@ -39,7 +39,8 @@
         head: &request::Parts,
         body: Body,
     ) -> Request<Body> {
-        let mut request = Request::new(metered::up(body, lease.meter.as_ref()));
+        let mut request =
+            Request::new(count_bytes::request_body(body, lease.byte_counter.as_ref()));
         *request.method_mut() = head.method.clone();
         // Backend servers take the path alone, with the service in Host.
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
@@ -73,19 +74,19 @@
                 // A caller that breaks off says nothing of the server: taken for
                 // a failure, it would lower a limit or pass over a dispatcher.
                 if error.kind() != ErrorKind::CallerLost {
-                    lease.set_ending(Completion::Failed);
+                    lease.set_completion(Completion::Failed);
                 }
                 return Err((error, false));
             }
             Err(failed) => return Err(failed),
         };
         let latency_ms = self.context.clock.now().since(sent_at_ms).0;
-        if lease.handed_to.is_some() {
+        if lease.outgoing_hand_over.is_some() {
             let reusable = progress.is_ended() && !headers::is_last(response.headers());
             return match handover::take_answer(&lease, response) {
                 Ok(response) => Ok(self.hand_back(lease, link, response, latency_ms, reusable)),
                 Err(error) => {
-                    lease.set_ending(Completion::Refused);
+                    lease.set_completion(Completion::Refused);
                     Err((error, false))
                 }
             };
@@ -97,7 +98,7 @@
         // for the next one.
         let reusable = !closing && progress.is_ended();
         if headers::is_refusal(response.headers()) {
-            lease.set_ending(Completion::Refused);
+            lease.set_completion(Completion::Refused);
             let error = Error::new(ErrorKind::BackendRefused, format!("{} refused", lease.backend));
             if reusable {
                 self.reuse_after_refusal(&lease, link, response.into_body()).await;
@@ -122,7 +123,10 @@
     ) -> Response<Body> {
         let deadline = time::Instant::now() + Duration::from_millis(self.remaining_ms());
         let (mut head, body) = response.into_parts();
-        let body = body::with_deadline(metered::down(body, lease.meter.as_ref()), deadline);
+        let body = body::with_deadline(
+            count_bytes::response_body(body, lease.byte_counter.as_ref()),
+            deadline,
+        );
         head.headers = headers::without_hop_by_hop(&head.headers);
         let pool = self.context.pool.clone();
         let request_id = self.attributes.request_id.clone();
@@ -159,7 +163,7 @@
                 (Error::new(ErrorKind::DeadlineAfterSend, detail), false)
             }),
             () = lost(lease), if self.attributes.idempotent => {
-                lease.set_ending(Completion::Failed);
+                lease.set_completion(Completion::Failed);
                 let detail = format!("{backend} has gone silent");
                 Err((Error::new(ErrorKind::BackendLost, detail), false))
             }
@@ -184,7 +188,7 @@
     /// them; the next request goes on a new connection, whose first answer tells.
     fn learn(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
         if let Some(report) = headers::load_report(headers, self.context.clock.now()) {
-            lease.report(report);
+            lease.record_load(report);
         }
         if !headers::is_last(headers) {
             return false;
@@ -203,10 +207,10 @@
 /// Waits until the dispatcher that the request was handed over to is taken for
 /// frozen.
 async fn lost(lease: &mut Lease) {
-    let Some(handed_to) = &mut lease.handed_to else {
+    let Some(outgoing_hand_over) = &mut lease.outgoing_hand_over else {
         return std::future::pending().await;
     };
-    if (&mut handed_to.lost).await.is_err() {
+    if (&mut outgoing_hand_over.lost).await.is_err() {
         std::future::pending().await
     }
 }
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -3,8 +3,8 @@
 queues and what other instances say of theirs.
 */
 
+mod byte_counter;
 mod lease;
-mod meter;
 mod reply;
 mod task;
 
@@ -35,8 +35,8 @@
 
 use self::{lease::Message, task::Task};
 
-pub use lease::{HandedTo, Lease};
-pub use meter::Meter;
+pub use byte_counter::ByteCounter;
+pub use lease::{Lease, OutgoingHandOver};
 
 /// How often the queues and the updates to other instances are looked at.
 const TICK_MS: u64 = 50;
@@ -64,28 +64,28 @@
 
 /// A request that wants a slot.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct SlotRequest {
     /// How long it may wait for one.
-    pub wait_ms: u64,
+    pub max_wait_ms: u64,
     /// How long its caller waits for the answer.
-    pub left_ms: u64,
+    pub remaining_ms: u64,
     /// The length of its body, as far as it is known.
-    pub up_bytes: u64,
+    pub body_bytes: u64,
     /// Whether it may be sent twice.
     pub idempotent: bool,
     /// Who handed it over, if it is here on its second hop.
-    pub handed: Option<Handed>,
+    pub incoming_hand_over: Option<IncomingHandOver>,
 }
 
 /// A request that another instance handed over.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Handed {
+pub struct IncomingHandOver {
     /// The other instance.
     pub from: InstanceId,
     /// The group that it is for.
     pub group: GroupId,
     /// How long it may wait for a slot.
-    pub wait_ms: u64,
+    pub max_wait_ms: u64,
 }
 
 /// A handle to a selector's task; cheap to clone.
@@ -118,7 +118,7 @@
             }
         };
         let task = Task::new(service, context, Dispatch::new(config), steer, sender.downgrade());
-        tokio::spawn(task.serve(receiver));
+        tokio::spawn(task.run(receiver));
         Selector { sender }
     }
 
@@ -128,42 +128,42 @@
     ///
     /// All mean that nothing was sent: no server may serve, the queue is full,
     /// or the wait was or would be too long.
-    pub async fn acquire(&self, want: Want) -> Result<Lease, Error> {
-        let gone = || Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let wait = Duration::from_millis(want.wait_ms);
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Lease, Error> {
+        let stopped = || Error::new(ErrorKind::Stopping, "the instance is stopping");
+        let wait = Duration::from_millis(request.max_wait_ms);
         let (reply, mut answer) = oneshot::channel();
         let ticket = task::next_ticket();
-        self.sender.send(Message::Acquire { ticket, want, reply }).map_err(|_| gone())?;
+        self.sender.send(Message::Acquire { ticket, request, reply }).map_err(|_| stopped())?;
         // A caller that leaves while it waits leaves the queue as well.
-        let mut place = PlaceInQueue { ticket, sender: Some(&self.sender) };
+        let mut cancel_on_drop = CancelOnDrop { ticket, sender: Some(&self.sender) };
         if let Ok(answer) = time::timeout(wait, &mut answer).await {
-            place.sender = None;
-            return answer.map_err(|_| gone())?;
+            cancel_on_drop.sender = None;
+            return answer.map_err(|_| stopped())?;
         }
         // A slot may be on its way: the task settles which came first.
-        drop(place);
-        answer.await.map_err(|_| gone())?
+        drop(cancel_on_drop);
+        answer.await.map_err(|_| stopped())?
     }
 
     /// The load of a group, for the instance that handed a request over.
-    pub async fn load_for(&self, handed: &Handed) -> Option<GroupLoad> {
+    pub async fn load_for(&self, incoming_hand_over: &IncomingHandOver) -> Option<GroupLoad> {
         let (reply, answer) = oneshot::channel();
-        let (to, group) = (handed.from.clone(), handed.group.clone());
+        let (to, group) = (incoming_hand_over.from.clone(), incoming_hand_over.group.clone());
         self.sender.send(Message::LoadFor { to, group, reply }).ok()?;
         answer.await.ok()?
     }
 }
 
 /// Gives up a place in the queue when dropped, unless the sender was taken out.
-struct PlaceInQueue<'a> {
+struct CancelOnDrop<'a> {
     ticket: u64,
     sender: Option<&'a mpsc::UnboundedSender<Message>>,
 }
 
-impl Drop for PlaceInQueue<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(sender) = self.sender {
-            let _ = sender.send(Message::GiveUp { ticket: self.ticket });
+            let _ = sender.send(Message::CancelWaiting { ticket: self.ticket });
         }
     }
 }
--- a/crates/azuregate/src/selector/reply.rs
+++ b/crates/azuregate/src/selector/reply.rs
@@ -12,9 +12,9 @@
 use tokio::sync::oneshot;
 
 use crate::selector::{
-    HandedTo, Lease, Meter, Want,
-    lease::{Held, Reply},
-    task::{Out, Task},
+    ByteCounter, Lease, OutgoingHandOver, SlotRequest,
+    lease::{LeasedResource, Reply},
+    task::{PendingHandOver, Task},
 };
 
 impl Task {
@@ -31,13 +31,14 @@
             start: server.start,
             addr: server.addr,
             delay_ms: self.topology.delay_ms(distance),
-            handed_to: None,
-            meter: None,
-            held: Held::Slot(slot),
-            ending: Completion::Cancelled,
+            outgoing_hand_over: None,
+            byte_counter: None,
+            resource: LeasedResource::Slot(slot),
+            completion: Completion::Cancelled,
             sender,
         };
-        lease.meter = slot.reservation.map(|reservation| self.meter(reservation.link));
+        lease.byte_counter =
+            slot.reservation.map(|reservation| self.byte_counter(reservation.link));
         let _ = reply.send(Ok(lease));
     }
 
@@ -46,7 +47,7 @@
         reply: Reply,
         ticket: u64,
         hand_over: HandOver,
-        want: &Want,
+        request: &SlotRequest,
     ) {
         let id = self.dispatch.dispatcher_id(&hand_over);
         let (Some(sender), Some(&addr)) = (self.sender.upgrade(), self.addrs.get(id)) else {
@@ -58,24 +59,30 @@
         let group = self.dispatch.group_id(hand_over.group).clone();
         let distance = self.topology.distance(&self.zone, &group.zone);
         let delay_ms = self.topology.delay_ms(distance);
-        let (lose, lost) = oneshot::channel();
-        self.out.insert(ticket, Out { peer: hand_over.peer, lost: lose });
-        let meter = hand_over.reservation.map(|reservation| self.meter(reservation.link));
+        let (lost_sender, lost) = oneshot::channel();
+        self.pending_hand_overs
+            .insert(ticket, PendingHandOver { peer: hand_over.peer, lost: lost_sender });
+        let byte_counter =
+            hand_over.reservation.map(|reservation| self.byte_counter(reservation.link));
         let lease = Lease {
             backend,
             start: StartNumber::default(),
             addr,
             delay_ms,
-            handed_to: Some(HandedTo { group, wait_ms: want.wait_ms, lost }),
-            meter,
-            held: Held::HandOver { hand_over, ticket },
-            ending: Completion::Cancelled,
+            outgoing_hand_over: Some(OutgoingHandOver {
+                group,
+                max_wait_ms: request.max_wait_ms,
+                lost,
+            }),
+            byte_counter,
+            resource: LeasedResource::HandOver { hand_over, ticket },
+            completion: Completion::Cancelled,
             sender,
         };
         let _ = reply.send(Ok(lease));
     }
 
-    fn meter(&mut self, link: usize) -> Arc<Meter> {
-        Arc::clone(self.meters.entry(link).or_default())
+    fn byte_counter(&mut self, link: usize) -> Arc<ByteCounter> {
+        Arc::clone(self.byte_counters.entry(link).or_default())
     }
 }
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -26,8 +26,8 @@
     clock::SharedClock,
     dispatch::{Exchange, LoadUpdate, LoadUpdates},
     selector::{
-        Meter, SelectorContext, TICK_MS, Want,
-        lease::{Held, Message, Reply},
+        ByteCounter, SelectorContext, SlotRequest, TICK_MS,
+        lease::{LeasedResource, Message, Reply},
     },
     timer::Tick,
 };
@@ -39,7 +39,7 @@
 }
 
 /// A hand-over in progress.
-pub(super) struct Out {
+pub(super) struct PendingHandOver {
     pub(super) peer: usize,
     pub(super) lost: oneshot::Sender<()>,
 }
@@ -52,14 +52,14 @@
     steer: Option<Box<dyn Steer>>,
     rng: fastrand::Rng,
     exchange: Exchange,
-    heard: LoadUpdates,
+    load_updates: LoadUpdates,
     ticks: mpsc::Receiver<Tick>,
     snapshots: watch::Receiver<Arc<Snapshot>>,
     pub(super) topology: Arc<Topology>,
     pub(super) addrs: HashMap<InstanceId, SocketAddr>,
     waiting: HashMap<u64, Reply>,
-    pub(super) out: HashMap<u64, Out>,
-    pub(super) meters: BTreeMap<usize, Arc<Meter>>,
+    pub(super) pending_hand_overs: HashMap<u64, PendingHandOver>,
+    pub(super) byte_counters: BTreeMap<usize, Arc<ByteCounter>>,
     pub(super) sender: mpsc::WeakUnboundedSender<Message>,
 }
 
@@ -79,29 +79,29 @@
             steer,
             rng: fastrand::Rng::new(),
             exchange: context.exchange.clone(),
-            heard: context.exchange.incoming(),
+            load_updates: context.exchange.incoming(),
             ticks: context.timer.subscribe(TICK_MS),
             snapshots: context.snapshots.watch(),
             topology: Arc::clone(&context.snapshots.current().topology),
             addrs: HashMap::new(),
             waiting: HashMap::new(),
-            out: HashMap::new(),
-            meters: BTreeMap::new(),
+            pending_hand_overs: HashMap::new(),
+            byte_counters: BTreeMap::new(),
             sender,
         }
     }
 
-    pub(super) async fn serve(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
+    pub(super) async fn run(mut self, mut receiver: mpsc::UnboundedReceiver<Message>) {
         self.set_snapshot();
         loop {
             tokio::select! {
                 message = receiver.recv() => {
                     let Some(message) = message else { return };
-                    self.take(message);
+                    self.handle(message);
                 }
-                update = self.heard.recv() => {
+                update = self.load_updates.recv() => {
                     let Some(update) = update else { return };
-                    self.hear(&update);
+                    self.receive_update(&update);
                 }
                 tick = self.ticks.recv() => {
                     if tick.is_none() {
@@ -119,25 +119,28 @@
         }
     }
 
-    fn take(&mut self, message: Message) {
+    fn handle(&mut self, message: Message) {
         let now_ms = self.clock.now();
         match message {
-            Message::Acquire { ticket, want, reply } => self.acquire(ticket, &want, reply),
-            Message::GiveUp { ticket } => {
+            Message::Acquire { ticket, request, reply } => self.acquire(ticket, &request, reply),
+            Message::CancelWaiting { ticket } => {
                 if let Some(refusal) = self.dispatch.cancel_waiting(ticket) {
                     self.refuse(ticket, refusal);
                 }
             }
-            Message::Finish { held: Held::Slot(slot), ending } => {
-                self.dispatch.release(&slot, ending, now_ms);
+            Message::Release { resource: LeasedResource::Slot(slot), completion } => {
+                self.dispatch.release(&slot, completion, now_ms);
                 self.serve_waiting(slot.group);
             }
-            Message::Finish { held: Held::HandOver { hand_over, ticket }, ending } => {
-                self.out.remove(&ticket);
-                self.dispatch.finish_hand_over(&hand_over, ending, now_ms);
+            Message::Release {
+                resource: LeasedResource::HandOver { hand_over, ticket },
+                completion,
+            } => {
+                self.pending_hand_overs.remove(&ticket);
+                self.dispatch.finish_hand_over(&hand_over, completion, now_ms);
             }
-            Message::Report { slot, report } => self.dispatch.record_load(&slot, report),
-            Message::Hear { hand_over, load } => {
+            Message::RecordLoad { slot, report } => self.dispatch.record_load(&slot, report),
+            Message::RecordGroupLoad { hand_over, load } => {
                 let from = self.dispatch.dispatcher_id(&hand_over).clone();
                 let group = self.dispatch.group_id(hand_over.group).clone();
                 self.dispatch.receive_load(&from, &group, load, false, now_ms);
@@ -148,7 +151,7 @@
         }
     }
 
-    fn hear(&mut self, update: &LoadUpdate) {
+    fn receive_update(&mut self, update: &LoadUpdate) {
         if update.service == self.service {
             let now_ms = self.clock.now();
             self.dispatch.receive_load(&update.peer, &update.group, update.load, true, now_ms);
@@ -157,9 +160,9 @@
 
     fn tick(&mut self) {
         let now_ms = self.clock.now();
-        for (&link, meter) in &self.meters {
-            let (up_bytes, down_bytes) = meter.read();
-            self.dispatch.record_link_bytes(link, up_bytes, down_bytes, now_ms);
+        for (&link, counter) in &self.byte_counters {
+            let (request_bytes, response_bytes) = counter.totals();
+            self.dispatch.record_link_bytes(link, request_bytes, response_bytes, now_ms);
         }
         let (updates, silent) = self.dispatch.tick(now_ms);
         for update in updates {
@@ -172,18 +175,18 @@
             });
         }
         for peer in silent {
-            self.lose(peer);
+            self.notify_dispatcher_lost(peer);
         }
         self.serve_all_waiting();
     }
 
     /// Tells the requests in progress there, so that those that may be sent
     /// again need not wait for their deadline.
-    fn lose(&mut self, peer: usize) {
+    fn notify_dispatcher_lost(&mut self, peer: usize) {
         let lost: Vec<u64> = self
-            .out
+            .pending_hand_overs
             .iter()
-            .filter(|(_, out)| out.peer == peer)
+            .filter(|(_, pending)| pending.peer == peer)
             .map(|(&ticket, _)| ticket)
             .collect();
         if lost.is_empty() {
@@ -195,8 +198,8 @@
             "a dispatcher has gone silent"
         );
         for ticket in lost {
-            if let Some(out) = self.out.remove(&ticket) {
-                let _ = out.lost.send(());
+            if let Some(pending) = self.pending_hand_overs.remove(&ticket) {
+                let _ = pending.lost.send(());
             }
         }
     }
@@ -210,7 +213,7 @@
             steer.set_snapshot(&snapshot);
         }
         for peer in self.dispatch.away_peers_with_requests(&snapshot) {
-            self.lose(peer);
+            self.notify_dispatcher_lost(peer);
         }
         for (waiting, refusal) in self.dispatch.set_snapshot(&snapshot) {
             self.refuse(waiting.ticket, refusal);
@@ -218,27 +221,35 @@
         self.serve_all_waiting();
     }
 
-    fn acquire(&mut self, ticket: u64, want: &Want, reply: Reply) {
-        let step = match &want.handed {
-            None => self.place(ticket, want),
-            Some(handed) => {
-                let wait_ms = want.wait_ms.min(handed.wait_ms);
-                let ask = DispatchRequest {
+    fn acquire(&mut self, ticket: u64, request: &SlotRequest, reply: Reply) {
+        let decision = match &request.incoming_hand_over {
+            None => self.place(ticket, request),
+            Some(incoming) => {
+                let max_wait_ms = request.max_wait_ms.min(incoming.max_wait_ms);
+                let dispatch_request = DispatchRequest {
                     ticket,
                     zones: &[],
-                    max_wait_ms: wait_ms,
-                    remaining_ms: want.left_ms,
-                    body_bytes: want.up_bytes,
-                    idempotent: want.idempotent,
+                    max_wait_ms,
+                    remaining_ms: request.remaining_ms,
+                    body_bytes: request.body_bytes,
+                    idempotent: request.idempotent,
                 };
-                let (from, group) = (&handed.from, &handed.group);
+                let (from, group) = (&incoming.from, &incoming.group);
                 let now_ms = self.clock.now();
-                self.dispatch.place_handed_over(from, group, &ask, now_ms, &mut self.rng)
+                self.dispatch.place_handed_over(
+                    from,
+                    group,
+                    &dispatch_request,
+                    now_ms,
+                    &mut self.rng,
+                )
             }
         };
-        match step {
+        match decision {
             Decision::Serve(slot) => self.reply_slot(reply, slot),
-            Decision::HandOver(hand_over) => self.reply_hand_over(reply, ticket, hand_over, want),
+            Decision::HandOver(hand_over) => {
+                self.reply_hand_over(reply, ticket, hand_over, request)
+            }
             Decision::Wait { group } => {
                 self.waiting.insert(ticket, reply);
                 self.serve_waiting(group);
@@ -249,36 +260,36 @@
         }
     }
 
-    fn place(&mut self, ticket: u64, want: &Want) -> Decision {
+    fn place(&mut self, ticket: u64, request: &SlotRequest) -> Decision {
         let now_ms = self.clock.now();
-        let Want { wait_ms, left_ms, up_bytes, idempotent, .. } = *want;
+        let SlotRequest { max_wait_ms, remaining_ms, body_bytes, idempotent, .. } = *request;
         let Some(steer) = &mut self.steer else {
             let plan = std::slice::from_ref(&self.zone);
-            let ask = DispatchRequest {
+            let dispatch_request = DispatchRequest {
                 ticket,
                 zones: plan,
-                max_wait_ms: wait_ms,
-                remaining_ms: left_ms,
-                body_bytes: up_bytes,
+                max_wait_ms,
+                remaining_ms,
+                body_bytes,
                 idempotent,
             };
-            return self.dispatch.place(&ask, now_ms, &mut self.rng);
+            return self.dispatch.place(&dispatch_request, now_ms, &mut self.rng);
         };
         let plan = steer.plan(self.clock.epoch(), now_ms);
         if plan.cap_reached {
             steer.record_placement(&plan, None, now_ms);
             return Decision::Refuse(Refusal::cap_reached());
         }
-        let ask = DispatchRequest {
+        let dispatch_request = DispatchRequest {
             ticket,
             zones: &plan.zones,
-            max_wait_ms: wait_ms,
-            remaining_ms: left_ms,
-            body_bytes: up_bytes,
+            max_wait_ms,
+            remaining_ms,
+            body_bytes,
             idempotent,
         };
-        let step = self.dispatch.place(&ask, now_ms, &mut self.rng);
-        let group = match step {
+        let decision = self.dispatch.place(&dispatch_request, now_ms, &mut self.rng);
+        let group = match decision {
             Decision::Serve(slot) => Some(slot.group),
             Decision::HandOver(hand_over) => Some(hand_over.group),
             Decision::Wait { group } => Some(group),
@@ -286,7 +297,7 @@
         };
         let zone = group.map(|group| &self.dispatch.group_id(group).zone);
         steer.record_placement(&plan, zone, now_ms);
-        step
+        decision
     }
 
     fn serve_waiting(&mut self, group: usize) {
