--- a/crates/azuregate-lab/src/baselines.rs
+++ b/crates/azuregate-lab/src/baselines.rs
@@ -3,7 +3,7 @@
 
 use std::sync::Arc;
 
-use azuregate::dispatch::Rule;
+use azuregate::dispatch::RoutingMode;
 use azuregate_core::{
     names::BackendId,
     route::{Capacity, Completion, LoadReport, Locality, Router, ServerStatus},
@@ -15,13 +15,13 @@
 /// # Errors
 ///
 /// When there is none; the text lists those that there are.
-pub fn rule(name: &str) -> Result<Rule, String> {
+pub fn rule(name: &str) -> Result<RoutingMode, String> {
     match name {
-        "random" => Ok(Rule::Alone(Arc::new(|| Box::new(Random::default())))),
-        "round-robin" => Ok(Rule::Alone(Arc::new(|| Box::new(RoundRobin::default())))),
-        "least-load" => Ok(Rule::Alone(Arc::new(|| Box::new(LeastLoad::default())))),
-        "nearest" => Ok(Rule::nearest()),
-        "dispatcher" => Ok(Rule::default()),
+        "random" => Ok(RoutingMode::Independent(Arc::new(|| Box::new(Random::default())))),
+        "round-robin" => Ok(RoutingMode::Independent(Arc::new(|| Box::new(RoundRobin::default())))),
+        "least-load" => Ok(RoutingMode::Independent(Arc::new(|| Box::new(LeastLoad::default())))),
+        "nearest" => Ok(RoutingMode::nearest()),
+        "dispatcher" => Ok(RoutingMode::default()),
         _ => Err(format!(
             "there is no rule {name:?}; there are random, round-robin, least-load, nearest and \
              dispatcher"
--- a/crates/azuregate-lab/src/up.rs
+++ b/crates/azuregate-lab/src/up.rs
@@ -8,7 +8,7 @@
 };
 
 use azuregate::{
-    dispatch::Rule,
+    dispatch::RoutingMode,
     platform::{Commit, Expect, Table, Write},
     run, stop,
 };
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// How entry instances choose backend servers.
-    pub rule: Rule,
+    pub rule: RoutingMode,
     /// Whether the network has the delays of the example.
     pub delays: bool,
     /// Seed of the service times.
@@ -58,7 +58,7 @@
 
 impl Default for Options {
     fn default() -> Options {
-        Options { rule: Rule::default(), delays: false, seed: 1 }
+        Options { rule: RoutingMode::default(), delays: false, seed: 1 }
     }
 }
 
@@ -218,7 +218,7 @@
     })
 }
 
-fn start_entry(example: &Example, entry: &EntryExample, rule: Rule) -> Entry {
+fn start_entry(example: &Example, entry: &EntryExample, rule: RoutingMode) -> Entry {
     let (stopper, stop) = stop::channel();
     let settings = example.settings(entry);
     let task = tokio::spawn(async move {
@@ -231,7 +231,7 @@
 
 impl Lab {
     /// Starts the entry instances, in this process.
-    pub fn start_entries(&mut self, rule: &Rule) {
+    pub fn start_entries(&mut self, rule: &RoutingMode) {
         for entry in &self.example.entries {
             self.entries.push(start_entry(&self.example, entry, rule.clone()));
             self.status_addrs.push(SocketAddr::new(entry.ip, self.example.ports.status));
--- a/crates/azuregate-lab/tests/baselines.rs
+++ b/crates/azuregate-lab/tests/baselines.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use azuregate::dispatch::Rule;
+use azuregate::dispatch::RoutingMode;
 use azuregate_core::{
     names::{BackendId, ServiceName, StartNumber, ZoneName},
     route::{Completion, LoadReport, Locality, Router, ServerStatus},
@@ -17,7 +17,9 @@
 const NOW_MS: Millis = Millis(0);
 
 fn router(rule: &str) -> Box<dyn Router> {
-    let Rule::Alone(make) = baselines::rule(rule).unwrap() else { panic!("not alone") };
+    let RoutingMode::Independent(make) = baselines::rule(rule).unwrap() else {
+        panic!("not alone")
+    };
     make()
 }
 
--- a/crates/azuregate/src/dispatch/exchange.rs
+++ b/crates/azuregate/src/dispatch/load_exchange.rs
@@ -8,7 +8,7 @@
 use tokio::sync::broadcast;
 
 /// How many updates may wait for a slow reader before it misses the oldest.
-const BACKLOG: usize = 1_024;
+const CHANNEL_CAPACITY: usize = 1_024;
 
 /// The load of a group, on its way between its dispatcher and one neighbour.
 #[derive(Clone, Debug)]
@@ -25,27 +25,27 @@
 
 /// Both directions; cheap to clone.
 #[derive(Clone, Debug)]
-pub struct Exchange {
+pub struct LoadExchange {
     outgoing: broadcast::Sender<LoadUpdate>,
     incoming: broadcast::Sender<LoadUpdate>,
 }
 
-impl Default for Exchange {
-    fn default() -> Exchange {
-        let (outgoing, _) = broadcast::channel(BACKLOG);
-        let (incoming, _) = broadcast::channel(BACKLOG);
-        Exchange { outgoing, incoming }
+impl Default for LoadExchange {
+    fn default() -> LoadExchange {
+        let (outgoing, _) = broadcast::channel(CHANNEL_CAPACITY);
+        let (incoming, _) = broadcast::channel(CHANNEL_CAPACITY);
+        LoadExchange { outgoing, incoming }
     }
 }
 
-impl Exchange {
+impl LoadExchange {
     /// Sends an update to a neighbour, if there is a link to it.
     pub fn send(&self, update: LoadUpdate) {
         let _ = self.outgoing.send(update);
     }
 
     /// Passes on an update that came from a neighbour.
-    pub fn heard(&self, update: LoadUpdate) {
+    pub fn receive(&self, update: LoadUpdate) {
         let _ = self.incoming.send(update);
     }
 
--- a/crates/azuregate/src/dispatch/mod.rs
+++ b/crates/azuregate/src/dispatch/mod.rs
@@ -2,8 +2,8 @@
 How instances share the choice of backend servers among themselves.
 */
 
-mod exchange;
-mod rule;
+mod load_exchange;
+mod routing_mode;
 
-pub use exchange::{Exchange, LoadUpdate, LoadUpdates};
-pub use rule::{RouterFactory, Rule};
+pub use load_exchange::{LoadExchange, LoadUpdate, LoadUpdates};
+pub use routing_mode::{RouterFactory, RoutingMode};
--- a/crates/azuregate/src/dispatch/rule.rs
+++ b/crates/azuregate/src/dispatch/routing_mode.rs
@@ -9,32 +9,32 @@
 
 /// The rule of an instance.
 #[derive(Clone)]
-pub enum Rule {
+pub enum RoutingMode {
     /// One instance dispatches for each group of servers.
     Dispatch,
     /// This instance chooses alone, among all servers of a service.
-    Alone(RouterFactory),
+    Independent(RouterFactory),
 }
 
-impl Rule {
+impl RoutingMode {
     /// This instance chooses alone, by nearness.
-    pub fn nearest() -> Rule {
-        Rule::Alone(Arc::new(|| Box::new(Nearest::default())))
+    pub fn nearest() -> RoutingMode {
+        RoutingMode::Independent(Arc::new(|| Box::new(Nearest::default())))
     }
 }
 
-impl Default for Rule {
+impl Default for RoutingMode {
     /// The rule that ships.
-    fn default() -> Rule {
-        Rule::Dispatch
+    fn default() -> RoutingMode {
+        RoutingMode::Dispatch
     }
 }
 
-impl fmt::Debug for Rule {
+impl fmt::Debug for RoutingMode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Rule::Dispatch => f.write_str("Dispatch"),
-            Rule::Alone(_) => f.write_str("Alone"),
+            RoutingMode::Dispatch => f.write_str("Dispatch"),
+            RoutingMode::Independent(_) => f.write_str("Alone"),
         }
     }
 }
--- a/crates/azuregate/src/peer/link.rs
+++ b/crates/azuregate/src/peer/link.rs
@@ -23,7 +23,7 @@
 use crate::{
     clock::SharedClock,
     config::{Change, Config, Snapshots, Source},
-    dispatch::{Exchange, LoadUpdate, LoadUpdates},
+    dispatch::{LoadExchange, LoadUpdate, LoadUpdates},
     membership::Members,
     peer::{Frame, LinkError, PeerLink},
     timer::Tick,
@@ -46,7 +46,7 @@
     pub(crate) members: Members,
     pub(crate) clock: SharedClock,
     /// Passes loads of groups to and from the neighbour.
-    pub(crate) exchange: Exchange,
+    pub(crate) exchange: LoadExchange,
     /// Ticks at which to send a heartbeat.
     pub(crate) heartbeats: mpsc::Receiver<Tick>,
     /// Which neighbour to accept.
@@ -210,7 +210,7 @@
                 self.context.config.change(Change::Probes(watcher, report));
             }
             Frame::Load { service, group, load } => {
-                self.context.exchange.heard(LoadUpdate { peer: neighbour, service, group, load });
+                self.context.exchange.receive(LoadUpdate { peer: neighbour, service, group, load });
             }
         }
         Ok(())
--- a/crates/azuregate/src/peer/mesh.rs
+++ b/crates/azuregate/src/peer/mesh.rs
@@ -23,7 +23,7 @@
     accept,
     clock::SharedClock,
     config::{Config, Snapshots},
-    dispatch::Exchange,
+    dispatch::LoadExchange,
     membership::Members,
     peer::{
         WsLink,
@@ -55,7 +55,7 @@
     /// The clock.
     pub clock: SharedClock,
     /// Passes loads of groups to and from neighbours.
-    pub exchange: Exchange,
+    pub exchange: LoadExchange,
     /// Schedules dialling and heartbeats.
     pub timer: Timer,
 }
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -16,8 +16,8 @@
 use tonic::transport::server::TcpIncoming;
 
 use crate::{
-    callers::Callers, dispatch::Rule, operators::OperatorsService, probe, settings::Settings,
-    status, stop::Stop,
+    callers::Callers, dispatch::RoutingMode, operators::OperatorsService, probe,
+    settings::Settings, status, stop::Stop,
 };
 
 use self::{ports::Ports, shared::Shared};
@@ -44,7 +44,7 @@
 ///
 /// When a port cannot be opened.
 pub async fn run(settings: Settings, stop: Stop) -> Result<(), Report<RunError>> {
-    run_with(settings, stop, Rule::default()).await
+    run_with(settings, stop, RoutingMode::default()).await
 }
 
 /// Runs an entry instance that chooses backend servers by `rule`.
@@ -52,7 +52,11 @@
 /// # Errors
 ///
 /// When a port cannot be opened.
-pub async fn run_with(settings: Settings, stop: Stop, rule: Rule) -> Result<(), Report<RunError>> {
+pub async fn run_with(
+    settings: Settings,
+    stop: Stop,
+    rule: RoutingMode,
+) -> Result<(), Report<RunError>> {
     let stop_delay_ms = settings.stop_delay_ms;
     let ports = Ports::open(&settings).await?;
     let shared = Shared::start(settings, stop)?;
--- a/crates/azuregate/src/run/shared.rs
+++ b/crates/azuregate/src/run/shared.rs
@@ -10,7 +10,7 @@
     claims::{Claims, Cleaner},
     clock::{SharedClock, SystemClock},
     config::{Config, Snapshots},
-    dispatch::{Exchange, Rule},
+    dispatch::{LoadExchange, RoutingMode},
     gateway::{Gateway, GatewayContext},
     membership::{self, Members},
     metrics::{MetricSink, NullSink, Recorder, StatsdSink},
@@ -39,7 +39,7 @@
     timer: Timer,
     platform: SharedPlatform,
     dialer: SharedDialer,
-    exchange: Exchange,
+    exchange: LoadExchange,
     recorder: Recorder,
 }
 
@@ -61,7 +61,7 @@
             timer: Timer::start(),
             platform: Arc::new(platform),
             dialer: Arc::new(HttpDialer { ip: settings.ip }),
-            exchange: Exchange::default(),
+            exchange: LoadExchange::default(),
             recorder: Recorder::start(metric_sink(&settings)?),
             settings,
         })
@@ -146,7 +146,7 @@
         })
     }
 
-    pub(super) fn gateway(&self, rule: Rule) -> Gateway {
+    pub(super) fn gateway(&self, rule: RoutingMode) -> Gateway {
         Gateway::new(GatewayContext {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
@@ -171,12 +171,12 @@
         )
     }
 
-    fn selectors(&self, rule: Rule) -> Selectors {
+    fn selectors(&self, rule: RoutingMode) -> Selectors {
         Selectors::new(SelectorContext {
             instance: self.settings.instance.clone(),
             zone: self.settings.zone.clone(),
             start: self.start,
-            rule,
+            routing_mode: rule,
             clock: Arc::clone(&self.clock),
             snapshots: self.snapshots.clone(),
             exchange: self.exchange.clone(),
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -29,7 +29,7 @@
 use crate::{
     clock::SharedClock,
     config::Snapshots,
-    dispatch::{Exchange, Rule},
+    dispatch::{LoadExchange, RoutingMode},
     timer::Timer,
 };
 
@@ -51,13 +51,13 @@
     /// Its start number.
     pub start: StartNumber,
     /// How backend servers are chosen.
-    pub rule: Rule,
+    pub routing_mode: RoutingMode,
     /// The clock.
     pub clock: SharedClock,
     /// The configuration in force.
     pub snapshots: Snapshots,
     /// Loads of groups, to and from other instances.
-    pub exchange: Exchange,
+    pub exchange: LoadExchange,
     /// When to look at the queues.
     pub timer: Timer,
 }
@@ -106,13 +106,13 @@
             grouping,
             make_router,
         };
-        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &context.rule {
-            Rule::Dispatch => {
+        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &context.routing_mode {
+            RoutingMode::Dispatch => {
                 let make_router = Box::new(|| Box::new(SlotTable::default()) as _);
                 let steer = Box::new(CappedSteer::new(service, &context.instance, &context.zone));
                 (config(Grouping::PerZone, make_router), Some(steer))
             }
-            Rule::Alone(make_router) => {
+            RoutingMode::Independent(make_router) => {
                 let make_router = Arc::clone(make_router);
                 (config(Grouping::WholeService, Box::new(move || make_router())), None)
             }
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -24,7 +24,7 @@
 
 use crate::{
     clock::SharedClock,
-    dispatch::{Exchange, LoadUpdate, LoadUpdates},
+    dispatch::{LoadExchange, LoadUpdate, LoadUpdates},
     selector::{
         ByteCounter, SelectorContext, SlotRequest, TICK_MS,
         lease::{LeasedResource, Message, Reply},
@@ -51,7 +51,7 @@
     pub(super) dispatch: Dispatch,
     steer: Option<Box<dyn Steer>>,
     rng: fastrand::Rng,
-    exchange: Exchange,
+    exchange: LoadExchange,
     load_updates: LoadUpdates,
     ticks: mpsc::Receiver<Tick>,
     snapshots: watch::Receiver<Arc<Snapshot>>,
--- a/crates/azuregate/tests/configuration/mesh.rs
+++ b/crates/azuregate/tests/configuration/mesh.rs
@@ -9,7 +9,7 @@
 use azuregate::{
     clock::{SharedClock, SystemClock},
     config::{Change, Config, Snapshots, Source},
-    dispatch::Exchange,
+    dispatch::LoadExchange,
     membership::{self, Members},
     peer::{Frame, Mesh, PeerLink, WsLink},
     timer::Timer,
@@ -67,7 +67,7 @@
         snapshots: snapshots.clone(),
         members: members.clone(),
         clock,
-        exchange: Exchange::default(),
+        exchange: LoadExchange::default(),
         timer,
     };
     let listener = TcpListener::bind(of.peer_addr()).await.unwrap();
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -9,7 +9,7 @@
     claims::Claims,
     clock::{SharedClock, SystemClock},
     config::{Change, Config, Source},
-    dispatch::{Exchange, LoadUpdate, Rule},
+    dispatch::{LoadExchange, LoadUpdate, RoutingMode},
     gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
     platform::{Changes, Commit, Effect, Platform, PlatformError, Result, Row, Table, Write},
@@ -45,7 +45,7 @@
 pub(crate) struct World {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) net: Net,
-    exchange: Exchange,
+    exchange: LoadExchange,
     config: Config,
 }
 
@@ -66,12 +66,12 @@
         snapshots.watch().wait_for(|snapshot| snapshot.ready).await.unwrap();
         let (instance, zone) = (InstanceId::new("entry-1"), ZoneName::new("r-a"));
         let start = StartNumber(clock.epoch().0);
-        let exchange = Exchange::default();
+        let exchange = LoadExchange::default();
         let selectors = Selectors::new(SelectorContext {
             instance: instance.clone(),
             zone: zone.clone(),
             start,
-            rule: Rule::Dispatch,
+            routing_mode: RoutingMode::Dispatch,
             clock: Arc::clone(&clock),
             snapshots: snapshots.clone(),
             exchange: exchange.clone(),
@@ -106,7 +106,12 @@
         let load = GroupLoad { free, slots: 3, service_ms: 20, ..GroupLoad::default() };
         let service = ServiceName::new("svc");
         let group = GroupId { zone: ZoneName::new("r-b"), part: 0 };
-        self.exchange.heard(LoadUpdate { peer: InstanceId::new("entry-2"), service, group, load });
+        self.exchange.receive(LoadUpdate {
+            peer: InstanceId::new("entry-2"),
+            service,
+            group,
+            load,
+        });
     }
 }
 
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -15,7 +15,7 @@
     claims::{Claims, Cleaner},
     clock::{Clock, SharedClock, SystemClock},
     config::{Change, Config, Snapshots, Source},
-    dispatch::{Exchange, Rule},
+    dispatch::{LoadExchange, RoutingMode},
     gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
     selector::{SelectorContext, Selectors},
@@ -142,10 +142,10 @@
             instance: instance.clone(),
             zone: ZoneName::new("r-a"),
             start,
-            rule: Rule::nearest(),
+            routing_mode: RoutingMode::nearest(),
             clock: Arc::clone(&clock),
             snapshots: snapshots.clone(),
-            exchange: Exchange::default(),
+            exchange: LoadExchange::default(),
             timer: Timer::start(),
         });
         let gateway = Gateway::new(GatewayContext {
