--- a/crates/azuregate-core/src/balance/mod.rs
+++ b/crates/azuregate-core/src/balance/mod.rs
@@ -1,53 +1,53 @@
 /*!
-Chooses backend servers by the object that a request is about.
+Cache-aware load balancing over backend servers.
 
-Backend servers work several times faster on an object that they handled
-recently. [`Balancer`] therefore sends requests for one object to the same
-server on all instances of a region, by rendezvous hashing and without any message
-between them, and leaves that server only when it is full, failing or leaving.
+Backend servers work several times faster on an object that they have cached. [`Balancer`]
+therefore sends requests for one object to the same server, chosen by rendezvous hashing
+without coordination between instances, and moves them only when that server is full,
+unhealthy or draining.
 
 # Design
 
-* [`Config`] is the operator's configuration; [`Backend`] and [`Member`] are what
-  backend servers and entry instances say of themselves.
-* [`Balancer`] holds the state of all backend servers and decides where a request
-  goes, by the rule of a [`Placement`], which is [`ByObject`].
-* [`RetryBudget`] and [`ColdBudget`] bound what all instances do together, each
-  by a share of its own.
-* [`Members`] tells which entry instances clients should use.
-* [`Datagram`] is what entry instances tell each other.
-* [`NotServed`] tells refused clients when to come back.
+* [`Config`] is the operator's configuration; [`Backend`] and [`Member`] are the
+  registrations of backend servers and entry instances.
+* [`Balancer`] holds the state of all backend servers and chooses one per request by a
+  [`LoadBalancingPolicy`], by default [`ObjectAffinity`].
+* [`RetryBudget`] and [`ColdStartBudget`] enforce limits over all instances, each within its
+  own share.
+* [`Members`] tracks the entry instances and answers clients' lookups.
+* [`Datagram`] is the message between entry instances.
+* [`RetryReason`] determines the retry delay of refused clients.
 */
 
 mod backends;
-mod cold;
+mod choice;
+mod cold_start;
 mod config;
 mod datagrams;
 mod health;
-mod lapsed;
 mod members;
-mod others;
-mod place;
-mod regional;
+mod missing_backends;
+mod policy;
+mod remote_load;
+mod replication_source;
+mod retry_after;
 mod retry_budget;
-mod return_after;
-mod rule;
-mod sources;
-mod split;
+mod shared_objects;
+mod weighted_round_robin;
 
 pub use backends::{Backend, BackendHandle, Balancer, Settings};
-pub use cold::ColdBudget;
+pub use choice::{BackendQuery, Choice, Explanation, object_hash};
+pub use cold_start::ColdStartBudget;
 pub use config::{
-    CallerLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
+    ClientLimits, Config, ConfigError, ConfigParts, Destination, RequestKind, Route, Service,
 };
 pub use datagrams::{Datagram, Heartbeat, Load};
-pub use health::{Health, Outcome, Usual};
-pub use lapsed::Lapsed;
-pub use members::{LifeSign, Member, Members};
-pub use others::InFlightAt;
-pub use place::{Basis, Choice, Query, object_hash};
+pub use health::{Baseline, Health, Outcome};
+pub use members::{HeartbeatStatus, Member, Members};
+pub use missing_backends::MissingBackends;
+pub use policy::{Candidate, Decision, HealthStatus, LoadBalancingPolicy, ObjectAffinity};
+pub use remote_load::InFlightCount;
+pub use replication_source::ReplicationSource;
+pub use retry_after::RetryReason;
 pub use retry_budget::RetryBudget;
-pub use return_after::NotServed;
-pub use rule::{ByObject, Candidate, Placed, Placement, Standing};
-pub use sources::Sources;
-pub use split::Split;
+pub use weighted_round_robin::WeightedRoundRobin;
--- a/crates/azuregate/src/serve/heartbeat.rs
+++ b/crates/azuregate/src/serve/heartbeat.rs
@@ -6,7 +6,7 @@
 use std::{net::SocketAddr, rc::Rc};
 
 use azuregate_core::{
-    balance::{Datagram, Heartbeat, InFlightAt, LifeSign, Load},
+    balance::{Datagram, Heartbeat, HeartbeatStatus, InFlightCount, Load},
     names::InstanceId,
     replica::Table,
 };
@@ -54,7 +54,7 @@
                 }
                 peers.check(&state);
                 state.remove_lapsed(false);
-                state.balancer.borrow_mut().forget_silent(state.now_ms());
+                state.balancer.borrow_mut().expire_load_reports(state.now_ms());
                 beat = (beat + 1) % REQUESTED_EVERY;
                 send_all(&state, &socket, &heartbeat(&state, beat == 0)).await;
             }
@@ -100,7 +100,7 @@
 
 fn heartbeat(state: &State, tells_requested: bool) -> Datagram {
     let requested = match tells_requested {
-        true => state.balancer.borrow_mut().take_requested(),
+        true => state.balancer.borrow_mut().take_request_sample(),
         false => Vec::new(),
     };
     let tables = state.tables.borrow();
@@ -144,27 +144,27 @@
 
 fn receive_load(state: &State, Load(instance, counts): Load) {
     let in_flight =
-        counts.into_iter().map(|(backend, count)| InFlightAt { backend, count }).collect();
+        counts.into_iter().map(|(backend, count)| InFlightCount { backend, count }).collect();
     let instance = InstanceId::new(&instance);
-    state.balancer.borrow_mut().set_others(&instance, in_flight, state.now_ms());
+    state.balancer.borrow_mut().record_load_report(&instance, in_flight, state.now_ms());
 }
 
 fn receive_heartbeat(state: &State, peers: &mut Peers, heartbeat: &Heartbeat) {
     let now_ms = state.now_ms();
-    let sign = LifeSign {
+    let sign = HeartbeatStatus {
         instance: &heartbeat.instance,
         start: heartbeat.start,
         is_leaving: heartbeat.is_leaving,
         can_watch: heartbeat.can_watch,
     };
-    let is_known = state.members.borrow_mut().heard(&sign, now_ms);
+    let is_known = state.members.borrow_mut().record_heartbeat(&sign, now_ms);
     // One that leaves has removed its row already.
     peers.heard_unknown |= !is_known && !heartbeat.is_leaving;
     peers.operator_version = peers.operator_version.max(heartbeat.operator_version);
     peers.backends_version = peers.backends_version.max(heartbeat.backends_version);
     if state.members.borrow().is_in_other_region(&heartbeat.instance) {
         let mut balancer = state.balancer.borrow_mut();
-        if let Some(prefers) = balancer.set_requested_elsewhere(&heartbeat.requested, now_ms) {
+        if let Some(prefers) = balancer.record_remote_requests(&heartbeat.requested, now_ms) {
             log::info!(prefers_region = prefers; "servers of the own region");
         }
     }
