--- a/crates/azuregate/src/backend/mod.rs
+++ b/crates/azuregate/src/backend/mod.rs
@@ -13,7 +13,7 @@
 use crate::body::Body;
 
 pub use http::HttpDialer;
-pub use pool::{Pool, Pooled};
+pub use pool::{Pool, PooledConn};
 
 /// A dialer that is shared between tasks.
 pub type SharedDialer = Arc<dyn BackendDialer>;
--- a/crates/azuregate/src/backend/pool.rs
+++ b/crates/azuregate/src/backend/pool.rs
@@ -14,10 +14,10 @@
 /// A connection can go silent for good while new ones work. A request on it
 /// would wait for its whole deadline. One that answered within the last second
 /// is very likely still alive, and a new one costs about a millisecond.
-const FRESH_MS: u64 = 1_000;
+const MAX_IDLE_MS: u64 = 1_000;
 
 /// How many idle connections are kept for each backend server.
-const IDLE_LIMIT: usize = 16;
+const MAX_IDLE_PER_SERVER: usize = 16;
 
 /// A handle to the pool's task; cheap to clone.
 #[derive(Clone, Debug)]
@@ -26,18 +26,18 @@
 }
 
 /// A connection out of the pool.
-pub struct Pooled {
+pub struct PooledConn {
     /// The connection.
     pub conn: Box<dyn BackendConn>,
 }
 
 enum Message {
-    Take { addr: SocketAddr, reply: oneshot::Sender<Option<Pooled>> },
+    Take { addr: SocketAddr, reply: oneshot::Sender<Option<PooledConn>> },
     Put { addr: SocketAddr, conn: Box<dyn BackendConn> },
-    Forget { addr: SocketAddr },
+    CloseIdle { addr: SocketAddr },
 }
 
-struct Idle {
+struct IdleConn {
     conn: Box<dyn BackendConn>,
     since_ms: u64,
 }
@@ -51,7 +51,7 @@
     }
 
     /// Takes an idle connection that answered within the last second.
-    pub async fn take(&self, addr: SocketAddr) -> Option<Pooled> {
+    pub async fn take(&self, addr: SocketAddr) -> Option<PooledConn> {
         let (reply, answer) = oneshot::channel();
         self.sender.send(Message::Take { addr, reply }).ok()?;
         answer.await.ok()?
@@ -63,44 +63,44 @@
     }
 
     /// Closes the idle connections to a backend server that is leaving.
-    pub fn forget(&self, addr: SocketAddr) {
-        let _ = self.sender.send(Message::Forget { addr });
+    pub fn close_idle(&self, addr: SocketAddr) {
+        let _ = self.sender.send(Message::CloseIdle { addr });
     }
 }
 
 async fn serve(clock: SharedClock, mut receiver: mpsc::UnboundedReceiver<Message>) {
-    let mut idle: HashMap<SocketAddr, VecDeque<Idle>> = HashMap::new();
+    let mut idle: HashMap<SocketAddr, VecDeque<IdleConn>> = HashMap::new();
     while let Some(message) = receiver.recv().await {
         let now_ms = clock.now().0;
         match message {
             Message::Take { addr, reply } => {
-                let _ = reply.send(take_fresh(idle.get_mut(&addr), now_ms));
+                let _ = reply.send(take_idle(idle.get_mut(&addr), now_ms));
             }
             Message::Put { addr, conn } => {
-                let kept = idle.entry(addr).or_default();
-                kept.push_back(Idle { conn, since_ms: now_ms });
-                if kept.len() > IDLE_LIMIT {
-                    kept.pop_front();
+                let connections = idle.entry(addr).or_default();
+                connections.push_back(IdleConn { conn, since_ms: now_ms });
+                if connections.len() > MAX_IDLE_PER_SERVER {
+                    connections.pop_front();
                 }
             }
-            Message::Forget { addr } => {
+            Message::CloseIdle { addr } => {
                 idle.remove(&addr);
             }
         }
     }
 }
 
-fn take_fresh(kept: Option<&mut VecDeque<Idle>>, now_ms: u64) -> Option<Pooled> {
-    let kept = kept?;
-    while let Some(idle) = kept.pop_back() {
-        let fresh = now_ms.saturating_sub(idle.since_ms) <= FRESH_MS;
+fn take_idle(connections: Option<&mut VecDeque<IdleConn>>, now_ms: u64) -> Option<PooledConn> {
+    let connections = connections?;
+    while let Some(idle) = connections.pop_back() {
+        let fresh = now_ms.saturating_sub(idle.since_ms) <= MAX_IDLE_MS;
         if !fresh {
             // All others are older.
-            kept.clear();
+            connections.clear();
             return None;
         }
         if idle.conn.is_idle() {
-            return Some(Pooled { conn: idle.conn });
+            return Some(PooledConn { conn: idle.conn });
         }
     }
     None
--- a/crates/azuregate/src/body.rs
+++ b/crates/azuregate/src/body.rs
@@ -53,36 +53,36 @@
 #[derive(Clone, Debug)]
 pub struct Progress(Arc<AtomicU8>);
 
-const OPEN: u8 = 0;
-const ENDED: u8 = 1;
-const BROKEN: u8 = 2;
+const IN_PROGRESS: u8 = 0;
+const COMPLETE: u8 = 1;
+const FAILED: u8 = 2;
 
 impl Progress {
     /// Whether the whole body was taken.
-    pub fn is_ended(&self) -> bool {
-        self.0.load(Ordering::Acquire) == ENDED
+    pub fn is_complete(&self) -> bool {
+        self.0.load(Ordering::Acquire) == COMPLETE
     }
 
     /// Whether the body itself failed: its sender is at fault, and not the
     /// receiver.
-    pub fn is_broken(&self) -> bool {
-        self.0.load(Ordering::Acquire) == BROKEN
+    pub fn has_failed(&self) -> bool {
+        self.0.load(Ordering::Acquire) == FAILED
     }
 }
 
 /// Watches how far `inner` gets.
-pub fn watched(inner: Body) -> (Body, Progress) {
-    let state = if inner.is_end_stream() { ENDED } else { OPEN };
+pub fn with_progress(inner: Body) -> (Body, Progress) {
+    let state = if inner.is_end_stream() { COMPLETE } else { IN_PROGRESS };
     let progress = Progress(Arc::new(AtomicU8::new(state)));
-    (Watched { inner, progress: progress.clone() }.boxed_unsync(), progress)
+    (ProgressBody { inner, progress: progress.clone() }.boxed_unsync(), progress)
 }
 
-struct Watched {
+struct ProgressBody {
     inner: Body,
     progress: Progress,
 }
 
-impl HttpBody for Watched {
+impl HttpBody for ProgressBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -92,12 +92,12 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         let state = match &polled {
-            Poll::Pending => OPEN,
-            Poll::Ready(Some(Err(_))) => BROKEN,
-            Poll::Ready(Some(Ok(_))) if !self.inner.is_end_stream() => OPEN,
-            Poll::Ready(Some(Ok(_)) | None) => ENDED,
+            Poll::Pending => IN_PROGRESS,
+            Poll::Ready(Some(Err(_))) => FAILED,
+            Poll::Ready(Some(Ok(_))) if !self.inner.is_end_stream() => IN_PROGRESS,
+            Poll::Ready(Some(Ok(_)) | None) => COMPLETE,
         };
-        if state != OPEN {
+        if state != IN_PROGRESS {
             self.progress.0.store(state, Ordering::Release);
         }
         polled
@@ -118,15 +118,15 @@
 /// holds a slot, a connection and a caller for good.
 pub fn with_deadline(inner: Body, deadline: Instant) -> Body {
     let expiry = Box::pin(time::sleep_until(deadline));
-    Timed { inner, expiry }.boxed_unsync()
+    DeadlineBody { inner, expiry }.boxed_unsync()
 }
 
-struct Timed {
+struct DeadlineBody {
     inner: Body,
     expiry: Pin<Box<Sleep>>,
 }
 
-impl HttpBody for Timed {
+impl HttpBody for DeadlineBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -82,7 +82,7 @@
         };
         let latency_ms = self.context.clock.now().since(sent_at_ms).0;
         if lease.outgoing_hand_over.is_some() {
-            let reusable = progress.is_ended() && !headers::is_last(response.headers());
+            let reusable = progress.is_complete() && !headers::is_last(response.headers());
             return match handover::take_answer(&lease, response) {
                 Ok(response) => Ok(self.hand_back(lease, link, response, latency_ms, reusable)),
                 Err(error) => {
@@ -96,7 +96,7 @@
         // An answer that came before the request was sent whole leaves the rest
         // of the request on the connection, where the backend server may take it
         // for the next one.
-        let reusable = !closing && progress.is_ended();
+        let reusable = !closing && progress.is_complete();
         if headers::is_refusal(response.headers()) {
             lease.set_completion(Completion::Refused);
             let error = Error::new(ErrorKind::BackendRefused, format!("{} refused", lease.backend));
@@ -151,7 +151,7 @@
             }
             if self.retries.try_take() {
                 // The others in the pool may have gone silent with this one.
-                self.context.pool.forget(lease.addr);
+                self.context.pool.close_idle(lease.addr);
                 let detail = format!("no answer from {} within {late_ms} ms", lease.backend);
                 return Err((Error::new(ErrorKind::BackendLost, detail), true));
             }
@@ -199,7 +199,7 @@
         } else if !pooled {
             self.context.config.change(Change::Closed(backend, start));
         }
-        self.context.pool.forget(lease.addr);
+        self.context.pool.close_idle(lease.addr);
         true
     }
 }
@@ -217,14 +217,14 @@
 
 fn watched(request: Request<Body>) -> (Request<Body>, Progress) {
     let (head, body) = request.into_parts();
-    let (body, progress) = body::watched(body);
+    let (body, progress) = body::with_progress(body);
     (Request::from_parts(head, body), progress)
 }
 
 fn send_error(lease: &Lease, e: &SendError, progress: &Progress) -> Error {
     let kind = match e.cause {
         SendCause::NotSent => ErrorKind::ConnectFailed,
-        SendCause::Lost if progress.is_broken() => ErrorKind::CallerLost,
+        SendCause::Lost if progress.has_failed() => ErrorKind::CallerLost,
         SendCause::Lost => ErrorKind::BackendLost,
         SendCause::Invalid => ErrorKind::BackendInvalid,
     };
--- a/crates/azuregate/src/lib.rs
+++ b/crates/azuregate/src/lib.rs
@@ -36,7 +36,6 @@
 mod accept;
 pub mod backend;
 pub mod body;
-pub mod callers;
 pub mod claims;
 pub mod cli;
 pub mod clock;
@@ -59,3 +58,4 @@
 pub mod status;
 pub mod stop;
 pub mod timer;
+pub mod traffic;
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -104,7 +104,7 @@
         let snapshot = changes.borrow_and_update().clone();
         let shut = shut_servers(&snapshot);
         for &addr in shut.difference(&closed) {
-            pool.forget(addr);
+            pool.close_idle(addr);
         }
         closed = shut;
         if changes.changed().await.is_err() {
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -16,8 +16,8 @@
 use tonic::transport::server::TcpIncoming;
 
 use crate::{
-    callers::Callers, dispatch::RoutingMode, operators::OperatorsService, probe,
-    settings::Settings, status, stop::Stop,
+    dispatch::RoutingMode, operators::OperatorsService, probe, settings::Settings, status,
+    stop::Stop, traffic::TrafficServer,
 };
 
 use self::{ports::Ports, shared::Shared};
@@ -63,7 +63,7 @@
     let background = start_background(&shared, ports.peers, ports.status);
     let operators = OperatorsPort::start(shared.operators(), ports.operators);
 
-    let callers = Callers {
+    let callers = TrafficServer {
         gateway: Arc::new(shared.gateway(rule)),
         config: shared.config.clone(),
         instance: shared.settings.instance.clone(),
--- a/crates/azuregate/src/callers.rs
+++ b/crates/azuregate/src/traffic.rs
@@ -27,7 +27,7 @@
 };
 
 /// What serves callers.
-pub struct Callers {
+pub struct TrafficServer {
     /// Answers requests.
     pub gateway: Arc<Gateway>,
     /// Spreads that the instance stops.
@@ -40,7 +40,7 @@
     pub stop: Stop,
 }
 
-impl Callers {
+impl TrafficServer {
     /// Serves until the planned stop has ended.
     ///
     /// The order of a planned stop: the peers are told, so that no instance names
@@ -54,7 +54,7 @@
         loop {
             tokio::select! {
                 (stream, caller) = accept::next(&listener) => {
-                    self.spawn(&graceful, stream, caller);
+                    self.spawn_connection(&graceful, stream, caller);
                 }
                 () = &mut stopped => break,
             }
@@ -62,7 +62,7 @@
         // Connections that the system has accepted already belong to callers;
         // dropping the listener would reset them.
         while let Some(Ok((stream, caller))) = listener.accept().now_or_never() {
-            self.spawn(&graceful, stream, caller);
+            self.spawn_connection(&graceful, stream, caller);
         }
         drop(listener);
         log::info!(instance:% = self.instance, in_progress = graceful.count(); "port closed");
@@ -77,12 +77,12 @@
         time::sleep(Duration::from_millis(stop_delay_ms)).await;
     }
 
-    fn spawn(&self, graceful: &GracefulShutdown, stream: TcpStream, caller: SocketAddr) {
+    fn spawn_connection(&self, graceful: &GracefulShutdown, stream: TcpStream, caller: SocketAddr) {
         let _ = stream.set_nodelay(true);
         let (gateway, stop) = (Arc::clone(&self.gateway), self.stop.clone());
         let service = service_fn(move |request: Request<Incoming>| {
             let request = request.map(|body| body.map_err(Into::into).boxed_unsync());
-            answer(Arc::clone(&gateway), stop.clone(), request, caller)
+            respond(Arc::clone(&gateway), stop.clone(), request, caller)
         });
         let conn = http1::Builder::new()
             .timer(TokioTimer::new())
@@ -96,7 +96,7 @@
     }
 }
 
-fn answer(
+fn respond(
     gateway: Arc<Gateway>,
     stop: Stop,
     request: Request<Body>,
