--- a/crates/azuregate/src/gateway/entry_answers.rs
+++ b/crates/azuregate/src/gateway/entries_cache.rs
@@ -18,27 +18,27 @@
 
 /// How long an answer is handed out. It names the time at which it was made, by
 /// which the homes of idempotency keys run out.
-const KEPT_MS: u64 = 1_000;
+const CACHE_TTL_MS: u64 = 1_000;
 
 /// The answers that were made from one list of instances.
 #[derive(Debug, Default)]
-pub(crate) struct EntryAnswers {
-    kept: Mutex<Kept>,
+pub(crate) struct EntriesCache {
+    state: Mutex<CacheState>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
-    made_from: Option<Arc<[Instance]>>,
-    by_caller: HashMap<(ServiceName, u8), Made>,
+struct CacheState {
+    built_from: Option<Arc<[Instance]>>,
+    responses: HashMap<(ServiceName, u8), CachedResponse>,
 }
 
 #[derive(Clone, Debug)]
-struct Made {
+struct CachedResponse {
     json: Bytes,
-    until_ms: u64,
+    expires_at_ms: u64,
 }
 
-impl EntryAnswers {
+impl EntriesCache {
     /// The answer for a caller, in JSON.
     pub(crate) fn get(
         &self,
@@ -50,48 +50,43 @@
         let salt = caller.ip().to_string();
         let key = (service.clone(), entries::variant(&salt));
         let now_ms = context.clock.now().0;
-        if let Some(made) = self.kept_answer(snapshot, &key, now_ms) {
-            return Ok(made);
+        if let Some(cached) = self.lookup(snapshot, &key, now_ms) {
+            return Ok(cached);
         }
-        let json = Bytes::from(make(context, snapshot, service, &salt)?);
-        let made = Made { json: json.clone(), until_ms: now_ms + KEPT_MS };
-        let mut kept = self.lock();
+        let json = Bytes::from(build(context, snapshot, service, &salt)?);
+        let cached = CachedResponse { json: json.clone(), expires_at_ms: now_ms + CACHE_TTL_MS };
+        let mut state = self.lock();
         // Another request may have brought in a newer list meanwhile.
-        if kept.is_from(snapshot) {
-            kept.by_caller.insert(key, made);
+        if state.is_built_from(snapshot) {
+            state.responses.insert(key, cached);
         }
         Ok(json)
     }
 
-    fn kept_answer(
-        &self,
-        snapshot: &Snapshot,
-        key: &(ServiceName, u8),
-        now_ms: u64,
-    ) -> Option<Bytes> {
-        let mut kept = self.lock();
+    fn lookup(&self, snapshot: &Snapshot, key: &(ServiceName, u8), now_ms: u64) -> Option<Bytes> {
+        let mut state = self.lock();
         // An answer from an older list would send callers to an instance that
         // is known to be gone.
-        if !kept.is_from(snapshot) {
-            kept.by_caller.clear();
-            kept.made_from = Some(Arc::clone(&snapshot.instances));
+        if !state.is_built_from(snapshot) {
+            state.responses.clear();
+            state.built_from = Some(Arc::clone(&snapshot.instances));
         }
-        let made = kept.by_caller.get(key)?;
-        (now_ms < made.until_ms).then(|| made.json.clone())
+        let cached = state.responses.get(key)?;
+        (now_ms < cached.expires_at_ms).then(|| cached.json.clone())
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Kept> {
-        self.kept.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> std::sync::MutexGuard<'_, CacheState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-impl Kept {
-    fn is_from(&self, snapshot: &Snapshot) -> bool {
-        self.made_from.as_ref().is_some_and(|list| Arc::ptr_eq(list, &snapshot.instances))
+impl CacheState {
+    fn is_built_from(&self, snapshot: &Snapshot) -> bool {
+        self.built_from.as_ref().is_some_and(|list| Arc::ptr_eq(list, &snapshot.instances))
     }
 }
 
-fn make(
+fn build(
     context: &GatewayContext,
     snapshot: &Snapshot,
     service: &ServiceName,
--- a/crates/azuregate/src/gateway/answer.rs
+++ b/crates/azuregate/src/gateway/error_response.rs
@@ -9,11 +9,11 @@
 pub(crate) const OUTCOME: &str = "azuregate-outcome";
 
 /// The answer for an error, from the table of answers.
-pub(crate) fn error(error: &Error) -> Response<Body> {
-    let row = error.kind().answer();
+pub(crate) fn from_error(error: &Error) -> Response<Body> {
+    let answer = error.kind().answer();
     let text = format!("{error}\n");
     let mut builder = Response::builder()
-        .status(row.status)
+        .status(answer.status)
         .header(header::CONTENT_TYPE, "text/plain; charset=utf-8")
         .header(OUTCOME, error.outcome().as_str());
     if let Some(after_s) = error.retry_after_s() {
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -12,21 +12,21 @@
 use crate::{
     backend::BackendConn,
     body::Body,
-    gateway::{Attributes, GatewayContext, payload::Payload, retries::Retries},
+    gateway::{Attributes, GatewayContext, payload::Payload, retries::ServiceRetries},
     selector::{IncomingHandOver, Lease, Selector, SlotRequest},
 };
 
 /// How often a request is tried at the most.
-const ATTEMPTS: usize = 3;
+const MAX_ATTEMPTS: usize = 3;
 
 /// One request on its way to a backend server.
 ///
 /// It owns what it needs, since a request with an idempotency key goes on when
 /// its caller has left.
-pub(crate) struct Forward {
+pub(crate) struct Forwarder {
     pub(crate) context: Arc<GatewayContext>,
     pub(crate) selector: Selector,
-    pub(crate) retries: Retries,
+    pub(crate) retries: ServiceRetries,
     pub(crate) attributes: Attributes,
     /// On the monotonic clock.
     pub(crate) deadline_ms: u64,
@@ -36,20 +36,20 @@
 }
 
 /// A failed attempt, with the body if it can be sent again.
-struct Failed {
+struct FailedAttempt {
     error: Error,
     payload: Option<Payload>,
     /// Whether the retry was paid for already.
-    paid: bool,
+    retry_charged: bool,
 }
 
 /// A connection for one attempt.
-pub(crate) struct Link {
+pub(crate) struct AttemptConn {
     pub(crate) conn: Box<dyn BackendConn>,
     pub(crate) pooled: bool,
 }
 
-impl Forward {
+impl Forwarder {
     /// Runs the request, trying again where the table of answers allows it.
     pub(crate) async fn run(
         &self,
@@ -66,22 +66,22 @@
             };
             may_have_run |= failed.error.outcome() == Outcome::Unknown;
             let may_retry = self.may_retry(&failed, attempt);
-            let Some(again) = failed.payload.filter(|_| may_retry) else {
+            let Some(retry_payload) = failed.payload.filter(|_| may_retry) else {
                 // The last attempt may be refused as not run where an earlier one
                 // ran and lost its answer; the caller asks about the request.
                 let error = failed.error;
                 return Err(if may_have_run { error.with_earlier_unknown() } else { error });
             };
-            payload = again;
+            payload = retry_payload;
             attempt += 1;
         }
     }
 
-    fn may_retry(&self, failed: &Failed, attempt: usize) -> bool {
-        if failed.payload.is_none() || attempt >= ATTEMPTS || self.remaining_ms() == 0 {
+    fn may_retry(&self, failed: &FailedAttempt, attempt: usize) -> bool {
+        if failed.payload.is_none() || attempt >= MAX_ATTEMPTS || self.remaining_ms() == 0 {
             return false;
         }
-        if failed.paid {
+        if failed.retry_charged {
             return true;
         }
         let kind = failed.error.kind();
@@ -124,28 +124,36 @@
         head: &request::Parts,
         payload: Payload,
         attempt: usize,
-    ) -> Result<Response<Body>, Failed> {
-        let (lease, link) = match self.reach(attempt, payload.body_bytes()).await {
-            Ok(reached) => reached,
-            Err(error) => return Err(Failed { error, payload: Some(payload), paid: false }),
+    ) -> Result<Response<Body>, FailedAttempt> {
+        let (lease, attempt_conn) = match self
+            .acquire_connection(attempt, payload.body_bytes())
+            .await
+        {
+            Ok(acquired) => acquired,
+            Err(error) => {
+                return Err(FailedAttempt { error, payload: Some(payload), retry_charged: false });
+            }
         };
-        let (body, again) = payload.send();
-        let late_ms = self.late_after_ms(&lease, &link, again.is_some());
+        let (body, retry_payload) = payload.into_body();
+        let abandon_after_ms =
+            self.abandon_after_ms(&lease, &attempt_conn, retry_payload.is_some());
         let request = self.outgoing(&lease, head, body);
-        self.send(lease, link, request, late_ms).await.map_err(|(error, paid)| Failed {
-            error,
-            payload: again,
-            paid,
-        })
+        self.send(lease, attempt_conn, request, abandon_after_ms).await.map_err(
+            |(error, retry_charged)| FailedAttempt { error, payload: retry_payload, retry_charged },
+        )
     }
 
     /// Takes a slot of a backend server and a connection to it.
-    async fn reach(&self, attempt: usize, body_bytes: u64) -> Result<(Lease, Link), Error> {
+    async fn acquire_connection(
+        &self,
+        attempt: usize,
+        body_bytes: u64,
+    ) -> Result<(Lease, AttemptConn), Error> {
         self.check_deadline()?;
         let mut lease = self.selector.acquire(self.slot_request(body_bytes)).await?;
-        let link = self.connect(&mut lease, attempt).await?;
+        let attempt_conn = self.connect(&mut lease, attempt).await?;
         self.check_deadline()?;
-        Ok((lease, link))
+        Ok((lease, attempt_conn))
     }
 
     /// Compares the clock before each effect and after each wait.
@@ -162,15 +170,15 @@
 
     /// A pooled connection for the first attempt, a new one for the others: what
     /// made one connection to a server useless may have hit all of them.
-    async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<Link, Error> {
+    async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<AttemptConn, Error> {
         if attempt == 1
             && let Some(pooled) = self.context.pool.take(lease.addr).await
         {
-            return Ok(Link { conn: pooled.conn, pooled: true });
+            return Ok(AttemptConn { conn: pooled.conn, pooled: true });
         }
         let remaining = Duration::from_millis(self.remaining_ms());
         match time::timeout(remaining, self.context.dialer.dial(lease.addr)).await {
-            Ok(Ok(conn)) => Ok(Link { conn, pooled: false }),
+            Ok(Ok(conn)) => Ok(AttemptConn { conn, pooled: false }),
             Ok(Err(e)) => {
                 lease.set_completion(Completion::Failed);
                 let detail = format!("cannot connect to {} at {}: {e}", lease.backend, lease.addr);
@@ -191,11 +199,18 @@
     /// while new connections work. Only an idempotent request may be sent twice,
     /// and only on a pooled connection is silence the likely cause.
     /// A dispatcher is left out: a request may well wait in its queue.
-    fn late_after_ms(&self, lease: &Lease, link: &Link, repeatable: bool) -> Option<u64> {
+    fn abandon_after_ms(
+        &self,
+        lease: &Lease,
+        attempt_conn: &AttemptConn,
+        repeatable: bool,
+    ) -> Option<u64> {
         let elsewhere = lease.outgoing_hand_over.is_some();
-        if elsewhere || !link.pooled || !repeatable || !self.attributes.idempotent {
+        if elsewhere || !attempt_conn.pooled || !repeatable || !self.attributes.idempotent {
             return None;
         }
-        self.retries.late_after_ms().filter(|late_ms| *late_ms < self.remaining_ms())
+        self.retries
+            .late_after_ms()
+            .filter(|abandon_after_ms| *abandon_after_ms < self.remaining_ms())
     }
 }
--- a/crates/azuregate/src/gateway/handover.rs
+++ b/crates/azuregate/src/gateway/hand_over.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     body::Body,
-    gateway::answer::OUTCOME,
+    gateway::error_response::OUTCOME,
     selector::{IncomingHandOver, Lease, OutgoingHandOver},
 };
 
@@ -41,7 +41,7 @@
     caller: SocketAddr,
     snapshot: &Snapshot,
 ) -> Result<Option<IncomingHandOver>, Error> {
-    let Some(mark) = headers.remove(HAND_OVER) else {
+    let Some(value) = headers.remove(HAND_OVER) else {
         return Ok(None);
     };
     let sender = snapshot.instances.iter().find(|instance| same_ip(instance.ip, caller.ip()));
@@ -49,8 +49,8 @@
         let detail = format!("{caller} hands a request over and is no listed instance");
         return Err(Error::new(ErrorKind::NotReady, detail));
     };
-    let parsed = mark.to_str().ok().and_then(|mark| {
-        let (group, max_wait_ms) = mark.split_once(' ')?;
+    let parsed = value.to_str().ok().and_then(|value| {
+        let (group, max_wait_ms) = value.split_once(' ')?;
         let (group, max_wait_ms) = (group.parse().ok()?, max_wait_ms.parse().ok()?);
         Some(IncomingHandOver { from: sender.id.clone(), group, max_wait_ms })
     });
@@ -59,14 +59,14 @@
 }
 
 /// Marks a request that is handed over.
-pub(crate) fn mark(headers: &mut HeaderMap, lease: &Lease) {
+pub(crate) fn set_header(headers: &mut HeaderMap, lease: &Lease) {
     // A caller's own mark never goes on.
     headers.remove(HAND_OVER);
     let Some(OutgoingHandOver { group, max_wait_ms, .. }) = &lease.outgoing_hand_over else {
         return;
     };
-    if let Ok(mark) = HeaderValue::from_str(&format!("{group} {max_wait_ms}")) {
-        headers.insert(HAND_OVER, mark);
+    if let Ok(value) = HeaderValue::from_str(&format!("{group} {max_wait_ms}")) {
+        headers.insert(HAND_OVER, value);
     }
 }
 
@@ -85,7 +85,7 @@
 ///
 /// When the dispatcher says that the request did not run, which is trusted: it
 /// may be tried elsewhere.
-pub(crate) fn take_answer(
+pub(crate) fn read_response(
     lease: &Lease,
     mut response: Response<Body>,
 ) -> Result<Response<Body>, Error> {
--- a/crates/azuregate/src/gateway/headers.rs
+++ b/crates/azuregate/src/gateway/headers.rs
@@ -38,7 +38,7 @@
 }
 
 /// Whether the connection ends with this answer.
-pub(crate) fn is_last(headers: &HeaderMap) -> bool {
+pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option == "close")
 }
 
--- a/crates/azuregate/src/gateway/keyed.rs
+++ b/crates/azuregate/src/gateway/keyed_request.rs
@@ -17,7 +17,7 @@
     claims::{Claimed, Wanted},
     gateway::{
         GatewayContext,
-        forward::Forward,
+        forward::Forwarder,
         headers,
         payload::Payload,
         request::{HOME, HOME_HOP, TIMEOUT_MS},
@@ -25,30 +25,36 @@
 };
 
 /// A request with its key and, if the caller named one, the home of the key.
-pub(crate) struct Keyed {
-    pub(crate) forward: Forward,
+pub(crate) struct KeyedRequest {
+    pub(crate) forwarder: Forwarder,
     pub(crate) key: String,
     pub(crate) home: Option<HomeToken>,
 }
 
-impl Keyed {
+impl KeyedRequest {
     /// Runs the request at most once.
     ///
     /// It runs on when its caller leaves: a caller whose connection broke sends
     /// the same key again, and finds the answer that was kept meanwhile. A
     /// cancelled request would leave it with `unknown` for good. A planned stop
-    /// waits for all that `orders` tracks, callers or not.
+    /// waits for all that `tasks` tracks, callers or not.
     pub(crate) async fn run(
         self,
-        orders: &TaskTracker,
+        tasks: &TaskTracker,
         head: request::Parts,
         payload: Payload,
     ) -> Result<Response<Body>, Error> {
-        let running = orders.spawn(async move {
+        let running = tasks.spawn(async move {
             match &self.home {
-                Some(home) if !self.forward.context.claims.is_here(home) => {
-                    pass_on(&self.forward.context, home, head, payload, self.forward.remaining_ms())
-                        .await
+                Some(home) if !self.forwarder.context.claims.is_here(home) => {
+                    forward_to_home(
+                        &self.forwarder.context,
+                        home,
+                        head,
+                        payload,
+                        self.forwarder.remaining_ms(),
+                    )
+                    .await
                 }
                 _ => self.run_here(head, payload).await,
             }
@@ -62,17 +68,17 @@
         head: request::Parts,
         payload: Payload,
     ) -> Result<Response<Body>, Error> {
-        let attributes = &self.forward.attributes;
+        let attributes = &self.forwarder.attributes;
         let wanted = Wanted {
             service: &attributes.service,
             key: &self.key,
             fingerprint: payload.fingerprint(attributes.fingerprint),
-            remaining_ms: self.forward.remaining_ms(),
+            remaining_ms: self.forwarder.remaining_ms(),
         };
-        let claims = &self.forward.context.claims;
+        let claims = &self.forwarder.context.claims;
         match claims.claim(wanted, self.home.as_ref()).await? {
             Claimed::Run(held) => {
-                let result = self.forward.run(&head, payload).await;
+                let result = self.forwarder.run(&head, payload).await;
                 claims.settle(held, result).await
             }
             Claimed::Repeat(kept) => claims.replay(kept).await,
@@ -84,7 +90,7 @@
 ///
 /// The home runs it at most once whatever happens here, so a failure is safe to
 /// repeat, but says nothing of what ran.
-async fn pass_on(
+async fn forward_to_home(
     context: &Arc<GatewayContext>,
     home: &HomeToken,
     head: request::Parts,
@@ -102,21 +108,21 @@
     };
     let addr = instance.traffic_addr();
     let deadline = time::Instant::now() + Duration::from_millis(remaining_ms);
-    let request = hop(&head, payload, home, remaining_ms);
+    let request = home_request(&head, payload, home, remaining_ms);
     let failed = |detail: String| {
         Error::new(ErrorKind::HomeUnreachable, format!("{home} at {addr}: {detail}"))
     };
     let exchange = async {
         let mut conn = context.dialer.dial(addr).await.map_err(|e| failed(e.to_string()))?;
         let response = conn.send(request).await.map_err(|e| failed(e.detail))?;
-        Ok(relay(response, conn, deadline))
+        Ok(home_response(response, conn, deadline))
     };
     let exchanged = time::timeout_at(deadline, exchange).await;
     exchanged.unwrap_or_else(|_| Err(failed("no answer in time".to_owned())))
 }
 
 /// The home's answer as it is, its outcome included: it is one of our own.
-fn relay(
+fn home_response(
     response: Response<Body>,
     conn: Box<dyn BackendConn>,
     deadline: time::Instant,
@@ -131,13 +137,13 @@
     Response::from_parts(head, body::with_deadline(body.boxed_unsync(), deadline))
 }
 
-fn hop(
+fn home_request(
     head: &request::Parts,
     payload: Payload,
     home: &HomeToken,
     remaining_ms: u64,
 ) -> Request<Body> {
-    let mut request = Request::new(payload.send().0);
+    let mut request = Request::new(payload.into_body().0);
     *request.method_mut() = head.method.clone();
     *request.uri_mut() = head.uri.clone();
     *request.headers_mut() = headers::without_hop_by_hop(&head.headers);
--- a/crates/azuregate/src/gateway/lease_body.rs
+++ b/crates/azuregate/src/gateway/lease_body.rs
@@ -25,11 +25,11 @@
 /// the next request on it would take for its own.
 pub(crate) struct LeaseBody {
     inner: Body,
-    held: Option<Held>,
+    held: Option<HeldResources>,
 }
 
 /// What an answer holds until its end.
-pub(crate) struct Held {
+pub(crate) struct HeldResources {
     /// Names the request in the log.
     pub(crate) request_id: String,
     pub(crate) lease: Lease,
@@ -40,7 +40,7 @@
 }
 
 impl LeaseBody {
-    pub(crate) fn new(inner: Body, held: Held) -> LeaseBody {
+    pub(crate) fn new(inner: Body, held: HeldResources) -> LeaseBody {
         let mut body = LeaseBody { inner, held: Some(held) };
         body.finish_if_ended();
         body
@@ -63,7 +63,7 @@
     }
 
     /// Ends the answer with an error. Dropping the connection closes it.
-    fn cut(&mut self, detail: &str) -> Error {
+    fn abort(&mut self, detail: &str) -> Error {
         let error = Error::new(ErrorKind::AnswerCut, detail);
         if let Some(mut held) = self.held.take() {
             held.lease.set_truncated();
@@ -94,7 +94,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(e))) => {
-                let error = self.cut(&e.to_string());
+                let error = self.abort(&e.to_string());
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -2,13 +2,13 @@
 Serves callers: which entry instances to use, and requests for services.
 */
 
-mod answer;
 mod count_bytes;
-mod entry_answers;
+mod entries_cache;
+mod error_response;
 mod forward;
-mod handover;
+mod hand_over;
 mod headers;
-mod keyed;
+mod keyed_request;
 mod lease_body;
 mod payload;
 mod request;
@@ -39,7 +39,10 @@
     selector::{IncomingHandOver, Selectors},
 };
 
-use self::{entry_answers::EntryAnswers, keyed::Keyed, payload::Payload, retries::AllRetries};
+use self::{
+    entries_cache::EntriesCache, keyed_request::KeyedRequest, payload::Payload,
+    retries::RetriesByService,
+};
 
 pub use request::Attributes;
 
@@ -73,24 +76,29 @@
 /// Serves callers; shared between their connections.
 pub struct Gateway {
     context: Arc<GatewayContext>,
-    answers: EntryAnswers,
-    retries: AllRetries,
+    entries_cache: EntriesCache,
+    retries: RetriesByService,
     /// Requests with a key, which run on when their callers leave.
-    orders: TaskTracker,
+    keyed_requests: TaskTracker,
 }
 
 impl Gateway {
     /// Makes a gateway.
     pub fn new(context: GatewayContext) -> Gateway {
-        let (answers, retries) = (EntryAnswers::default(), AllRetries::default());
-        Gateway { context: Arc::new(context), answers, retries, orders: TaskTracker::new() }
+        let (entries_cache, retries) = (EntriesCache::default(), RetriesByService::default());
+        Gateway {
+            context: Arc::new(context),
+            entries_cache,
+            retries,
+            keyed_requests: TaskTracker::new(),
+        }
     }
 
     /// Waits for the requests whose callers have left, and for what the platform
     /// is to keep of them.
     pub async fn finish(&self) {
-        self.orders.close();
-        self.orders.wait().await;
+        self.keyed_requests.close();
+        self.keyed_requests.wait().await;
         self.context.claims.finish().await;
     }
 
@@ -99,15 +107,17 @@
         let started_ms = self.context.clock.now();
         let snapshot = self.context.snapshots.current();
         if request.uri().path() == ENTRIES_PATH && request.method() == Method::GET {
-            return self.entries(&request, &snapshot, caller).unwrap_or_else(|e| answer::error(&e));
+            return self
+                .entries(&request, &snapshot, caller)
+                .unwrap_or_else(|e| error_response::from_error(&e));
         }
-        let incoming_hand_over = match handover::read(request.headers_mut(), caller, &snapshot) {
+        let incoming_hand_over = match hand_over::read(request.headers_mut(), caller, &snapshot) {
             Ok(incoming_hand_over) => incoming_hand_over,
-            Err(e) => return answer::error(&e),
+            Err(e) => return error_response::from_error(&e),
         };
         let attributes = match Attributes::read(&request) {
             Ok(attributes) => attributes,
-            Err(e) => return answer::error(&e),
+            Err(e) => return error_response::from_error(&e),
         };
         let result = self.serve(request, &attributes, &snapshot, incoming_hand_over.clone()).await;
         let taken_ms = self.context.clock.now().since(started_ms).0;
@@ -125,14 +135,14 @@
                 code = code, detail = e.detail(), taken_ms = taken_ms;
                 "request refused"
             );
-            answer::error(&e)
+            error_response::from_error(&e)
         });
         if let Ok(id) = HeaderValue::from_str(&attributes.request_id) {
             response.headers_mut().insert(request::REQUEST_ID, id);
         }
         if let Some(incoming_hand_over) = incoming_hand_over {
             let selector = self.context.selectors.get(&attributes.service);
-            handover::set_load(
+            hand_over::set_load(
                 response.headers_mut(),
                 selector.load_for(&incoming_hand_over).await,
             );
@@ -151,7 +161,7 @@
             let detail = format!("no policy names {service}");
             return Err(Error::new(ErrorKind::UnknownService, detail));
         }
-        let json = self.answers.get(&self.context, snapshot, &service, caller)?;
+        let json = self.entries_cache.get(&self.context, snapshot, &service, caller)?;
         Response::builder()
             .header(header::CONTENT_TYPE, "application/json")
             .header(header::CACHE_CONTROL, format!("max-age={MAX_AGE_S}"))
@@ -181,10 +191,10 @@
             return Err(refuse(Error::new(ErrorKind::UnknownService, detail)));
         };
         let timeout_ms = attributes.timeout_ms.unwrap_or(policy.timeout_ms);
-        let forward = forward::Forward {
+        let forwarder = forward::Forwarder {
             context: Arc::clone(&self.context),
             selector: self.context.selectors.get(&attributes.service),
-            retries: self.retries.of(&attributes.service),
+            retries: self.retries.get(&attributes.service),
             attributes: attributes.clone(),
             deadline_ms: self.context.clock.now().0 + timeout_ms,
             queue_ms: policy.queue_ms,
@@ -193,9 +203,9 @@
         let (head, body) = request.into_parts();
         let payload = Payload::read(body, timeout_ms).await.map_err(refuse)?;
         let Some(key) = key else {
-            return forward.run(&head, payload).await;
+            return forwarder.run(&head, payload).await;
         };
         let home = attributes.home.clone();
-        Keyed { forward, key, home }.run(&self.orders, head, payload).await
+        KeyedRequest { forwarder, key, home }.run(&self.keyed_requests, head, payload).await
     }
 }
--- a/crates/azuregate/src/gateway/payload.rs
+++ b/crates/azuregate/src/gateway/payload.rs
@@ -16,7 +16,7 @@
 ///
 /// A request that a backend server refused can go elsewhere only with its body.
 /// Orders and holds are far smaller; uploads are larger, and stream.
-const BUFFER_LIMIT_BYTES: u64 = 64 << 10;
+const MAX_BUFFERED_BYTES: u64 = 64 << 10;
 
 /// A body on its way to a backend server.
 #[derive(Debug)]
@@ -34,18 +34,18 @@
     /// # Errors
     ///
     /// [`ErrorKind::BodyIncomplete`] when a small body does not come whole within
-    /// `wait_ms`. Nothing has been sent, so this is known not to have run.
-    pub(crate) async fn read(body: Body, wait_ms: u64) -> Result<Payload, Error> {
+    /// `timeout_ms`. Nothing has been sent, so this is known not to have run.
+    pub(crate) async fn read(body: Body, timeout_ms: u64) -> Result<Payload, Error> {
         let length = body.size_hint().upper();
-        if length.is_none_or(|length| length > BUFFER_LIMIT_BYTES) {
+        if length.is_none_or(|length| length > MAX_BUFFERED_BYTES) {
             return Ok(Payload::Streaming(body));
         }
-        let collected = body::collect(body, BUFFER_LIMIT_BYTES as usize);
+        let collected = body::collect(body, MAX_BUFFERED_BYTES as usize);
         let incomplete = |detail: String| Error::new(ErrorKind::BodyIncomplete, detail);
-        match time::timeout(Duration::from_millis(wait_ms), collected).await {
+        match time::timeout(Duration::from_millis(timeout_ms), collected).await {
             Ok(Ok(bytes)) => Ok(Payload::Buffered(bytes)),
             Ok(Err(e)) => Err(incomplete(format!("the request's body broke off: {e}"))),
-            Err(_) => Err(incomplete(format!("no whole body within {wait_ms} ms"))),
+            Err(_) => Err(incomplete(format!("no whole body within {timeout_ms} ms"))),
         }
     }
 
@@ -61,7 +61,7 @@
     }
 
     /// The body to send, and what is left for another attempt.
-    pub(crate) fn send(self) -> (Body, Option<Payload>) {
+    pub(crate) fn into_body(self) -> (Body, Option<Payload>) {
         match self {
             Payload::Buffered(bytes) => (body::full(bytes.clone()), Some(Payload::Buffered(bytes))),
             Payload::Streaming(body) => (body, None),
@@ -69,11 +69,11 @@
     }
 
     /// Hash of the whole request, from the one of its head.
-    pub(crate) fn fingerprint(&self, head: u64) -> u64 {
+    pub(crate) fn fingerprint(&self, head_hash: u64) -> u64 {
         let digest = match self {
             Payload::Buffered(bytes) => BodyDigest::Whole(bytes),
             Payload::Streaming(body) => BodyDigest::Length(body.size_hint().exact()),
         };
-        claim::fingerprint(head, digest)
+        claim::fingerprint(head_hash, digest)
     }
 }
--- a/crates/azuregate/src/gateway/request.rs
+++ b/crates/azuregate/src/gateway/request.rs
@@ -27,11 +27,11 @@
 pub(crate) const TENANT: &str = "azuregate-tenant";
 
 /// The longest name of a tenant, in bytes.
-const TENANT_LIMIT_BYTES: usize = 63;
+const MAX_TENANT_BYTES: usize = 63;
 /// The longest idempotency key that is taken, in bytes.
-const KEY_LIMIT_BYTES: usize = 255;
+const MAX_KEY_BYTES: usize = 255;
 /// The longest time that a caller may ask for, in milliseconds.
-const TIMEOUT_LIMIT_MS: u64 = 3_600_000;
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
 /// What the request path needs to know of a request.
 #[derive(Clone, Debug, Eq, PartialEq)]
@@ -94,86 +94,86 @@
 pub(crate) fn service_of_query(query: &str) -> Result<ServiceName, Error> {
     let value = query.split('&').find_map(|pair| pair.strip_prefix("service="));
     let Some(value) = value.filter(|value| !value.is_empty()) else {
-        return Err(bad("the query has no service=NAME"));
+        return Err(bad_request("the query has no service=NAME"));
     };
     Ok(ServiceName::new(value))
 }
 
 fn service_of_host(request: &Request<Body>) -> Result<ServiceName, Error> {
     let host = match request.headers().get(header::HOST) {
-        Some(value) => value.to_str().map_err(|_| bad("Host is not ASCII"))?,
-        None => request.uri().host().ok_or_else(|| bad("Host is missing"))?,
+        Some(value) => value.to_str().map_err(|_| bad_request("Host is not ASCII"))?,
+        None => request.uri().host().ok_or_else(|| bad_request("Host is missing"))?,
     };
     let name = host.split(':').next().unwrap_or_default();
     if name.is_empty() {
-        return Err(bad("Host is empty"));
+        return Err(bad_request("Host is empty"));
     }
     Ok(ServiceName::new(&name.to_ascii_lowercase()))
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Error> {
-    let Some(key) = text(headers, IDEMPOTENCY_KEY)? else {
+    let Some(key) = header_str(headers, IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > KEY_LIMIT_BYTES {
-        let detail = format!("Idempotency-Key must have 1 to {KEY_LIMIT_BYTES} bytes");
-        return Err(bad(detail));
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let detail = format!("Idempotency-Key must have 1 to {MAX_KEY_BYTES} bytes");
+        return Err(bad_request(detail));
     }
     Ok(Some(key.to_owned()))
 }
 
 fn home(headers: &HeaderMap) -> Result<Option<HomeToken>, Error> {
-    let Some(value) = text(headers, HOME)? else {
+    let Some(value) = header_str(headers, HOME)? else {
         return Ok(None);
     };
     let parsed = value.parse();
-    parsed.map(Some).map_err(|_| bad(format!("Azuregate-Home names no home: {value:?}")))
+    parsed.map(Some).map_err(|_| bad_request(format!("Azuregate-Home names no home: {value:?}")))
 }
 
 fn timeout_ms(headers: &HeaderMap) -> Result<Option<u64>, Error> {
-    let Some(value) = text(headers, TIMEOUT_MS)? else {
+    let Some(value) = header_str(headers, TIMEOUT_MS)? else {
         return Ok(None);
     };
-    let parsed = value.parse().ok().filter(|ms| (1..=TIMEOUT_LIMIT_MS).contains(ms));
+    let parsed = value.parse().ok().filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
     let Some(ms) = parsed else {
         let detail = format!(
-            "Azuregate-Timeout-Ms must be a whole number from 1 to {TIMEOUT_LIMIT_MS}, \
+            "Azuregate-Timeout-Ms must be a whole number from 1 to {MAX_TIMEOUT_MS}, \
              not {value:?}"
         );
-        return Err(bad(detail));
+        return Err(bad_request(detail));
     };
     Ok(Some(ms))
 }
 
 fn tenant(headers: &HeaderMap) -> Result<Option<TenantName>, Error> {
-    let Some(tenant) = text(headers, TENANT)? else {
+    let Some(tenant) = header_str(headers, TENANT)? else {
         return Ok(None);
     };
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !(1..=TENANT_LIMIT_BYTES).contains(&tenant.len()) || !tenant.chars().all(is_allowed) {
+    if !(1..=MAX_TENANT_BYTES).contains(&tenant.len()) || !tenant.chars().all(is_allowed) {
         let detail = format!(
-            "Azuregate-Tenant must be 1 to {TENANT_LIMIT_BYTES} letters, digits, dots, \
+            "Azuregate-Tenant must be 1 to {MAX_TENANT_BYTES} letters, digits, dots, \
              hyphens or underscores"
         );
-        return Err(bad(detail));
+        return Err(bad_request(detail));
     }
     Ok(Some(TenantName::new(tenant)))
 }
 
 fn request_id(headers: &HeaderMap) -> Result<String, Error> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
-    if let Some(id) = text(headers, REQUEST_ID)? {
+    if let Some(id) = header_str(headers, REQUEST_ID)? {
         return Ok(id.to_owned());
     }
     let sequence = NEXT.fetch_add(1, Ordering::Relaxed);
     Ok(format!("{:08x}-{sequence:x}", fastrand::u32(..)))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Error> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Error> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| bad(format!("{name} is not ASCII")))?;
+    let text = value.to_str().map_err(|_| bad_request(format!("{name} is not ASCII")))?;
     Ok(Some(text.trim()))
 }
 
@@ -184,6 +184,6 @@
     if method.is_safe() { RequestClass::Read } else { RequestClass::Write }
 }
 
-fn bad(detail: impl Into<String>) -> Error {
+fn bad_request(detail: impl Into<String>) -> Error {
     Error::new(ErrorKind::BadRequest, detail)
 }
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -15,11 +15,11 @@
     body::{self, Body, Progress},
     config::{Change, Source},
     gateway::{
-        answer::OUTCOME,
         count_bytes,
-        forward::{Forward, Link},
-        handover, headers,
-        lease_body::{Held, LeaseBody},
+        error_response::OUTCOME,
+        forward::{AttemptConn, Forwarder},
+        hand_over, headers,
+        lease_body::{HeldResources, LeaseBody},
         request::{REQUEST_ID, TIMEOUT_MS},
     },
     selector::Lease,
@@ -27,11 +27,11 @@
 
 /// The largest body of a refusal that is read so that its connection stays of
 /// use, in bytes.
-const REFUSAL_LIMIT_BYTES: u64 = 4 << 10;
+const MAX_REFUSAL_BODY_BYTES: u64 = 4 << 10;
 /// How long such a body may take.
-const REFUSAL_WAIT: Duration = Duration::from_millis(100);
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl Forward {
+impl Forwarder {
     /// The request as the other end gets it.
     pub(crate) fn outgoing(
         &self,
@@ -53,7 +53,7 @@
         // The answer needs the way back: work that ends later is wasted.
         let left_ms = self.remaining_ms().saturating_sub(lease.delay_ms).max(1);
         headers.insert(TIMEOUT_MS, HeaderValue::from(left_ms));
-        handover::mark(headers, lease);
+        hand_over::set_header(headers, lease);
         request
     }
 
@@ -61,13 +61,16 @@
     pub(crate) async fn send(
         &self,
         mut lease: Lease,
-        mut link: Link,
+        mut attempt_conn: AttemptConn,
         request: Request<Body>,
-        late_ms: Option<u64>,
+        abandon_after_ms: Option<u64>,
     ) -> Result<Response<Body>, (Error, bool)> {
         let sent_at_ms = self.context.clock.now();
-        let (request, progress) = watched(request);
-        let response = match self.wait_for_head(&mut lease, &mut link, request, late_ms).await {
+        let (request, progress) = with_progress(request);
+        let response = match self
+            .wait_for_head(&mut lease, &mut attempt_conn, request, abandon_after_ms)
+            .await
+        {
             Ok(Ok(response)) => response,
             Ok(Err(e)) => {
                 let error = send_error(&lease, &e, &progress);
@@ -82,9 +85,12 @@
         };
         let latency_ms = self.context.clock.now().since(sent_at_ms).0;
         if lease.outgoing_hand_over.is_some() {
-            let reusable = progress.is_complete() && !headers::is_last(response.headers());
-            return match handover::take_answer(&lease, response) {
-                Ok(response) => Ok(self.hand_back(lease, link, response, latency_ms, reusable)),
+            let reusable =
+                progress.is_complete() && !headers::closes_connection(response.headers());
+            return match hand_over::read_response(&lease, response) {
+                Ok(response) => {
+                    Ok(self.streaming_response(lease, attempt_conn, response, latency_ms, reusable))
+                }
                 Err(error) => {
                     lease.set_completion(Completion::Refused);
                     Err((error, false))
@@ -92,7 +98,7 @@
             };
         }
         self.retries.record(latency_ms);
-        let closing = self.learn(&lease, link.pooled, response.headers());
+        let closing = self.update_backend_state(&lease, attempt_conn.pooled, response.headers());
         // An answer that came before the request was sent whole leaves the rest
         // of the request on the connection, where the backend server may take it
         // for the next one.
@@ -101,11 +107,12 @@
             lease.set_completion(Completion::Refused);
             let error = Error::new(ErrorKind::BackendRefused, format!("{} refused", lease.backend));
             if reusable {
-                self.reuse_after_refusal(&lease, link, response.into_body()).await;
+                self.reuse_after_refusal(&lease, attempt_conn, response.into_body()).await;
             }
             return Err((error, false));
         }
-        let mut response = self.hand_back(lease, link, response, latency_ms, reusable);
+        let mut response =
+            self.streaming_response(lease, attempt_conn, response, latency_ms, reusable);
         // Only azuregate itself says what became of a request.
         response.headers_mut().remove(OUTCOME);
         Ok(response)
@@ -113,10 +120,10 @@
 
     /// The answer for the caller, which holds the slot and the connection to its
     /// end.
-    fn hand_back(
+    fn streaming_response(
         &self,
         lease: Lease,
-        link: Link,
+        attempt_conn: AttemptConn,
         response: Response<Body>,
         latency_ms: u64,
         reusable: bool,
@@ -130,29 +137,37 @@
         head.headers = headers::without_hop_by_hop(&head.headers);
         let pool = self.context.pool.clone();
         let request_id = self.attributes.request_id.clone();
-        let held = Held { request_id, lease, conn: link.conn, pool, latency_ms, reusable };
+        let held = HeldResources {
+            request_id,
+            lease,
+            conn: attempt_conn.conn,
+            pool,
+            latency_ms,
+            reusable,
+        };
         Response::from_parts(head, LeaseBody::new(body, held).boxed_unsync())
     }
 
     async fn wait_for_head(
         &self,
         lease: &mut Lease,
-        link: &mut Link,
+        attempt_conn: &mut AttemptConn,
         request: Request<Body>,
-        late_ms: Option<u64>,
+        abandon_after_ms: Option<u64>,
     ) -> Result<Result<Response<Body>, SendError>, (Error, bool)> {
         let deadline = time::Instant::now() + Duration::from_millis(self.remaining_ms());
-        let sending = link.conn.send(request);
+        let sending = attempt_conn.conn.send(request);
         tokio::pin!(sending);
-        if let Some(late_ms) = late_ms {
-            let late = Duration::from_millis(late_ms);
+        if let Some(abandon_after_ms) = abandon_after_ms {
+            let late = Duration::from_millis(abandon_after_ms);
             if let Ok(sent) = time::timeout(late, &mut sending).await {
                 return Ok(sent);
             }
             if self.retries.try_take() {
                 // The others in the pool may have gone silent with this one.
                 self.context.pool.close_idle(lease.addr);
-                let detail = format!("no answer from {} within {late_ms} ms", lease.backend);
+                let detail =
+                    format!("no answer from {} within {abandon_after_ms} ms", lease.backend);
                 return Err((Error::new(ErrorKind::BackendLost, detail), true));
             }
         }
@@ -162,7 +177,7 @@
                 let detail = format!("no answer from {backend} in time");
                 (Error::new(ErrorKind::DeadlineAfterSend, detail), false)
             }),
-            () = lost(lease), if self.attributes.idempotent => {
+            () = dispatcher_lost(lease), if self.attributes.idempotent => {
                 lease.set_completion(Completion::Failed);
                 let detail = format!("{backend} has gone silent");
                 Err((Error::new(ErrorKind::BackendLost, detail), false))
@@ -170,13 +185,13 @@
         }
     }
 
-    async fn reuse_after_refusal(&self, lease: &Lease, link: Link, body: Body) {
-        if body.size_hint().upper().is_none_or(|length| length > REFUSAL_LIMIT_BYTES) {
+    async fn reuse_after_refusal(&self, lease: &Lease, attempt_conn: AttemptConn, body: Body) {
+        if body.size_hint().upper().is_none_or(|length| length > MAX_REFUSAL_BODY_BYTES) {
             return;
         }
-        let collected = body::collect(body, REFUSAL_LIMIT_BYTES as usize);
-        if let Ok(Ok(_)) = time::timeout(REFUSAL_WAIT, collected).await {
-            self.context.pool.put(lease.addr, link.conn);
+        let collected = body::collect(body, MAX_REFUSAL_BODY_BYTES as usize);
+        if let Ok(Ok(_)) = time::timeout(REFUSAL_BODY_TIMEOUT, collected).await {
+            self.context.pool.put(lease.addr, attempt_conn.conn);
         }
     }
 
@@ -186,11 +201,11 @@
     /// A server that refuses and closes is leaving. One that answers and closes a
     /// connection that has carried requests before may have counted enough of
     /// them; the next request goes on a new connection, whose first answer tells.
-    fn learn(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
+    fn update_backend_state(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
         if let Some(report) = headers::load_report(headers, self.context.clock.now()) {
             lease.record_load(report);
         }
-        if !headers::is_last(headers) {
+        if !headers::closes_connection(headers) {
             return false;
         }
         let (backend, start) = (lease.backend.clone(), lease.start);
@@ -206,7 +221,7 @@
 
 /// Waits until the dispatcher that the request was handed over to is taken for
 /// frozen.
-async fn lost(lease: &mut Lease) {
+async fn dispatcher_lost(lease: &mut Lease) {
     let Some(outgoing_hand_over) = &mut lease.outgoing_hand_over else {
         return std::future::pending().await;
     };
@@ -215,7 +230,7 @@
     }
 }
 
-fn watched(request: Request<Body>) -> (Request<Body>, Progress) {
+fn with_progress(request: Request<Body>) -> (Request<Body>, Progress) {
     let (head, body) = request.into_parts();
     let (body, progress) = body::with_progress(body);
     (Request::from_parts(head, body), progress)
