--- a/crates/azuregate/src/gateway/count_bytes.rs
+++ b/crates/azuregate/src/gateway/count_bytes.rs
@@ -6,12 +6,12 @@
 
 use crate::{body::Body, selector::ByteCounter};
 
-/// Counts the bytes of a request's body as they leave.
+/// Counts the bytes of a request body as they are sent.
 pub(crate) fn request_body(body: Body, counter: Option<&Arc<ByteCounter>>) -> Body {
     counted(body, counter, ByteCounter::add_request_bytes)
 }
 
-/// Counts the bytes of an answer's body as they arrive.
+/// Counts the bytes of a response body as they arrive.
 pub(crate) fn response_body(body: Body, counter: Option<&Arc<ByteCounter>>) -> Body {
     counted(body, counter, ByteCounter::add_response_bytes)
 }
--- a/crates/azuregate/src/gateway/entries_cache.rs
+++ b/crates/azuregate/src/gateway/entries_cache.rs
@@ -1,4 +1,4 @@
-//! Answers to entry look-ups, made once and handed out many times.
+//! Cache of responses to entry look-ups.
 
 use std::{
     collections::HashMap,
@@ -16,11 +16,11 @@
 
 use crate::gateway::GatewayContext;
 
-/// How long an answer is handed out. It names the time at which it was made, by
-/// which the homes of idempotency keys run out.
+/// Maximum age of a cached response. A response contains home tokens, which expire
+/// a fixed time after they were issued.
 const CACHE_TTL_MS: u64 = 1_000;
 
-/// The answers that were made from one list of instances.
+/// The responses built from one instance list.
 #[derive(Debug, Default)]
 pub(crate) struct EntriesCache {
     state: Mutex<CacheState>,
@@ -39,7 +39,7 @@
 }
 
 impl EntriesCache {
-    /// The answer for a caller, in JSON.
+    /// Returns the JSON response for a client, building it if it is not cached.
     pub(crate) fn get(
         &self,
         context: &GatewayContext,
@@ -56,7 +56,7 @@
         let json = Bytes::from(build(context, snapshot, service, &salt)?);
         let cached = CachedResponse { json: json.clone(), expires_at_ms: now_ms + CACHE_TTL_MS };
         let mut state = self.lock();
-        // Another request may have brought in a newer list meanwhile.
+        // A concurrent request may have switched to a newer list.
         if state.is_built_from(snapshot) {
             state.responses.insert(key, cached);
         }
@@ -65,8 +65,8 @@
 
     fn lookup(&self, snapshot: &Snapshot, key: &(ServiceName, u8), now_ms: u64) -> Option<Bytes> {
         let mut state = self.lock();
-        // An answer from an older list would send callers to an instance that
-        // is known to be gone.
+        // A response from an older list would direct clients to instances that are
+        // known to be gone.
         if !state.is_built_from(snapshot) {
             state.responses.clear();
             state.built_from = Some(Arc::clone(&snapshot.instances));
--- a/crates/azuregate/src/gateway/error_response.rs
+++ b/crates/azuregate/src/gateway/error_response.rs
@@ -1,14 +1,14 @@
-//! Answers that azuregate makes itself.
+//! HTTP responses for errors.
 
 use azuregate_core::error::{Error, ErrorKind};
 use hyper::{Response, StatusCode, header};
 
 use crate::body::{self, Body};
 
-/// Tells what the caller may conclude about its request.
+/// Header that states whether the request may have run.
 pub(crate) const OUTCOME: &str = "azuregate-outcome";
 
-/// The answer for an error, from the table of answers.
+/// Builds the response for an error.
 pub(crate) fn from_error(error: &Error) -> Response<Body> {
     let answer = error.kind().answer();
     let text = format!("{error}\n");
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a backend server, and again elsewhere where that is safe.
+//! Forwards a request to a backend server and retries it where that is safe.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,41 +16,41 @@
     selector::{IncomingHandOver, Lease, Selector, SlotRequest},
 };
 
-/// How often a request is tried at the most.
+/// Maximum number of attempts for a request.
 const MAX_ATTEMPTS: usize = 3;
 
-/// One request on its way to a backend server.
+/// Forwards one request.
 ///
-/// It owns what it needs, since a request with an idempotency key goes on when
-/// its caller has left.
+/// Owns its state, because a request with an idempotency key continues after its
+/// client disconnects.
 pub(crate) struct Forwarder {
     pub(crate) context: Arc<GatewayContext>,
     pub(crate) selector: Selector,
     pub(crate) retries: ServiceRetries,
     pub(crate) attributes: Attributes,
-    /// On the monotonic clock.
+    /// Deadline on the monotonic clock.
     pub(crate) deadline_ms: u64,
     pub(crate) queue_ms: u64,
-    /// Who handed the request over, if it is here on its second hop.
+    /// Set if another instance handed the request over.
     pub(crate) incoming_hand_over: Option<IncomingHandOver>,
 }
 
-/// A failed attempt, with the body if it can be sent again.
+/// A failed attempt, with the body if it can be resent.
 struct FailedAttempt {
     error: Error,
     payload: Option<Payload>,
-    /// Whether the retry was paid for already.
+    /// Whether the retry has already been charged to the budget.
     retry_charged: bool,
 }
 
-/// A connection for one attempt.
+/// The connection of one attempt.
 pub(crate) struct AttemptConn {
     pub(crate) conn: Box<dyn BackendConn>,
     pub(crate) pooled: bool,
 }
 
 impl Forwarder {
-    /// Runs the request, trying again where the table of answers allows it.
+    /// Forwards the request, retrying where the error kind allows it.
     pub(crate) async fn run(
         &self,
         head: &request::Parts,
@@ -67,8 +67,7 @@
             may_have_run |= failed.error.outcome() == Outcome::Unknown;
             let may_retry = self.may_retry(&failed, attempt);
             let Some(retry_payload) = failed.payload.filter(|_| may_retry) else {
-                // The last attempt may be refused as not run where an earlier one
-                // ran and lost its answer; the caller asks about the request.
+                // Even if the last attempt did not run, an earlier one may have.
                 let error = failed.error;
                 return Err(if may_have_run { error.with_earlier_unknown() } else { error });
             };
@@ -92,8 +91,8 @@
                 | ErrorKind::BackendRefused
                 | ErrorKind::ConnectFailed
         );
-        // A refusal costs a backend server next to nothing. What may have run
-        // costs it a whole request, so only those draw on the budget.
+        // A refusal costs a backend server little. Only retries of attempts that
+        // may have run are charged to the budget.
         at_backend
             && match kind.answer().retry {
                 Retry::Always => true,
@@ -143,7 +142,7 @@
         )
     }
 
-    /// Takes a slot of a backend server and a connection to it.
+    /// Acquires a slot of a backend server and a connection to it.
     async fn acquire_connection(
         &self,
         attempt: usize,
@@ -156,20 +155,22 @@
         Ok((lease, attempt_conn))
     }
 
-    /// Compares the clock before each effect and after each wait.
+    /// Fails once the deadline has passed.
     ///
-    /// The failure: the process is paused while it waits, for minutes as well,
-    /// and sends on waking a request that its caller has long given up. Nothing
-    /// is sent past the deadline, so a caller that waits that long knows.
+    /// Checked after each wait: otherwise a process that was paused would, on
+    /// resuming, send a request that its client has already given up.
     fn check_deadline(&self) -> Result<(), Error> {
         if self.remaining_ms() == 0 {
-            return Err(Error::new(ErrorKind::DeadlineBeforeSend, "no time left to send"));
+            return Err(Error::new(
+                ErrorKind::DeadlineBeforeSend,
+                "deadline reached before the request was sent",
+            ));
         }
         Ok(())
     }
 
-    /// A pooled connection for the first attempt, a new one for the others: what
-    /// made one connection to a server useless may have hit all of them.
+    /// Takes a pooled connection for the first attempt. Retries open a new one,
+    /// because the failure may affect all pooled connections to the server.
     async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<AttemptConn, Error> {
         if attempt == 1
             && let Some(pooled) = self.context.pool.take(lease.addr).await
@@ -186,19 +187,19 @@
             }
             Err(_) => {
                 lease.set_completion(Completion::Failed);
-                let detail = format!("no connection to {} in time", lease.backend);
+                let detail = format!("connecting to {} exceeded the deadline", lease.backend);
                 Err(Error::new(ErrorKind::DeadlineBeforeSend, detail))
             }
         }
     }
 
-    /// When this attempt is given up for another one; `None` for never.
+    /// Returns the time after which this attempt is abandoned and retried on a new
+    /// connection, or `None` if it waits for the deadline.
     ///
-    /// The failure: something between the two ends lost track of a connection, it
-    /// is silent for good, and a read on it would wait for its whole deadline
-    /// while new connections work. Only an idempotent request may be sent twice,
-    /// and only on a pooled connection is silence the likely cause.
-    /// A dispatcher is left out: a request may well wait in its queue.
+    /// A middlebox may silently drop the state of a pooled connection; without this
+    /// timeout, a request on it would wait for its whole deadline. Only idempotent
+    /// requests are resent. Hand-overs are excluded, because they may wait in the
+    /// dispatcher's queue.
     fn abandon_after_ms(
         &self,
         lease: &Lease,
--- a/crates/azuregate/src/gateway/hand_over.rs
+++ b/crates/azuregate/src/gateway/hand_over.rs
@@ -1,8 +1,8 @@
-//! Requests that one instance hands over to the dispatcher of a group.
+//! Headers of requests that one instance hands over to the dispatcher of a group.
 //!
-//! The sender sets [`HAND_OVER`]; the dispatcher serves the request from its own
-//! slots and queue, never by a second hop, and sends [`LOAD`] back with every
-//! answer.
+//! The sender sets [`HAND_OVER`]. The dispatcher serves the request from its own
+//! slots and queue, never hands it over again, and returns [`LOAD`] with every
+//! response.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -22,20 +22,20 @@
     selector::{IncomingHandOver, Lease, OutgoingHandOver},
 };
 
-/// Names the group that a request is handed over for, and how many milliseconds
-/// it may wait there: `sofia-a/0 150`.
+/// The group that the request is for, and its maximum queueing time in
+/// milliseconds: `sofia-a/0 150`.
 const HAND_OVER: &str = "azuregate-hand-over";
-/// The dispatcher's load, as [`GroupLoad`] is written.
+/// The dispatcher's load, in the text form of [`GroupLoad`].
 const LOAD: &str = "azuregate-load";
 
-/// Reads who handed a request over, and takes the mark off it.
+/// Removes and parses the [`HAND_OVER`] header of a request.
 ///
 /// # Errors
 ///
-/// When the mark is there and the caller is no listed instance. A caller could
-/// otherwise skip the claim of a keyed request and the policy. An instance that
-/// is not listed here yet is told that nothing ran, and goes elsewhere; taking
-/// its request for a caller's would claim its key a second time.
+/// Fails if the header is malformed, or if its sender is not a listed instance: a
+/// client could otherwise bypass the claim of a key and the policy. An instance
+/// that is not listed here yet is told that nothing ran and can retry elsewhere;
+/// treating its request as a client's would claim the key twice.
 pub(crate) fn read(
     headers: &mut HeaderMap,
     caller: SocketAddr,
@@ -46,7 +46,7 @@
     };
     let sender = snapshot.instances.iter().find(|instance| same_ip(instance.ip, caller.ip()));
     let Some(sender) = sender else {
-        let detail = format!("{caller} hands a request over and is no listed instance");
+        let detail = format!("{caller} sent a hand-over but is not a listed instance");
         return Err(Error::new(ErrorKind::NotReady, detail));
     };
     let parsed = value.to_str().ok().and_then(|value| {
@@ -54,13 +54,14 @@
         let (group, max_wait_ms) = (group.parse().ok()?, max_wait_ms.parse().ok()?);
         Some(IncomingHandOver { from: sender.id.clone(), group, max_wait_ms })
     });
-    let malformed = || Error::new(ErrorKind::BadRequest, "the hand-over names no group");
+    let malformed = || Error::new(ErrorKind::BadRequest, "malformed azuregate-hand-over header");
     parsed.map(Some).ok_or_else(malformed)
 }
 
-/// Marks a request that is handed over.
+/// Sets the [`HAND_OVER`] header on a request that is handed over, and removes it
+/// from others.
 pub(crate) fn set_header(headers: &mut HeaderMap, lease: &Lease) {
-    // A caller's own mark never goes on.
+    // Never forward a header that the client set.
     headers.remove(HAND_OVER);
     let Some(OutgoingHandOver { group, max_wait_ms, .. }) = &lease.outgoing_hand_over else {
         return;
@@ -70,7 +71,7 @@
     }
 }
 
-/// Puts the dispatcher's load on an answer that it hands back.
+/// Sets the [`LOAD`] header on a response to a handed-over request.
 pub(crate) fn set_load(headers: &mut HeaderMap, load: Option<GroupLoad>) {
     let load = load.and_then(|load| HeaderValue::from_str(&load.to_string()).ok());
     match load {
@@ -79,12 +80,12 @@
     };
 }
 
-/// Takes in an answer that a dispatcher handed back.
+/// Processes a dispatcher's response: records its load and checks its outcome.
 ///
 /// # Errors
 ///
-/// When the dispatcher says that the request did not run, which is trusted: it
-/// may be tried elsewhere.
+/// Fails if the dispatcher states that the request did not run; it can then be
+/// retried elsewhere.
 pub(crate) fn read_response(
     lease: &Lease,
     mut response: Response<Body>,
@@ -97,7 +98,7 @@
     if outcome.and_then(Outcome::parse) != Some(Outcome::NotRun) {
         return Ok(response);
     }
-    let detail = format!("{} did not run it: {}", lease.backend, response.status());
+    let detail = format!("{} did not run the request: {}", lease.backend, response.status());
     let after_s = response.headers().get(header::RETRY_AFTER);
     let after_s: Option<u64> = after_s.and_then(|after_s| after_s.to_str().ok()?.parse().ok());
     let error = Error::new(ErrorKind::BackendRefused, detail);
@@ -107,7 +108,8 @@
     })
 }
 
-/// An IPv4 caller of a socket that takes IPv6 too comes with a mapped number.
+/// Compares addresses, treating IPv4-mapped IPv6 addresses, as a dual-stack socket
+/// reports them, as IPv4.
 fn same_ip(listed: IpAddr, caller: IpAddr) -> bool {
     listed.to_canonical() == caller.to_canonical()
 }
--- a/crates/azuregate/src/gateway/headers.rs
+++ b/crates/azuregate/src/gateway/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that are read, set or left out on the way through.
+//! Headers of requests and responses that pass through the gateway.
 
 use azuregate_core::{route::LoadReport, time::Millis};
 use hyper::{
@@ -12,10 +12,10 @@
 const BACKEND_OUTCOME: &str = "backend-outcome";
 /// The value of [`BACKEND_OUTCOME`] for a refusal.
 const NOT_RUN: &str = "not-run";
-/// A backend server's requests in progress and slots, as `2/3`.
+/// A backend server's requests in progress and its slots, as `2/3`.
 const BACKEND_LOAD: &str = "backend-load";
 
-/// Headers that belong to one connection (RFC 9110, section 7.6.1).
+/// Hop-by-hop headers (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -25,24 +25,24 @@
     header::UPGRADE,
 ];
 
-/// Whether a backend server says that it did not run the request.
+/// Returns whether the backend server stated that it did not run the request.
 pub(crate) fn is_refusal(headers: &HeaderMap) -> bool {
     let outcome = headers.get(BACKEND_OUTCOME);
     outcome.is_some_and(|outcome| outcome.as_bytes() == NOT_RUN.as_bytes())
 }
 
-/// What a backend server says of its load.
+/// Parses the load that a backend server reported.
 pub(crate) fn load_report(headers: &HeaderMap, at_ms: Millis) -> Option<LoadReport> {
     let (in_use, slots) = headers.get(BACKEND_LOAD)?.to_str().ok()?.split_once('/')?;
     Some(LoadReport { in_use: in_use.parse().ok()?, slots: slots.parse().ok()?, at_ms })
 }
 
-/// Whether the connection ends with this answer.
+/// Returns whether the connection closes after this response.
 pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option == "close")
 }
 
-/// The headers that go on to the next connection.
+/// Returns the headers to forward.
 pub(crate) fn without_hop_by_hop(headers: &HeaderMap) -> HeaderMap {
     let mut kept = headers.clone();
     for name in connection_options(headers) {
--- a/crates/azuregate/src/gateway/keyed_request.rs
+++ b/crates/azuregate/src/gateway/keyed_request.rs
@@ -24,7 +24,7 @@
     },
 };
 
-/// A request with its key and, if the caller named one, the home of the key.
+/// A request with its idempotency key and, if the client named one, the key's home.
 pub(crate) struct KeyedRequest {
     pub(crate) forwarder: Forwarder,
     pub(crate) key: String,
@@ -34,10 +34,9 @@
 impl KeyedRequest {
     /// Runs the request at most once.
     ///
-    /// It runs on when its caller leaves: a caller whose connection broke sends
-    /// the same key again, and finds the answer that was kept meanwhile. A
-    /// cancelled request would leave it with `unknown` for good. A planned stop
-    /// waits for all that `tasks` tracks, callers or not.
+    /// Continues after the client disconnects, so that a retry with the same key
+    /// finds the stored response; if the request were cancelled, its outcome would
+    /// stay unknown. A planned stop waits for all requests in `tasks`.
     pub(crate) async fn run(
         self,
         tasks: &TaskTracker,
@@ -86,10 +85,10 @@
     }
 }
 
-/// Passes a request on to the home of its key.
+/// Forwards a request to the home of its key.
 ///
-/// The home runs it at most once whatever happens here, so a failure is safe to
-/// repeat, but says nothing of what ran.
+/// The home runs it at most once, so the client can safely retry after a failure.
+/// A failure does not tell whether the request ran.
 async fn forward_to_home(
     context: &Arc<GatewayContext>,
     home: &HomeToken,
@@ -98,7 +97,7 @@
     remaining_ms: u64,
 ) -> Result<Response<Body>, Error> {
     if head.headers.contains_key(HOME_HOP) {
-        let detail = format!("{home} was sought here by another instance");
+        let detail = format!("another instance forwarded a request for {home} here");
         return Err(Error::new(ErrorKind::HomeGone, detail));
     }
     let snapshot = context.snapshots.current();
@@ -118,10 +117,10 @@
         Ok(home_response(response, conn, deadline))
     };
     let exchanged = time::timeout_at(deadline, exchange).await;
-    exchanged.unwrap_or_else(|_| Err(failed("no answer in time".to_owned())))
+    exchanged.unwrap_or_else(|_| Err(failed("no response within the deadline".to_owned())))
 }
 
-/// The home's answer as it is, its outcome included: it is one of our own.
+/// Returns the home's response unchanged, including its outcome header.
 fn home_response(
     response: Response<Body>,
     conn: Box<dyn BackendConn>,
@@ -129,7 +128,7 @@
 ) -> Response<Body> {
     let (mut head, body) = response.into_parts();
     head.headers = headers::without_hop_by_hop(&head.headers);
-    // The connection closes when it is dropped, so it lives as long as the body.
+    // Dropping the connection closes it, so it must live as long as the body.
     let body = body.map_frame(move |frame| {
         let _ = &conn;
         frame
--- a/crates/azuregate/src/gateway/lease_body.rs
+++ b/crates/azuregate/src/gateway/lease_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, which gives back the slot and the connection.
+//! A response body that releases its slot and connection when it ends.
 
 use std::{
     pin::Pin,
@@ -18,19 +18,18 @@
     selector::Lease,
 };
 
-/// Streams an answer to the caller.
+/// Streams a response to the client.
 ///
-/// The connection goes back to the pool only when the answer was read to its
-/// end. One that was dropped on the way has unread bytes of this answer, which
-/// the next request on it would take for its own.
+/// The connection returns to the pool only after the whole response was read;
+/// otherwise the next request on it would read the rest of this response.
 pub(crate) struct LeaseBody {
     inner: Body,
     held: Option<HeldResources>,
 }
 
-/// What an answer holds until its end.
+/// The resources held until the response ends.
 pub(crate) struct HeldResources {
-    /// Names the request in the log.
+    /// Identifies the request in logs.
     pub(crate) request_id: String,
     pub(crate) lease: Lease,
     pub(crate) conn: Box<dyn BackendConn>,
@@ -62,7 +61,7 @@
         }
     }
 
-    /// Ends the answer with an error. Dropping the connection closes it.
+    /// Ends the response with an error, and closes the connection by dropping it.
     fn abort(&mut self, detail: &str) -> Error {
         let error = Error::new(ErrorKind::AnswerCut, detail);
         if let Some(mut held) = self.held.take() {
@@ -85,8 +84,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        // An answer cut short ends the caller's answer with an error, never with
-        // a clean end: the caller would take the part for the whole.
+        // A truncated response must end with an error: after a clean end, the
+        // client would take it for complete.
         match Pin::new(&mut self.inner).poll_frame(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -1,5 +1,5 @@
 /*!
-Serves callers: which entry instances to use, and requests for services.
+HTTP gateway: answers entry look-ups and forwards requests to backend servers.
 */
 
 mod count_bytes;
@@ -46,44 +46,45 @@
 
 pub use request::Attributes;
 
-/// The path that answers which entry instances to use.
+/// Path of entry look-ups.
 const ENTRIES_PATH: &str = "/v1/entries";
 
-/// What the gateway works with.
+/// The state and handles that a gateway uses.
 pub struct GatewayContext {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The configuration in force.
+    /// Publishes the configuration in force.
     pub snapshots: Snapshots,
-    /// Takes in what backend servers say of themselves.
+    /// Receives state changes that backend servers announce in responses.
     pub config: Config,
     /// The clock.
     pub clock: SharedClock,
     /// Opens connections to backend servers.
     pub dialer: SharedDialer,
-    /// Keeps idle connections to backend servers.
+    /// Idle connections to backend servers.
     pub pool: Pool,
-    /// Lets keyed requests run at most once.
+    /// Claims of idempotency keys.
     pub claims: Claims,
-    /// Choose backend servers.
+    /// Selects backend servers.
     pub selectors: Selectors,
-    /// Takes in latencies and outcomes.
+    /// Records latencies and outcomes.
     pub recorder: Recorder,
 }
 
-/// Serves callers; shared between their connections.
+/// Handles client requests; shared by all client connections.
 pub struct Gateway {
     context: Arc<GatewayContext>,
     entries_cache: EntriesCache,
     retries: RetriesByService,
-    /// Requests with a key, which run on when their callers leave.
+    /// Requests with an idempotency key; they continue after their client
+    /// disconnects.
     keyed_requests: TaskTracker,
 }
 
 impl Gateway {
-    /// Makes a gateway.
+    /// Creates a gateway.
     pub fn new(context: GatewayContext) -> Gateway {
         let (entries_cache, retries) = (EntriesCache::default(), RetriesByService::default());
         Gateway {
@@ -94,15 +95,15 @@
         }
     }
 
-    /// Waits for the requests whose callers have left, and for what the platform
-    /// is to keep of them.
+    /// Waits until all keyed requests have completed, including those whose client
+    /// disconnected, and then for [`Claims::finish`].
     pub async fn finish(&self) {
         self.keyed_requests.close();
         self.keyed_requests.wait().await;
         self.context.claims.finish().await;
     }
 
-    /// Answers one request of the caller at `caller`.
+    /// Handles one request from the client at address `caller`.
     pub async fn handle(&self, mut request: Request<Body>, caller: SocketAddr) -> Response<Body> {
         let started_ms = self.context.clock.now();
         let snapshot = self.context.snapshots.current();
@@ -176,11 +177,11 @@
         snapshot: &Snapshot,
         incoming_hand_over: Option<IncomingHandOver>,
     ) -> Result<Response<Body>, Error> {
-        // The claim of a request that was handed over was made by the instance
-        // that its caller chose.
+        // The instance that handed a request over has already claimed its key.
         let key = attributes.idempotency_key.clone().filter(|_| incoming_hand_over.is_none());
         let keyed = key.is_some();
-        // A request with a key is refused here before its claim was read.
+        // The claim has not been read, so an earlier request with this key may
+        // have run.
         let refuse = |e: Error| if keyed { e.with_earlier_unknown() } else { e };
         if !snapshot.ready {
             let error = Error::new(ErrorKind::NotReady, "no configuration in force yet");
--- a/crates/azuregate/src/gateway/payload.rs
+++ b/crates/azuregate/src/gateway/payload.rs
@@ -1,4 +1,4 @@
-//! The body of a request, kept for another attempt where it is small.
+//! Request bodies; small ones are buffered for retries.
 
 use std::time::Duration;
 
@@ -12,29 +12,27 @@
 
 use crate::body::{self, Body};
 
-/// The largest body that is held in memory, in bytes.
-///
-/// A request that a backend server refused can go elsewhere only with its body.
-/// Orders and holds are far smaller; uploads are larger, and stream.
+/// Size up to which a body is buffered. A refused request can be retried only if
+/// its body is available; larger bodies are streamed.
 const MAX_BUFFERED_BYTES: u64 = 64 << 10;
 
-/// A body on its way to a backend server.
+/// The body of a request.
 #[derive(Debug)]
 pub(crate) enum Payload {
-    /// Held in memory; can be sent again.
+    /// In memory; can be resent.
     Buffered(Bytes),
-    /// Streams; can be sent once.
+    /// Streamed from the client; can be sent once.
     Streaming(Body),
 }
 
 impl Payload {
-    /// Reads a small body whole; leaves a large one, or one of unknown length,
-    /// to stream.
+    /// Buffers a small body; leaves a large one, or one of unknown length, to be
+    /// streamed.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BodyIncomplete`] when a small body does not come whole within
-    /// `timeout_ms`. Nothing has been sent, so this is known not to have run.
+    /// [`ErrorKind::BodyIncomplete`] if a small body is not complete within
+    /// `timeout_ms`. Nothing has been sent to a backend server.
     pub(crate) async fn read(body: Body, timeout_ms: u64) -> Result<Payload, Error> {
         let length = body.size_hint().upper();
         if length.is_none_or(|length| length > MAX_BUFFERED_BYTES) {
@@ -44,12 +42,14 @@
         let incomplete = |detail: String| Error::new(ErrorKind::BodyIncomplete, detail);
         match time::timeout(Duration::from_millis(timeout_ms), collected).await {
             Ok(Ok(bytes)) => Ok(Payload::Buffered(bytes)),
-            Ok(Err(e)) => Err(incomplete(format!("the request's body broke off: {e}"))),
-            Err(_) => Err(incomplete(format!("no whole body within {timeout_ms} ms"))),
+            Ok(Err(e)) => Err(incomplete(format!("the request body ended early: {e}"))),
+            Err(_) => {
+                Err(incomplete(format!("the request body was incomplete after {timeout_ms} ms")))
+            }
         }
     }
 
-    /// Its length in bytes, as far as that is known.
+    /// Returns the length in bytes, or a lower bound if it is unknown.
     pub(crate) fn body_bytes(&self) -> u64 {
         match self {
             Payload::Buffered(bytes) => bytes.len() as u64,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The body to send, and what is left for another attempt.
+    /// Returns the body to send and, if it is buffered, a copy for a retry.
     pub(crate) fn into_body(self) -> (Body, Option<Payload>) {
         match self {
             Payload::Buffered(bytes) => (body::full(bytes.clone()), Some(Payload::Buffered(bytes))),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Hash of the whole request, from the one of its head.
+    /// Returns the hash of the whole request, given the hash of its head.
     pub(crate) fn fingerprint(&self, head_hash: u64) -> u64 {
         let digest = match self {
             Payload::Buffered(bytes) => BodyDigest::Whole(bytes),
--- a/crates/azuregate/src/gateway/request.rs
+++ b/crates/azuregate/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself in its head.
+//! Request attributes, parsed from the request head.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,57 +12,55 @@
 
 use crate::{body::Body, metrics::RequestClass};
 
-/// Names the request, so that its repeats are recognised.
+/// Identifies the request across retries.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// How long the caller waits, in milliseconds.
+/// The client's timeout, in milliseconds.
 pub(crate) const TIMEOUT_MS: &str = "azuregate-timeout-ms";
-/// Names the request in logs here and at the backend server.
+/// Identifies the request in logs here and on the backend server.
 pub(crate) const REQUEST_ID: &str = "azuregate-request-id";
-/// Names the instance and start that alone may run the request of the key.
+/// Home token: the only instance and start that may run the request with this key.
 pub(crate) const HOME: &str = "azuregate-home";
-/// Set by an instance that passes a request to the home of its key.
+/// Set by an instance that forwards a request to the home of its key.
 pub(crate) const HOME_HOP: &str = "azuregate-home-hop";
 
-/// Names the tenant, for the histograms.
+/// The tenant, for the histograms.
 pub(crate) const TENANT: &str = "azuregate-tenant";
 
-/// The longest name of a tenant, in bytes.
 const MAX_TENANT_BYTES: usize = 63;
-/// The longest idempotency key that is taken, in bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// The longest time that a caller may ask for, in milliseconds.
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// What the request path needs to know of a request.
+/// The attributes of a request that routing, claims and metrics use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Attributes {
     /// The service, from the Host header.
     pub service: ServiceName,
-    /// The caller's key, if it set one.
+    /// The idempotency key, if the client set one.
     pub idempotency_key: Option<String>,
-    /// The home of the key, if the caller named one.
+    /// The home of the key, if the client named one.
     pub home: Option<HomeToken>,
-    /// The caller's time limit, if it set one.
+    /// The client's timeout in milliseconds, if it set one.
     pub timeout_ms: Option<u64>,
-    /// On whose behalf the request is, if the caller says so.
+    /// The tenant, if the client named one.
     pub tenant: Option<TenantName>,
-    /// Names the request in logs.
+    /// Identifies the request in logs.
     pub request_id: String,
-    /// Hash of service, method and path; the body joins it later.
+    /// Hash of service, method and path; the body is added by
+    /// `Payload::fingerprint`.
     pub fingerprint: u64,
-    /// Which histogram it counts in.
+    /// The histogram that the request is recorded in.
     pub class: RequestClass,
-    /// Whether it may run twice: its method is idempotent, and it has no key. A
-    /// key promises at most once, whatever the method.
+    /// Whether it may run more than once: its method is idempotent and it has no
+    /// key. A request with a key runs at most once, whatever its method.
     pub idempotent: bool,
 }
 
 impl Attributes {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadRequest`], saying which header is wrong and why.
+    /// [`ErrorKind::BadRequest`], naming the invalid header.
     pub fn read(request: &Request<Body>) -> Result<Attributes, Error> {
         let headers = request.headers();
         let service = service_of_host(request)?;
@@ -90,7 +88,7 @@
     }
 }
 
-/// The service of a query such as `service=starter-desk`.
+/// Parses the service from a query such as `service=starter-desk`.
 pub(crate) fn service_of_query(query: &str) -> Result<ServiceName, Error> {
     let value = query.split('&').find_map(|pair| pair.strip_prefix("service="));
     let Some(value) = value.filter(|value| !value.is_empty()) else {
--- a/crates/azuregate/src/gateway/retries.rs
+++ b/crates/azuregate/src/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! What the requests of one service share about retries.
+//! Retry state shared by the requests of a service.
 
 use std::{
     collections::HashMap,
@@ -7,7 +7,7 @@
 
 use azuregate_core::{late::UsualTime, names::ServiceName, retry::RetryBudget};
 
-/// The retries of one service; cheap to clone.
+/// Retry budget and response times of one service; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceRetries {
     budget: Arc<RetryBudget>,
@@ -15,35 +15,36 @@
 }
 
 impl ServiceRetries {
-    /// Counts one request.
+    /// Counts one new request towards the budget.
     pub(crate) fn deposit(&self) {
         self.budget.deposit();
     }
 
-    /// Takes one retry, if the budget has one.
+    /// Withdraws one retry from the budget; returns whether there was one.
     pub(crate) fn try_take(&self) -> bool {
         self.budget.try_take()
     }
 
-    /// Takes in how long the head of an answer took.
+    /// Records the time to the response head, in milliseconds.
     pub(crate) fn record(&self, taken_ms: u64) {
         self.response_time.lock().unwrap_or_else(PoisonError::into_inner).record(taken_ms);
     }
 
-    /// After how many milliseconds the head of an answer is late.
+    /// Returns the time in milliseconds after which a response head is late, or
+    /// `None` before the first response.
     pub(crate) fn late_after_ms(&self) -> Option<u64> {
         self.response_time.lock().unwrap_or_else(PoisonError::into_inner).late_after_ms()
     }
 }
 
-/// The retries of all services.
+/// The retry state of all services.
 #[derive(Debug, Default)]
 pub(crate) struct RetriesByService {
     services: Mutex<HashMap<ServiceName, ServiceRetries>>,
 }
 
 impl RetriesByService {
-    /// The retries of one service.
+    /// Returns the retry state of a service.
     pub(crate) fn get(&self, service: &ServiceName) -> ServiceRetries {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         services.entry(service.clone()).or_default().clone()
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend server, or with a dispatcher.
+//! One attempt: the exchange with a backend server or a dispatcher.
 
 use std::time::Duration;
 
@@ -25,14 +25,13 @@
     selector::Lease,
 };
 
-/// The largest body of a refusal that is read so that its connection stays of
-/// use, in bytes.
+/// Size up to which the body of a refusal is read so that its connection can be
+/// reused.
 const MAX_REFUSAL_BODY_BYTES: u64 = 4 << 10;
-/// How long such a body may take.
 const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
 impl Forwarder {
-    /// The request as the other end gets it.
+    /// Builds the request to send.
     pub(crate) fn outgoing(
         &self,
         lease: &Lease,
@@ -42,7 +41,7 @@
         let mut request =
             Request::new(count_bytes::request_body(body, lease.byte_counter.as_ref()));
         *request.method_mut() = head.method.clone();
-        // Backend servers take the path alone, with the service in Host.
+        // Backend servers expect an origin-form target, with the service in Host.
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         *request.uri_mut() = path.parse().unwrap_or_default();
         *request.headers_mut() = headers::without_hop_by_hop(&head.headers);
@@ -50,14 +49,15 @@
         if let Ok(id) = HeaderValue::from_str(&self.attributes.request_id) {
             headers.insert(REQUEST_ID, id);
         }
-        // The answer needs the way back: work that ends later is wasted.
+        // Leave time for the response to travel back; work that ends later is wasted.
         let left_ms = self.remaining_ms().saturating_sub(lease.delay_ms).max(1);
         headers.insert(TIMEOUT_MS, HeaderValue::from(left_ms));
         hand_over::set_header(headers, lease);
         request
     }
 
-    /// Sends a request; a failure says whether its retry was paid for.
+    /// Sends a request. The flag of a failure states whether its retry has already
+    /// been charged to the budget.
     pub(crate) async fn send(
         &self,
         mut lease: Lease,
@@ -74,8 +74,8 @@
             Ok(Ok(response)) => response,
             Ok(Err(e)) => {
                 let error = send_error(&lease, &e, &progress);
-                // A caller that breaks off says nothing of the server: taken for
-                // a failure, it would lower a limit or pass over a dispatcher.
+                // A client's disconnect is not a failure of the server. Counting it
+                // would lower the server's limit or exclude a working dispatcher.
                 if error.kind() != ErrorKind::CallerLost {
                     lease.set_completion(Completion::Failed);
                 }
@@ -99,9 +99,8 @@
         }
         self.retries.record(latency_ms);
         let closing = self.update_backend_state(&lease, attempt_conn.pooled, response.headers());
-        // An answer that came before the request was sent whole leaves the rest
-        // of the request on the connection, where the backend server may take it
-        // for the next one.
+        // If the response came before the whole request was sent, the server may
+        // take the rest of the request for the next one.
         let reusable = !closing && progress.is_complete();
         if headers::is_refusal(response.headers()) {
             lease.set_completion(Completion::Refused);
@@ -113,13 +112,13 @@
         }
         let mut response =
             self.streaming_response(lease, attempt_conn, response, latency_ms, reusable);
-        // Only azuregate itself says what became of a request.
+        // Only azuregate itself sets this header.
         response.headers_mut().remove(OUTCOME);
         Ok(response)
     }
 
-    /// The answer for the caller, which holds the slot and the connection to its
-    /// end.
+    /// Returns the response for the client; its body holds the slot and the
+    /// connection until it ends.
     fn streaming_response(
         &self,
         lease: Lease,
@@ -164,22 +163,22 @@
                 return Ok(sent);
             }
             if self.retries.try_take() {
-                // The others in the pool may have gone silent with this one.
+                // Other pooled connections may be dead as well.
                 self.context.pool.close_idle(lease.addr);
                 let detail =
-                    format!("no answer from {} within {abandon_after_ms} ms", lease.backend);
+                    format!("no response from {} within {abandon_after_ms} ms", lease.backend);
                 return Err((Error::new(ErrorKind::BackendLost, detail), true));
             }
         }
         let backend = lease.backend.clone();
         tokio::select! {
             sent = time::timeout_at(deadline, sending) => sent.map_err(|_| {
-                let detail = format!("no answer from {backend} in time");
+                let detail = format!("no response from {backend} within the deadline");
                 (Error::new(ErrorKind::DeadlineAfterSend, detail), false)
             }),
             () = dispatcher_lost(lease), if self.attributes.idempotent => {
                 lease.set_completion(Completion::Failed);
-                let detail = format!("{backend} has gone silent");
+                let detail = format!("dispatcher {backend} stopped responding");
                 Err((Error::new(ErrorKind::BackendLost, detail), false))
             }
         }
@@ -195,12 +194,12 @@
         }
     }
 
-    /// Takes in what the answer says of its server; returns whether it closes the
-    /// connection.
+    /// Records the load and the state that the response headers report; returns
+    /// whether the server closes the connection.
     ///
-    /// A server that refuses and closes is leaving. One that answers and closes a
-    /// connection that has carried requests before may have counted enough of
-    /// them; the next request goes on a new connection, whose first answer tells.
+    /// A server that refuses a request and closes is leaving. A server that closes
+    /// a reused connection may only limit the requests per connection; the first
+    /// response on a new connection tells the two apart.
     fn update_backend_state(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
         if let Some(report) = headers::load_report(headers, self.context.clock.now()) {
             lease.record_load(report);
@@ -219,8 +218,8 @@
     }
 }
 
-/// Waits until the dispatcher that the request was handed over to is taken for
-/// frozen.
+/// Waits until the dispatcher that the request was handed over to is considered
+/// unresponsive.
 async fn dispatcher_lost(lease: &mut Lease) {
     let Some(outgoing_hand_over) = &mut lease.outgoing_hand_over else {
         return std::future::pending().await;
