--- a/crates/azuregate/src/selector/byte_counter.rs
+++ b/crates/azuregate/src/selector/byte_counter.rs
@@ -1,8 +1,8 @@
-//! Counts the bytes that pass over a link between regions.
+//! Byte counts of links between regions.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Bytes since the start, each way; the bodies count, the selector reads.
+/// Bytes transferred over a link since the start, in each direction.
 #[derive(Debug, Default)]
 pub struct ByteCounter {
     request_bytes: AtomicU64,
@@ -10,17 +10,17 @@
 }
 
 impl ByteCounter {
-    /// Counts bytes of requests.
+    /// Adds bytes of request bodies.
     pub fn add_request_bytes(&self, bytes: usize) {
         self.request_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Counts bytes of answers.
+    /// Adds bytes of response bodies.
     pub fn add_response_bytes(&self, bytes: usize) {
         self.response_bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Both counts: requests, answers.
+    /// Returns the totals of request and response bytes.
     pub fn totals(&self) -> (u64, u64) {
         (self.request_bytes.load(Ordering::Relaxed), self.response_bytes.load(Ordering::Relaxed))
     }
--- a/crates/azuregate/src/selector/lease.rs
+++ b/crates/azuregate/src/selector/lease.rs
@@ -1,4 +1,4 @@
-//! A slot that a request holds, here or at another dispatcher.
+//! Leases of backend slots and of hand-overs.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,21 +15,21 @@
 
 use crate::selector::{ByteCounter, SlotRequest};
 
-/// A slot of a backend server, or the right to hand a request over; given back
-/// when dropped.
+/// A slot of a backend server, or a hand-over to another dispatcher. Released on
+/// drop.
 #[derive(Debug)]
 pub struct Lease {
-    /// The server; for a hand-over, the name of the other instance.
+    /// The server, or the instance that the request is handed over to.
     pub backend: BackendId,
-    /// Its start number when it was chosen.
+    /// Start number of the server when it was selected.
     pub start: StartNumber,
-    /// Where it takes requests.
+    /// Address to send the request to.
     pub addr: SocketAddr,
-    /// One-way delay from here to there, in milliseconds.
+    /// One-way network delay, in milliseconds.
     pub delay_ms: u64,
-    /// Where the request is handed over to, if it is.
+    /// Set if the request is to be handed over.
     pub outgoing_hand_over: Option<OutgoingHandOver>,
-    /// Counts the bytes, where they cross a link between regions.
+    /// Counts the bytes transferred, if they cross a link between regions.
     pub byte_counter: Option<Arc<ByteCounter>>,
     pub(super) resource: LeasedResource,
     pub(super) completion: Completion,
@@ -41,23 +41,23 @@
 pub struct OutgoingHandOver {
     /// The group that it dispatches for.
     pub group: GroupId,
-    /// How long the request may wait there.
+    /// Maximum time in the dispatcher's queue, in milliseconds.
     pub max_wait_ms: u64,
-    /// Fires when the dispatcher is taken for frozen.
+    /// Completes when the dispatcher is considered unresponsive.
     pub lost: oneshot::Receiver<()>,
 }
 
-/// What is given back.
+/// What a lease releases.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum LeasedResource {
     Slot(Slot),
     HandOver { hand_over: HandOver, ticket: u64 },
 }
 
-/// Answers one that wanted a slot.
+/// Where the result of a slot request is sent.
 pub(super) type Reply = oneshot::Sender<Result<Lease, Error>>;
 
-/// What the task that owns the slots is asked.
+/// A message to the selector's task.
 #[derive(Debug)]
 pub(super) enum Message {
     Acquire { ticket: u64, request: SlotRequest, reply: Reply },
@@ -69,29 +69,28 @@
 }
 
 impl Lease {
-    /// Records how the request ended; the slot goes back when the lease is
-    /// dropped.
+    /// Sets how the request completed; reported when the lease is dropped.
     pub fn set_completion(&mut self, completion: Completion) {
         self.completion = completion;
     }
 
-    /// Records that the answer was cut short.
+    /// Records that the response was truncated.
     ///
-    /// An answer of a dispatcher that is cut is most likely one that its backend
-    /// server cut: the dispatcher itself had answered.
+    /// For a hand-over this is not counted as a failure of the dispatcher, which
+    /// had responded: most likely its backend server truncated the response.
     pub fn set_truncated(&mut self) {
         let is_handed_over = self.outgoing_hand_over.is_some();
         self.completion = if is_handed_over { Completion::Cancelled } else { Completion::Failed };
     }
 
-    /// Passes on what the server said of its load.
+    /// Records the load that the server reported.
     pub fn record_load(&self, report: LoadReport) {
         if let LeasedResource::Slot(slot) = self.resource {
             let _ = self.sender.send(Message::RecordLoad { slot, report });
         }
     }
 
-    /// Passes on what the other dispatcher said of its group.
+    /// Records the load that the other dispatcher reported for its group.
     pub fn record_group_load(&self, load: GroupLoad) {
         if let LeasedResource::HandOver { hand_over, .. } = self.resource {
             let _ = self.sender.send(Message::RecordGroupLoad { hand_over, load });
@@ -101,7 +100,7 @@
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        // The selector is gone only when the instance is.
+        // Sending fails only once the selector's task has ended.
         let _ = self
             .sender
             .send(Message::Release { resource: self.resource, completion: self.completion });
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -1,6 +1,6 @@
 /*!
-Selectors: for each service one task owns the slots of its backend servers, the
-queues and what other instances say of theirs.
+Selects backend servers. For each service, one task owns the slots of its backend
+servers, the queues and the loads reported by other instances.
 */
 
 mod byte_counter;
@@ -38,10 +38,10 @@
 pub use byte_counter::ByteCounter;
 pub use lease::{Lease, OutgoingHandOver};
 
-/// How often the queues and the updates to other instances are looked at.
+/// Interval at which queues are checked and load updates are sent.
 const TICK_MS: u64 = 50;
 
-/// What selectors work with.
+/// The state and handles that selectors use.
 #[derive(Clone)]
 pub struct SelectorContext {
     /// This instance.
@@ -50,41 +50,41 @@
     pub zone: ZoneName,
     /// Its start number.
     pub start: StartNumber,
-    /// How backend servers are chosen.
+    /// How backend servers are selected.
     pub routing_mode: RoutingMode,
     /// The clock.
     pub clock: SharedClock,
-    /// The configuration in force.
+    /// Publishes the configuration in force.
     pub snapshots: Snapshots,
-    /// Loads of groups, to and from other instances.
+    /// Exchanges loads of groups with other instances.
     pub exchange: LoadExchange,
-    /// When to look at the queues.
+    /// Provides the ticks.
     pub timer: Timer,
 }
 
-/// A request that wants a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
 pub struct SlotRequest {
-    /// How long it may wait for one.
+    /// Maximum time to wait for a slot, in milliseconds.
     pub max_wait_ms: u64,
-    /// How long its caller waits for the answer.
+    /// Time until its deadline, in milliseconds.
     pub remaining_ms: u64,
-    /// The length of its body, as far as it is known.
+    /// Length of its body in bytes, as far as it is known.
     pub body_bytes: u64,
-    /// Whether it may be sent twice.
+    /// Whether it may be sent more than once.
     pub idempotent: bool,
-    /// Who handed it over, if it is here on its second hop.
+    /// Set if another instance handed it over.
     pub incoming_hand_over: Option<IncomingHandOver>,
 }
 
 /// A request that another instance handed over.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct IncomingHandOver {
-    /// The other instance.
+    /// The instance that handed it over.
     pub from: InstanceId,
     /// The group that it is for.
     pub group: GroupId,
-    /// How long it may wait for a slot.
+    /// Maximum time to wait for a slot, in milliseconds.
     pub max_wait_ms: u64,
 }
 
@@ -122,30 +122,31 @@
         Selector { sender }
     }
 
-    /// Takes a slot, here or at the dispatcher of another group.
+    /// Acquires a slot here, or a hand-over to another dispatcher.
     ///
     /// # Errors
     ///
-    /// All mean that nothing was sent: no server may serve, the queue is full,
-    /// or the wait was or would be too long.
+    /// Fails if no server is available, the queue is full, or the wait was or would
+    /// be too long. Nothing has been sent in any of these cases.
     pub async fn acquire(&self, request: SlotRequest) -> Result<Lease, Error> {
         let stopped = || Error::new(ErrorKind::Stopping, "the instance is stopping");
         let wait = Duration::from_millis(request.max_wait_ms);
         let (reply, mut answer) = oneshot::channel();
         let ticket = task::next_ticket();
         self.sender.send(Message::Acquire { ticket, request, reply }).map_err(|_| stopped())?;
-        // A caller that leaves while it waits leaves the queue as well.
+        // Dropping this future removes the request from the queue.
         let mut cancel_on_drop = CancelOnDrop { ticket, sender: Some(&self.sender) };
         if let Ok(answer) = time::timeout(wait, &mut answer).await {
             cancel_on_drop.sender = None;
             return answer.map_err(|_| stopped())?;
         }
-        // A slot may be on its way: the task settles which came first.
+        // A slot may have been assigned meanwhile; the task replies either way.
         drop(cancel_on_drop);
         answer.await.map_err(|_| stopped())?
     }
 
-    /// The load of a group, for the instance that handed a request over.
+    /// Returns the load of a group, to report to the instance that handed a request
+    /// over.
     pub async fn load_for(&self, incoming_hand_over: &IncomingHandOver) -> Option<GroupLoad> {
         let (reply, answer) = oneshot::channel();
         let (to, group) = (incoming_hand_over.from.clone(), incoming_hand_over.group.clone());
@@ -154,7 +155,7 @@
     }
 }
 
-/// Gives up a place in the queue when dropped, unless the sender was taken out.
+/// Removes a request from the queue when dropped, unless `sender` was cleared.
 struct CancelOnDrop<'a> {
     ticket: u64,
     sender: Option<&'a mpsc::UnboundedSender<Message>>,
@@ -168,21 +169,21 @@
     }
 }
 
-/// The selectors of all services, started when they are first asked for.
+/// The selectors of all services, started on first use.
 ///
-/// Looking one up takes no lock: a request must not wait for another.
+/// Look-ups are lock-free, so that requests never block each other.
 pub struct Selectors {
     context: SelectorContext,
     by_service: ArcSwap<HashMap<ServiceName, Selector>>,
 }
 
 impl Selectors {
-    /// Makes the collection; no selector is started yet.
+    /// Creates an empty collection.
     pub fn new(context: SelectorContext) -> Selectors {
         Selectors { context, by_service: ArcSwap::default() }
     }
 
-    /// The selector of a service.
+    /// Returns the selector of a service, starting it if necessary.
     pub fn get(&self, service: &ServiceName) -> Selector {
         if let Some(selector) = self.by_service.load().get(service) {
             return selector.clone();
@@ -193,8 +194,8 @@
             selectors.entry(service.clone()).or_insert_with(|| started.clone());
             selectors
         });
-        // Two requests may have started one each. The first to be entered stays;
-        // the other ends with its handle.
+        // Two requests may race to start one. The first inserted is kept; the other
+        // ends when its handle is dropped.
         self.by_service.load().get(service).cloned().unwrap_or(started)
     }
 }
--- a/crates/azuregate/src/selector/reply.rs
+++ b/crates/azuregate/src/selector/reply.rs
@@ -1,4 +1,4 @@
-//! Answers those that wanted a slot.
+//! Replies to slot requests.
 
 use std::sync::Arc;
 
--- a/crates/azuregate/src/selector/task.rs
+++ b/crates/azuregate/src/selector/task.rs
@@ -1,4 +1,4 @@
-//! The task that owns one service's dispatch.
+//! The task that owns the dispatch state of a service.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -32,7 +32,7 @@
     timer::Tick,
 };
 
-/// Names one request in one queue.
+/// Returns a process-wide unique identifier of a slot request.
 pub(super) fn next_ticket() -> u64 {
     static NEXT: AtomicU64 = AtomicU64::new(0);
     NEXT.fetch_add(1, Ordering::Relaxed)
@@ -180,8 +180,8 @@
         self.serve_all_waiting();
     }
 
-    /// Tells the requests in progress there, so that those that may be sent
-    /// again need not wait for their deadline.
+    /// Notifies the requests handed over to `peer`, so that idempotent ones are
+    /// retried without waiting for their deadline.
     fn notify_dispatcher_lost(&mut self, peer: usize) {
         let lost: Vec<u64> = self
             .pending_hand_overs
@@ -195,7 +195,7 @@
         log::warn!(
             service:% = self.service, instance:% = self.dispatch.peer_id(peer),
             requests = lost.len();
-            "a dispatcher has gone silent"
+            "dispatcher stopped responding"
         );
         for ticket in lost {
             if let Some(pending) = self.pending_hand_overs.remove(&ticket) {
@@ -305,8 +305,7 @@
         while let Some((waiting, slot)) = self.dispatch.serve_waiting(group, now_ms, &mut self.rng)
         {
             match self.waiting.remove(&waiting.ticket) {
-                // A caller that left meanwhile drops the lease, which gives it
-                // back.
+                // If the requester is gone, dropping the lease releases the slot.
                 Some(reply) => self.reply_slot(reply, slot),
                 None => self.dispatch.release(&slot, Completion::Cancelled, now_ms),
             }
@@ -326,7 +325,7 @@
     }
 }
 
-/// The error that a caller sees.
+/// Converts a refusal to the error for the client.
 fn refusal_error(refusal: Refusal) -> Error {
     Error::new(refusal.kind, refusal.reason).with_retry_after_ms(refusal.retry_after_ms)
 }
