--- a/crates/azuregate/src/dispatch/load_exchange.rs
+++ b/crates/azuregate/src/dispatch/load_exchange.rs
@@ -1,5 +1,4 @@
-//! Carries the loads of groups between selectors and the links to other
-//! instances.
+//! Channels for the loads of groups between selectors and peer links.
 
 use azuregate_core::{
     names::{InstanceId, ServiceName},
@@ -7,13 +6,14 @@
 };
 use tokio::sync::broadcast;
 
-/// How many updates may wait for a slow reader before it misses the oldest.
+/// Number of updates buffered for a slow receiver before it misses the oldest.
 const CHANNEL_CAPACITY: usize = 1_024;
 
-/// The load of a group, on its way between its dispatcher and one neighbour.
+/// The load of a group, sent between its dispatcher and a neighbour.
 #[derive(Clone, Debug)]
 pub struct LoadUpdate {
-    /// The other instance: where it goes, or where it came from.
+    /// The neighbour: the destination of an outgoing update, the source of an
+    /// incoming one.
     pub peer: InstanceId,
     /// The service.
     pub service: ServiceName,
@@ -23,7 +23,7 @@
     pub load: GroupLoad,
 }
 
-/// Both directions; cheap to clone.
+/// Load updates to and from neighbours; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct LoadExchange {
     outgoing: broadcast::Sender<LoadUpdate>,
@@ -39,38 +39,39 @@
 }
 
 impl LoadExchange {
-    /// Sends an update to a neighbour, if there is a link to it.
+    /// Sends an update to a neighbour; dropped if there is no link to it.
     pub fn send(&self, update: LoadUpdate) {
         let _ = self.outgoing.send(update);
     }
 
-    /// Passes on an update that came from a neighbour.
+    /// Delivers an update that a neighbour sent to the selectors.
     pub fn receive(&self, update: LoadUpdate) {
         let _ = self.incoming.send(update);
     }
 
-    /// All updates for neighbours; a link picks those for its own.
+    /// Subscribes to the updates for all neighbours; a link filters those for its
+    /// own.
     pub fn outgoing(&self) -> LoadUpdates {
         LoadUpdates { receiver: self.outgoing.subscribe() }
     }
 
-    /// All updates from neighbours; a selector picks those for its service.
+    /// Subscribes to the updates from all neighbours; a selector filters those for
+    /// its service.
     pub fn incoming(&self) -> LoadUpdates {
         LoadUpdates { receiver: self.incoming.subscribe() }
     }
 }
 
-/// Receives updates.
+/// A subscription to load updates.
 #[derive(Debug)]
 pub struct LoadUpdates {
     receiver: broadcast::Receiver<LoadUpdate>,
 }
 
 impl LoadUpdates {
-    /// Waits for the next update; `None` when nobody can send one any more.
-    /// Dropping the future loses no update.
+    /// Waits for the next update; returns `None` once all senders are dropped.
     ///
-    /// A reader that was too slow misses the oldest updates: newer ones follow.
+    /// Cancel safe. A receiver that falls behind misses the oldest updates.
     pub async fn recv(&mut self) -> Option<LoadUpdate> {
         loop {
             match self.receiver.recv().await {
--- a/crates/azuregate/src/dispatch/mod.rs
+++ b/crates/azuregate/src/dispatch/mod.rs
@@ -1,5 +1,5 @@
 /*!
-How instances share the choice of backend servers among themselves.
+How instances divide the selection of backend servers among themselves.
 */
 
 mod load_exchange;
--- a/crates/azuregate/src/dispatch/routing_mode.rs
+++ b/crates/azuregate/src/dispatch/routing_mode.rs
@@ -1,30 +1,30 @@
-//! Who chooses a backend server, and by which rule.
+//! Which instance selects a backend server, and by which algorithm.
 
 use std::{fmt, sync::Arc};
 
 use azuregate_core::route::{Nearest, Router};
 
-/// Makes a router for a service.
+/// Creates the router of a service.
 pub type RouterFactory = Arc<dyn Fn() -> Box<dyn Router> + Send + Sync>;
 
-/// The rule of an instance.
+/// How an instance selects backend servers.
 #[derive(Clone)]
 pub enum RoutingMode {
     /// One instance dispatches for each group of servers.
     Dispatch,
-    /// This instance chooses alone, among all servers of a service.
+    /// Every instance selects among all servers of a service on its own.
     Independent(RouterFactory),
 }
 
 impl RoutingMode {
-    /// This instance chooses alone, by nearness.
+    /// Returns the independent mode with the nearest-first router.
     pub fn nearest() -> RoutingMode {
         RoutingMode::Independent(Arc::new(|| Box::new(Nearest::default())))
     }
 }
 
 impl Default for RoutingMode {
-    /// The rule that ships.
+    /// Returns the production mode.
     fn default() -> RoutingMode {
         RoutingMode::Dispatch
     }
