--- a/crates/azuregate/tests/dispatch/hand_over.rs
+++ b/crates/azuregate/tests/dispatch/hand_over.rs
@@ -1,5 +1,5 @@
-//! What callers see of dispatchers in all conditions, and what may be handed
-//! over at all.
+//! Hand-overs: responses to clients for each dispatcher state, and validation of
+//! incoming hand-overs.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -23,13 +23,12 @@
     response.headers().get("azuregate-outcome").map_or("-", |value| value.to_str().unwrap())
 }
 
-/// State of the dispatcher, method, status, outcome, calls of the dispatcher and
-/// of the backend server from here.
+/// Dispatcher state, method, expected status and outcome, and the number of requests
+/// that reach the dispatcher and, directly, the backend server.
 type Case = (Host, &'static str, u16, &'static str, usize, usize);
 
-// The request goes to the dispatcher of the only server's group. What the
-// dispatcher did not run may be tried again, there or, when it is dead, from
-// here; what it may have run only when the method is idempotent.
+// A request that the dispatcher did not run is retried there or, if the dispatcher is
+// dead, sent directly; one that may have run is retried only if it is idempotent.
 #[tokio::test]
 async fn the_state_of_the_dispatcher_decides_what_the_caller_sees() {
     let cases: &[Case] = &[
@@ -54,9 +53,8 @@
     }
 }
 
-// The dispatcher is frozen: it took the request and says nothing more, though it
-// had spoken by frames. A read is sent again from here within a second or so; a
-// write waits for its deadline, since it may have run.
+// The dispatcher freezes after it has sent load updates. A read is retried directly
+// within about a second; a write may have run, so it waits for its deadline.
 #[tokio::test]
 async fn a_frozen_dispatcher_holds_no_read_until_its_deadline() {
     for (method, status) in [("GET", 200), ("POST", 504)] {
@@ -72,8 +70,8 @@
     }
 }
 
-// The frozen dispatcher never spoke by frames, so its silence says nothing. Its
-// link finds it away a little later; the read is sent again from here.
+// The frozen dispatcher never sent load updates, so their absence shows nothing. The
+// read is retried directly once the peer link reports the instance as away.
 #[tokio::test]
 async fn a_dispatcher_that_its_link_finds_away_holds_no_read() {
     let world = World::start(Host::Frozen).await;
@@ -85,9 +83,9 @@
     assert_eq!((world.net.calls(peer()), world.net.calls(server())), (1, 1));
 }
 
-// A caller breaks off in the middle of an upload that was handed over, and an
-// answer is cut that the dispatcher had begun. Neither says that the dispatcher
-// is gone; passing it over would make two instances dispatch for one group.
+// Neither a client that aborts a handed-over upload nor a truncated response is a
+// failure of the dispatcher. If it were excluded, two instances would dispatch for
+// one group.
 #[tokio::test]
 async fn a_caller_that_breaks_off_and_a_cut_answer_pass_nobody_over() {
     let world = World::start(Host::Answers).await;
@@ -104,7 +102,6 @@
     assert_eq!((world.net.calls(peer()), world.net.calls(server())), (3, 0));
 }
 
-// A dispatcher that is back is used again, after one request that asked.
 #[tokio::test]
 async fn a_dispatcher_that_is_back_is_used_again() {
     let world = World::start(Host::Dead).await;
@@ -135,8 +132,7 @@
     world.gateway.handle(request, from).await.map(|_| ())
 }
 
-// A caller sets the header of a hand-over, to get past the claim of its key. It
-// is refused before anything is sent, and may send the request without it.
+// A client that forges the header would bypass the claim of its key.
 #[tokio::test]
 async fn a_forged_hand_over_is_refused() {
     let world = World::start(Host::Answers).await;
@@ -146,10 +142,8 @@
     assert!(world.net.state().calls.is_empty());
 }
 
-// The other instance hands over a request for a group that it dispatches itself,
-// as far as this one knows: their lists differ. It is served from here; going
-// back, it could go round for ever. Its key was claimed by the other instance,
-// so this one needs no platform.
+// The instance lists differ: this instance considers the sender the dispatcher of the
+// group. Handing the request back could loop. The sender has claimed the key.
 #[tokio::test]
 async fn a_hand_over_makes_no_second_hop_and_no_second_claim() {
     let world = World::start(Host::Answers).await;
--- a/crates/azuregate/tests/dispatch/main.rs
+++ b/crates/azuregate/tests/dispatch/main.rs
@@ -1,4 +1,4 @@
-//! Requests that are handed over between instances, over a small fake network.
+//! Requests that are handed over between instances, on a simulated network.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
--- a/crates/azuregate/tests/dispatch/net.rs
+++ b/crates/azuregate/tests/dispatch/net.rs
@@ -1,4 +1,4 @@
-//! A network without sockets: what stands at each address, and who called it.
+//! A simulated network: the host at each address and the requests that it received.
 
 use std::{
     collections::HashMap,
@@ -17,26 +17,26 @@
 use http_body_util::{BodyExt, StreamBody};
 use hyper::{HeaderMap, Request, Response, body::Frame};
 
-/// What stands at an address.
+/// The behaviour of the host at an address.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Host {
-    /// Answers whatever it is asked.
+    /// Responds to every request.
     Answers,
-    /// Refuses as a dispatcher does whose queue is full.
+    /// Refuses requests like a dispatcher whose queue is full.
     NotRun,
-    /// Answers as a dispatcher does that cannot tell whether the request ran.
+    /// Responds like a dispatcher that cannot tell whether the request ran.
     Unknown,
-    /// No connection can be opened.
+    /// Refuses connections.
     Dead,
-    /// Takes requests and never answers.
+    /// Accepts requests and never responds.
     Frozen,
-    /// Takes a request and breaks the connection.
+    /// Accepts a request and closes the connection.
     Cut,
-    /// Breaks the connection in the body of its answer.
+    /// Closes the connection in the middle of the response body.
     CutsAnswers,
 }
 
-/// The network; cheap to clone.
+/// A simulated network; cheap to clone.
 #[derive(Clone, Default)]
 pub(crate) struct Net {
     state: Arc<Mutex<State>>,
@@ -45,7 +45,7 @@
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) hosts: HashMap<SocketAddr, Host>,
-    /// Every request that reached a host.
+    /// The requests received, with the address of the receiver.
     pub(crate) calls: Vec<(SocketAddr, HeaderMap)>,
 }
 
@@ -58,7 +58,7 @@
         self.state().hosts.insert(addr, host);
     }
 
-    /// How many requests reached the host at `addr`.
+    /// Returns the number of requests that the host at `addr` received.
     pub(crate) fn calls(&self, addr: SocketAddr) -> usize {
         self.state().calls.iter().filter(|(called, _)| *called == addr).count()
     }
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -1,4 +1,4 @@
-//! One gateway, the other instances and one backend server on a fake network.
+//! A gateway, another instance and a backend server on a simulated network.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -27,17 +27,17 @@
 
 use crate::net::{Host, Net};
 
-/// The backend server; it is in the other instance's availability zone.
+/// Address of the backend server, which is in the other instance's zone.
 pub(crate) fn server() -> SocketAddr {
     "127.0.0.9:1".parse().unwrap()
 }
 
-/// The other instance, which dispatches for the server's group.
+/// Address of the other instance, which dispatches for the server's group.
 pub(crate) fn peer() -> SocketAddr {
     "127.0.0.2:1".parse().unwrap()
 }
 
-/// A caller that is no instance.
+/// Address of a client, which is not an instance.
 pub(crate) fn caller() -> SocketAddr {
     "127.0.0.77:5".parse().unwrap()
 }
@@ -96,12 +96,12 @@
         self.gateway.handle(request, caller()).await
     }
 
-    /// The link to the other instance has found it away.
+    /// Reports the other instance as away.
     pub(crate) fn peer_is_away(&self) {
         self.config.change(Change::Away([InstanceId::new("entry-2")].into()));
     }
 
-    /// A frame of the dispatcher about the server's group.
+    /// Delivers a load update of the dispatcher for the server's group.
     pub(crate) fn frame(&self, free: u32) {
         let load = GroupLoad { free, slots: 3, service_ms: 20, ..GroupLoad::default() };
         let service = ServiceName::new("svc");
@@ -142,7 +142,7 @@
     config.change(Change::Confirmed);
 }
 
-/// A platform that is down: nothing here may need it.
+/// A platform that is down; no test here may depend on it.
 struct Down;
 
 fn down<T>() -> Result<T> {
