--- a/crates/azuregate/src/backend/http.rs
+++ b/crates/azuregate/src/backend/http.rs
@@ -16,10 +16,10 @@
     body::Body,
 };
 
-/// Dials backend servers by TCP, from this instance's own IP number.
+/// Opens TCP connections to backend servers from this instance's IP address.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpDialer {
-    /// The IP number that connections come from.
+    /// Source address of the connections.
     pub ip: IpAddr,
 }
 
@@ -32,7 +32,6 @@
         stream.set_nodelay(true)?;
         let (sender, conn) =
             http1::handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
-        // The task owns the socket.
         tokio::spawn(async move {
             if let Err(e) = conn.await {
                 log::debug!(addr:% = addr, error:% = e; "backend connection ended");
@@ -42,8 +41,8 @@
     }
 }
 
-/// Dropped, or with its exchange given up, it lets hyper's task close the socket:
-/// the only cancellation that a backend server sees.
+/// Dropping it, or the future of its request, makes hyper close the socket, which
+/// cancels the request on the backend server.
 struct HttpConn {
     sender: http1::SendRequest<Body>,
 }
@@ -57,8 +56,8 @@
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response.map(|body| body.map_err(Into::into).boxed_unsync())),
             Err(mut e) => {
-                // hyper hands the request back only while it is still queued. Once
-                // its task took it, even before the first write, it does not.
+                // hyper returns the request only if it was still queued. Otherwise
+                // bytes of it may have been written.
                 let queued = e.take_message().is_some();
                 let e = e.into_error();
                 let cause = match () {
--- a/crates/azuregate/src/backend/mod.rs
+++ b/crates/azuregate/src/backend/mod.rs
@@ -1,5 +1,5 @@
 /*!
-The border to backend servers: connections that carry one request at a time.
+Connections to backend servers. A connection carries one request at a time.
 */
 
 mod http;
@@ -25,42 +25,42 @@
     ///
     /// # Errors
     ///
-    /// When the connection cannot be opened; no byte of a request has left.
+    /// Fails if the connection cannot be opened; nothing has been sent.
     async fn dial(&self, addr: SocketAddr) -> io::Result<Box<dyn BackendConn>>;
 }
 
 /// One connection to a backend server.
 #[async_trait]
 pub trait BackendConn: Send {
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// Says whether any byte of the request may have left. The connection is of
-    /// no more use.
+    /// The cause states whether any byte of the request may have been sent. The
+    /// connection must not be used again.
     async fn send(&mut self, request: Request<Body>) -> Result<Response<Body>, SendError>;
 
-    /// Whether another request may be sent: the last answer was read to its end
-    /// and the backend server has not closed.
+    /// Returns whether another request can be sent: the last response was read
+    /// completely and the server has not closed the connection.
     fn is_idle(&self) -> bool;
 }
 
-/// A request that got no answer on its connection.
+/// A request that received no response.
 #[derive(Debug)]
 pub struct SendError {
-    /// What is known of the request.
+    /// How far the request got.
     pub cause: SendCause,
-    /// What happened.
+    /// The error message.
     pub detail: String,
 }
 
-/// What is known of a request that got no answer.
+/// How far a request without a response got.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum SendCause {
-    /// No byte of it left for the backend server.
+    /// No byte of it was sent.
     NotSent,
-    /// Bytes of it may have left, and then the connection broke.
+    /// The connection broke after bytes of it may have been sent.
     Lost,
-    /// Bytes of it may have left, and what came back is not HTTP.
+    /// Bytes of it may have been sent, and the response is not valid HTTP.
     Invalid,
 }
--- a/crates/azuregate/src/backend/pool.rs
+++ b/crates/azuregate/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to backend servers, kept for reuse.
+//! A pool of idle connections to backend servers.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,14 +9,12 @@
 
 use crate::{backend::BackendConn, clock::SharedClock};
 
-/// How long an idle connection is trusted without a sign of life.
+/// Time after which an idle connection is no longer reused.
 ///
-/// A connection can go silent for good while new ones work. A request on it
-/// would wait for its whole deadline. One that answered within the last second
-/// is very likely still alive, and a new one costs about a millisecond.
+/// A connection can silently die while idle, and a request on it would wait for its
+/// whole deadline.
 const MAX_IDLE_MS: u64 = 1_000;
 
-/// How many idle connections are kept for each backend server.
 const MAX_IDLE_PER_SERVER: usize = 16;
 
 /// A handle to the pool's task; cheap to clone.
@@ -25,7 +23,7 @@
     sender: mpsc::UnboundedSender<Message>,
 }
 
-/// A connection out of the pool.
+/// A connection taken from the pool.
 pub struct PooledConn {
     /// The connection.
     pub conn: Box<dyn BackendConn>,
@@ -50,19 +48,21 @@
         Pool { sender }
     }
 
-    /// Takes an idle connection that answered within the last second.
+    /// Takes an idle connection, if there is one that was used within the last
+    /// second.
     pub async fn take(&self, addr: SocketAddr) -> Option<PooledConn> {
         let (reply, answer) = oneshot::channel();
         self.sender.send(Message::Take { addr, reply }).ok()?;
         answer.await.ok()?
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Returns a connection to the pool. Its last response must have been read
+    /// completely.
     pub fn put(&self, addr: SocketAddr, conn: Box<dyn BackendConn>) {
         let _ = self.sender.send(Message::Put { addr, conn });
     }
 
-    /// Closes the idle connections to a backend server that is leaving.
+    /// Closes the idle connections to a backend server.
     pub fn close_idle(&self, addr: SocketAddr) {
         let _ = self.sender.send(Message::CloseIdle { addr });
     }
@@ -95,7 +95,7 @@
     while let Some(idle) = connections.pop_back() {
         let fresh = now_ms.saturating_sub(idle.since_ms) <= MAX_IDLE_MS;
         if !fresh {
-            // All others are older.
+            // The remaining connections are older.
             connections.clear();
             return None;
         }
