--- a/crates/azuregate/src/body.rs
+++ b/crates/azuregate/src/body.rs
@@ -1,4 +1,4 @@
-//! The body type that all parts of the request path share.
+//! The body type of requests and responses, and adapters for it.
 
 use std::{
     pin::Pin,
@@ -14,18 +14,18 @@
 use hyper::body::{Body as HttpBody, Frame, SizeHint};
 use tokio::time::{self, Instant, Sleep};
 
-/// What can go wrong while a body streams.
+/// An error while a body is streamed.
 pub type BodyError = Box<dyn std::error::Error + Send + Sync>;
 
-/// A body of a request or an answer.
+/// The body of a request or a response.
 pub type Body = UnsyncBoxBody<Bytes, BodyError>;
 
-/// A body without bytes.
+/// Returns an empty body.
 pub fn empty() -> Body {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body held in memory.
+/// Returns a body that is held in memory.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -34,9 +34,9 @@
 ///
 /// # Errors
 ///
-/// When it is longer than `limit_bytes` or ends early.
-// Not `http_body_util::Limited`: over a body with a boxed error, the compiler
-// cannot prove that a future which holds it may move between threads.
+/// Fails if the body is longer than `limit_bytes` or ends early.
+// `http_body_util::Limited` cannot be used here: over a body with a boxed error, the
+// compiler cannot prove that the future is `Send`.
 pub async fn collect(mut body: Body, limit_bytes: usize) -> Result<Bytes, BodyError> {
     let mut collected = BytesMut::new();
     while let Some(frame) = body.frame().await {
@@ -49,7 +49,7 @@
     Ok(collected.freeze())
 }
 
-/// How far a body has got on its way out; shared with the one who sent it.
+/// The transmission state of a body; shared with its sender.
 #[derive(Clone, Debug)]
 pub struct Progress(Arc<AtomicU8>);
 
@@ -58,19 +58,18 @@
 const FAILED: u8 = 2;
 
 impl Progress {
-    /// Whether the whole body was taken.
+    /// Returns whether the whole body was read.
     pub fn is_complete(&self) -> bool {
         self.0.load(Ordering::Acquire) == COMPLETE
     }
 
-    /// Whether the body itself failed: its sender is at fault, and not the
-    /// receiver.
+    /// Returns whether the body itself failed, as opposed to its receiver.
     pub fn has_failed(&self) -> bool {
         self.0.load(Ordering::Acquire) == FAILED
     }
 }
 
-/// Watches how far `inner` gets.
+/// Tracks the transmission of `inner`.
 pub fn with_progress(inner: Body) -> (Body, Progress) {
     let state = if inner.is_end_stream() { COMPLETE } else { IN_PROGRESS };
     let progress = Progress(Arc::new(AtomicU8::new(state)));
@@ -112,10 +111,10 @@
     }
 }
 
-/// Ends `inner` with an error if it is not whole by `deadline`.
+/// Ends `inner` with an error if it is not complete by `deadline`.
 ///
-/// The failure: a sender stalls in the middle of its body, and whoever reads it
-/// holds a slot, a connection and a caller for good.
+/// Without a deadline, a sender that stalls would occupy a slot and two connections
+/// indefinitely.
 pub fn with_deadline(inner: Body, deadline: Instant) -> Body {
     let expiry = Box::pin(time::sleep_until(deadline));
     DeadlineBody { inner, expiry }.boxed_unsync()
@@ -136,7 +135,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let polled = Pin::new(&mut self.inner).poll_frame(cx);
         if polled.is_pending() && self.expiry.as_mut().poll(cx).is_ready() {
-            return Poll::Ready(Some(Err("the body was not whole by the deadline".into())));
+            return Poll::Ready(Some(Err("the body was incomplete at the deadline".into())));
         }
         polled
     }
