--- a/crates/azuregate/src/traffic.rs
+++ b/crates/azuregate/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Serves the traffic port, and stops serving it without cutting anything off.
+//! HTTP server of the traffic port, with graceful shutdown.
 
 use std::{convert::Infallible, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -26,27 +26,27 @@
     stop::Stop,
 };
 
-/// What serves callers.
+/// The HTTP server for clients.
 pub struct TrafficServer {
-    /// Answers requests.
+    /// Handles the requests.
     pub gateway: Arc<Gateway>,
-    /// Spreads that the instance stops.
+    /// Announces to peers that the instance stops.
     pub config: Config,
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its start number.
     pub start: StartNumber,
-    /// Tells when to stop.
+    /// Signals a planned stop.
     pub stop: Stop,
 }
 
 impl TrafficServer {
-    /// Serves until the planned stop has ended.
+    /// Serves until a planned stop has completed.
     ///
-    /// The order of a planned stop: the peers are told, so that no instance names
-    /// this one any more; callers that keep an older answer are served for
-    /// `stop_delay_ms`; only then does the port close, and what is in progress is
-    /// finished. Closing the port first would cut those callers off.
+    /// A planned stop first tells the peers, so that no instance directs clients
+    /// here any more, and continues to serve for `stop_delay_ms`, because clients
+    /// may still use cached entry look-ups. Then it closes the port and finishes
+    /// the requests in progress.
     pub async fn serve(self, listener: TcpListener, stop_delay_ms: u64) {
         let graceful = GracefulShutdown::new();
         let stopped = self.wait_for_stop(stop_delay_ms);
@@ -59,8 +59,7 @@
                 () = &mut stopped => break,
             }
         }
-        // Connections that the system has accepted already belong to callers;
-        // dropping the listener would reset them.
+        // Dropping the listener would reset connections in its accept queue.
         while let Some(Ok((stream, caller))) = listener.accept().now_or_never() {
             self.spawn_connection(&graceful, stream, caller);
         }
@@ -105,8 +104,8 @@
     Box::pin(async move {
         let mut response = gateway.handle(request, caller).await;
         if stop.is_stopping() {
-            // A connection that is kept would be closed later, perhaps just as
-            // the caller sends its next request.
+            // A connection that is kept alive would be closed later, possibly while
+            // the client sends its next request.
             let close = HeaderValue::from_static("close");
             response.headers_mut().insert(header::CONNECTION, close);
         }
