--- a/crates/azuregate/tests/outcomes/answers.rs
+++ b/crates/azuregate/tests/outcomes/answers.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer.
+//! The table that maps error kinds to responses.
 
 use std::fmt::Write;
 
@@ -26,9 +26,8 @@
     }
 }
 
-// A caller lost the answer to an order that ran and sends it again. The second
-// sending is refused before its claim is read; "not-run" would make the caller
-// order anew under another key.
+// A retry of a request that ran is refused before its claim is read. If the outcome
+// were "not-run", the client would send the request again under another key.
 #[test]
 fn a_refusal_before_the_claim_was_read_is_unknown() {
     let error = Error::new(ErrorKind::ClaimNotMade, "down");
--- a/crates/azuregate/tests/outcomes/attempts.rs
+++ b/crates/azuregate/tests/outcomes/attempts.rs
@@ -1,4 +1,4 @@
-//! What several attempts at one request add up to.
+//! The outcome of a request with several attempts.
 
 use azuregate::body;
 
@@ -7,9 +7,8 @@
     world::{Border, World, get, post},
 };
 
-// A read runs at a backend server that dies before its answer. It is tried
-// again, since it is idempotent, and the others refuse it as not run. The caller
-// asks what became of its request: it ran once, whatever the last attempt says.
+// One attempt runs and loses its response, the others are refused. The request may
+// have run, whatever the last attempt reports.
 #[tokio::test]
 async fn an_attempt_that_may_have_run_outweighs_later_refusals() {
     use Step::{CutBeforeAnswer, Refused};
@@ -21,7 +20,7 @@
     ];
     for (steps, outcome, ran) in table {
         let world = World::start(Border::Real, Script::new(steps)).await;
-        // Fill the retry budget, so that it does not end the attempts.
+        // Fill the retry budget, so that it does not limit the attempts.
         for _ in 0..20 {
             world.warm_up().await;
         }
--- a/crates/azuregate/tests/outcomes/bodies.rs
+++ b/crates/azuregate/tests/outcomes/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies that are small, large, cut short or given up, both ways.
+//! Request and response bodies: small, large, truncated and cancelled.
 
 use std::{
     sync::{
@@ -23,7 +23,7 @@
 const FRAME_BYTES: usize = 64 << 10;
 const UPLOAD_FRAMES: usize = 800;
 
-/// A body of so many frames; counts the frames that were taken from it.
+/// Returns a body of `frames` frames that counts the frames read from it.
 fn upload(frames: usize, taken: &Arc<AtomicUsize>) -> Body {
     let taken = Arc::clone(taken);
     let frames = stream::iter(0..frames).map(move |_| {
@@ -39,7 +39,7 @@
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
 
-/// An upload that tells its length, as a body from a connection does.
+/// Returns an upload with a known length, like a body received from a connection.
 fn put(length: usize, inner: Body) -> hyper::Request<Body> {
     let body = Sized { inner, length: length as u64 }.boxed_unsync();
     let builder = post("/photos").header("content-length", length);
@@ -55,10 +55,9 @@
     assert_eq!(taken.load(Ordering::SeqCst), UPLOAD_FRAMES);
 }
 
-// The backend server takes the head of an upload of 50 MB and reads no further.
-// The instance must stop taking the body from the caller; if it went on, it
-// would hold the whole of it. What fits the sockets' buffers may be taken. Then
-// the caller leaves, and the backend server must see the end of it.
+// Backpressure: while the backend server does not read, the instance must not read
+// more of the body than fits the socket buffers. When the client disconnects, the
+// connection to the backend server must close.
 #[tokio::test]
 async fn an_upload_is_not_held_in_memory_while_the_backend_server_reads_nothing() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -83,8 +82,8 @@
     assert!(received < UPLOAD_FRAMES * FRAME_BYTES / 4, "{received} bytes arrived");
 }
 
-// The caller's connection breaks in its body. A small body never left for a
-// backend server, and that is said; a large one had left in part.
+// The client's connection breaks in the body. A small body was never sent to a
+// backend server; a large one was sent in part.
 #[tokio::test]
 async fn a_body_that_ends_early_is_told_apart_by_what_had_left() {
     let world = World::start(Border::Real, Script::new(&[])).await;
@@ -122,8 +121,8 @@
     }
 }
 
-// A busy server refuses a write as not run. A small body is at hand and goes
-// elsewhere; an upload has gone by, and its caller is told to come back.
+// A refused write with a buffered body is retried; a streamed upload cannot be, and
+// its client is told when to retry.
 #[tokio::test]
 async fn a_refused_write_goes_elsewhere_if_its_body_is_at_hand() {
     let world = World::start(Border::Real, Script::new(&[Step::Refused])).await;
@@ -135,8 +134,8 @@
     assert_eq!((seen.retry_after.as_str(), world.script.state().ran), ("1", 0));
 }
 
-// The caller leaves while the backend server works. The only cancellation that
-// a backend server sees is its connection closing.
+// When the client disconnects, the connection to the backend server must close: it is
+// the only cancellation that the server sees.
 #[tokio::test]
 async fn a_caller_that_leaves_cancels_the_work() {
     for border in [Border::Real, Border::Fake] {
@@ -150,8 +149,8 @@
     }
 }
 
-// The same while the answer streams: its rest is unread, and the next request on
-// the connection would take it for its own answer.
+// The client disconnects while the response streams. A reused connection would
+// deliver the rest of that response to the next request.
 #[tokio::test]
 async fn a_caller_that_leaves_in_the_answer_cancels_the_rest() {
     let world = World::start(Border::Real, Script::new(&[Step::StallInAnswer])).await;
@@ -165,8 +164,8 @@
     assert_eq!(world.script.state().opened, 2);
 }
 
-// The caller of an order loses its connection while the order runs, and sends it
-// again. The order must have run on, so that the repeat finds its answer.
+// A keyed request must continue after its client disconnects, so that a retry finds
+// the stored response.
 #[tokio::test]
 async fn an_order_runs_on_when_its_caller_leaves() {
     for home in [false, true] {
--- a/crates/azuregate/tests/outcomes/border.rs
+++ b/crates/azuregate/tests/outcomes/border.rs
@@ -1,5 +1,5 @@
-//! The contract of the border to backend servers, by fault, method and key. The
-//! real adapter and the fake give the same table.
+//! The contract of the backend adapter, by fault, method and key. The real adapter
+//! and the fake must produce the same table.
 
 use std::fmt::Write;
 
@@ -11,7 +11,7 @@
     world::{Border, Seen, World, get, order, post},
 };
 
-/// What is sent.
+/// The request to send.
 #[derive(Clone, Copy, Debug)]
 enum Sent {
     Get,
@@ -23,7 +23,7 @@
 
 const SENT: [Sent; 5] = [Sent::Get, Sent::Post, Sent::KeyedRow, Sent::KeyedHome, Sent::KeyedPut];
 
-/// What the server does to the first request; it answers all later ones.
+/// The server's behaviour for the first request; later ones succeed.
 const FIRST: [Step; 11] = [
     Step::Ok,
     Step::Slow,
@@ -76,8 +76,8 @@
     }
 }
 
-/// For each fault: one request with a first and, if it has a key, a second
-/// sending.
+/// Sends each request under each fault, keyed requests twice, and returns the
+/// results.
 async fn table(border: Border) -> String {
     let mut table = String::new();
     for step in FIRST {
--- a/crates/azuregate/tests/outcomes/claims.rs
+++ b/crates/azuregate/tests/outcomes/claims.rs
@@ -1,4 +1,4 @@
-//! Orders with a key whose claim is a row of the platform.
+//! Keyed requests whose claim is a row in the platform.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
     world::{Border, Seen, World, eventually, order, post},
 };
 
-/// One row: what the platform and the backend server do to the first sending,
-/// and what the first and, some time later, the second sending get.
+/// Faults of the platform and the backend server during the first attempt, and the
+/// responses to it and to a later retry.
 struct Case {
     name: &'static str,
     faults: &'static [Fault],
@@ -119,9 +119,8 @@
     (seen.status, &seen.outcome, &seen.code)
 }
 
-// The caller sends an order, and again later with the same key. Whatever the
-// platform loses on the way, the order runs at most once, and what is told to be
-// "not-run" did not run.
+// Whatever the platform loses, a request and its retry run at most once in total, and
+// a request reported as "not-run" did not run.
 #[tokio::test]
 async fn an_order_runs_at_most_once_whatever_the_platform_loses() {
     for case in CASES {
@@ -138,8 +137,8 @@
     }
 }
 
-// While the platform is down for long, each sending is refused at once and
-// nothing runs. Once it is back, the same key works.
+// While the platform is down, requests are refused immediately and nothing runs. The
+// key remains usable afterwards.
 #[tokio::test]
 async fn a_platform_that_is_down_lets_no_order_run() {
     let world = World::start(Border::Real, Script::new(&[])).await;
@@ -154,8 +153,7 @@
     assert_eq!(world.send(order("k", None)).await.status, 200);
 }
 
-// A caller gives up waiting and sends the same order to a second instance while
-// the first still works on it; many times over.
+// Concurrent requests with the same key on two instances.
 #[tokio::test]
 async fn the_same_key_at_once_on_two_instances_runs_once() {
     let platform = FakePlatform::default();
@@ -174,8 +172,8 @@
     assert_eq!(script.state().ran, 1);
 }
 
-// The owner is killed after its claim: the row stands without an answer. Its
-// next start, and any other instance, know that nobody can tell.
+// The owner is killed after it claimed the key, so nobody knows whether the request
+// ran.
 #[tokio::test]
 async fn a_claim_whose_owner_is_gone_is_never_run_again() {
     let platform = FakePlatform::default();
@@ -212,8 +210,8 @@
     assert_eq!(world.script.state().ran, 1);
 }
 
-// A small answer is kept in its row, a larger one as an object. One that is too
-// large to keep streams, and a repeat is told that the order ran.
+// A small response is stored in the row, a larger one as an object. One that is too
+// large is streamed only, and a retry learns that the request ran.
 #[tokio::test]
 async fn answers_are_kept_by_size() {
     let cases = [(5, 0, 200, "-"), (100_000, 1, 200, "-"), (2 << 20, 0, 409, "answer-not-kept")];
@@ -230,8 +228,8 @@
     }
 }
 
-// The instance is paused while it opens a connection, and wakes past the
-// deadline. Its caller has given up, so nothing may be sent any more.
+// The instance is paused while it opens a connection. After the deadline, nothing may
+// be sent.
 #[tokio::test]
 async fn an_owner_that_wakes_past_its_deadline_sends_nothing() {
     for home in [false, true] {
@@ -245,8 +243,8 @@
     }
 }
 
-// A row deleted too early would let its order run again; one never deleted
-// would fill the table.
+// A row deleted too early would let its request run again; rows that are never
+// deleted would fill the table.
 #[tokio::test]
 async fn only_claims_past_their_retention_are_deleted() {
     let hour_ms = 3_600_000;
@@ -261,9 +259,9 @@
     }
 }
 
-// An instance is paused between reading old claims and deleting them. Meanwhile
-// another deletes them, and one key is used again. The new claim has the version of
-// the old one, and must stay.
+// A cleaner is paused between reading old claims and deleting them. Meanwhile, another
+// instance may have deleted them and a key may have been claimed again, at the same
+// version.
 #[tokio::test]
 async fn a_cleaner_that_was_paused_deletes_nothing() {
     let world = World::start(Border::Fake, Script::new(&[])).await;
@@ -281,8 +279,8 @@
     assert_eq!(world.platform.state().rows.len(), 1);
 }
 
-// An owner gets its answer, is paused for more than a day, and wakes. Its row was
-// deleted as old and the key claimed anew, at the same version.
+// An owner is paused for more than the retention before it settles its claim. The key
+// may have been claimed again, at the same version.
 #[tokio::test]
 async fn an_owner_that_wakes_after_a_day_leaves_the_key_alone() {
     let world = World::start(Border::Fake, Script::new(&[])).await;
@@ -293,8 +291,7 @@
     assert_eq!((state.rows["svc/k"].version, state.writes), (1, 1));
 }
 
-// The platform never takes the answer of one order, too large for it perhaps. The
-// answers of others that have to be caught up with must not wait for it.
+// One response that the platform never accepts must not block the storing of others.
 #[tokio::test]
 async fn an_answer_that_is_never_taken_holds_up_no_other() {
     let world = World::start(Border::Fake, Script::new(&[])).await;
@@ -306,8 +303,8 @@
     eventually("kept", || !platform.state().rows["svc/k"].value["settled"].is_null()).await;
 }
 
-// The platform takes no answers for a while, and these are large. What waits in
-// memory is bounded: of some orders only the outcome is kept.
+// The memory for responses that wait for the platform is bounded; beyond it, only the
+// outcome is stored.
 #[tokio::test]
 async fn answers_that_wait_for_the_platform_are_bounded() {
     let world = World::start(Border::Fake, Script::new(&[])).await;
@@ -327,7 +324,7 @@
     assert_eq!(platform.state().objects.len(), 16);
 }
 
-// Nothing ran, so the row must go, or the repeat could never run.
+// If the row stayed although nothing ran, the retry could never run.
 #[tokio::test]
 async fn a_claim_is_given_up_when_nothing_ran() {
     let script = Script::new(&[]);
--- a/crates/azuregate/tests/outcomes/fake_dialer.rs
+++ b/crates/azuregate/tests/outcomes/fake_dialer.rs
@@ -1,4 +1,4 @@
-//! A border to backend servers without sockets, which follows a script.
+//! A fake backend adapter without sockets that follows a script.
 
 use std::{future, io, net::SocketAddr, time::Duration};
 
--- a/crates/azuregate/tests/outcomes/fake_platform.rs
+++ b/crates/azuregate/tests/outcomes/fake_platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory that fails as it is told.
+//! An in-memory platform with fault injection.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -16,20 +16,20 @@
 
 use crate::world::JumpClock;
 
-/// What happens to one write.
+/// The fault injected into a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Fault {
-    /// None.
+    /// No fault.
     Ok,
-    /// It is refused, without effect.
+    /// Refused without effect.
     Refused,
-    /// It takes effect, and its answer is lost.
+    /// Takes effect, but the response is lost.
     AnswerLost,
-    /// It never arrives, which its sender cannot tell from a lost answer.
+    /// The request is lost, which the sender cannot tell from a lost response.
     RequestLost,
-    /// It takes effect, and its answer comes after this many milliseconds.
+    /// Takes effect; the response is delayed by this many milliseconds.
     Slow(u64),
-    /// It takes effect, and its sender is paused for so long before it goes on.
+    /// Takes effect; the sender is then paused for this many milliseconds.
     Paused(u64),
 }
 
@@ -39,11 +39,11 @@
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) faults: VecDeque<Fault>,
-    /// Refuses everything once the faults have been gone through.
+    /// Refuses everything after `faults` is empty.
     pub(crate) down: bool,
-    /// Refuses updates of rows, and objects, whose name holds this.
+    /// Refuses updates of rows, and objects, whose name contains this text.
     pub(crate) refuses_updates_of: Option<String>,
-    /// What happens once, between a read and its answer.
+    /// Called once, between the next read and its response.
     pub(crate) in_read: Option<Box<dyn FnOnce() + Send>>,
     pub(crate) rows: BTreeMap<String, Row>,
     pub(crate) objects: BTreeMap<String, Bytes>,
--- a/crates/azuregate/tests/outcomes/home.rs
+++ b/crates/azuregate/tests/outcomes/home.rs
@@ -1,4 +1,4 @@
-//! Orders with a key that belongs to one start of one instance.
+//! Keyed requests whose claim is in the memory of the key's home instance.
 
 use azuregate_core::{
     names::{InstanceId, StartNumber},
@@ -10,8 +10,7 @@
     world::{Border, World, order},
 };
 
-// The platform is down for minutes. Orders that name their home run, once, and
-// their repeats get the same answer, with no call to the platform.
+// At their home, keyed requests and their retries need no platform.
 #[tokio::test]
 async fn an_order_at_its_home_needs_no_platform() {
     let world = World::start(Border::Real, Script::new(&[])).await;
@@ -34,7 +33,6 @@
     assert_eq!(seen.iter().filter(|seen| seen.status == 200).count(), 1);
 }
 
-/// What a home that is not this start, or not any more, answers.
 #[tokio::test]
 async fn a_home_that_is_gone_runs_nothing() {
     let world = World::start(Border::Real, Script::new(&[])).await;
@@ -58,8 +56,8 @@
     assert_eq!((world.script.state().ran, world.platform.state().writes), (0, 0));
 }
 
-// An instance that takes another for the home of a key, wrongly, must not be
-// sent back and forth with it.
+// Instances that disagree about the home of a key must not forward a request in a
+// loop.
 #[tokio::test]
 async fn a_request_is_passed_on_once_at_the_most() {
     let world = World::start(Border::Real, Script::new(&[])).await;
@@ -70,8 +68,8 @@
     assert_eq!(world.send(request).await.code, "home-gone");
 }
 
-// The answer to an order takes more than may be kept: the order still ran once,
-// and says so.
+// A response that is too large to store is streamed, and a retry learns that the
+// request ran.
 #[tokio::test]
 async fn an_answer_too_large_to_keep_streams_to_its_caller() {
     let world = World::start(Border::Real, Script::new(&[])).await;
--- a/crates/azuregate/tests/outcomes/main.rs
+++ b/crates/azuregate/tests/outcomes/main.rs
@@ -1,5 +1,5 @@
-//! What becomes of a request, told from the caller's side: its answer, what the
-//! caller may conclude, how often it ran, and how often it was tried.
+//! Outcomes of requests: the response, the reported outcome, and how often the request
+//! was attempted and ran.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
--- a/crates/azuregate/tests/outcomes/pool.rs
+++ b/crates/azuregate/tests/outcomes/pool.rs
@@ -1,4 +1,4 @@
-//! Which connections carry a request, and what happens when one has gone silent.
+//! Connection reuse, and retries on dead connections.
 
 use std::sync::Arc;
 
@@ -13,8 +13,8 @@
     world::{Border, JumpClock, World, get, post},
 };
 
-// A pooled connection has gone silent for good while new ones work. A read on it
-// sees nothing by the usual time and is sent again on a new connection.
+// A pooled connection is dead while new ones work. A read on it must be retried on a
+// new connection instead of waiting for its deadline.
 #[tokio::test]
 async fn a_read_on_a_silent_connection_is_tried_again_on_a_new_one() {
     let world = World::start(Border::Real, Script::new(&[Step::Silent])).await;
@@ -25,8 +25,7 @@
     assert_eq!((state.tried, state.opened), (2, 1), "one attempt on each connection");
 }
 
-// The same with a write, which may have run: it waits for its deadline, and its
-// caller is told that nobody knows.
+// A write may have run, so it must not be retried.
 #[tokio::test]
 async fn a_write_on_a_silent_connection_is_never_tried_again() {
     let world = World::start(Border::Real, Script::new(&[Step::Silent])).await;
@@ -36,8 +35,8 @@
     assert_eq!(world.script.state().tried, 1);
 }
 
-// A server answers before it has read the body, as one that refuses an upload
-// does. The rest of the body is still to come on that connection.
+// The server responds before it has read the request body. If the connection were
+// reused, it would take the rest of the body for the next request.
 #[tokio::test]
 async fn a_connection_answered_before_its_request_was_sent_is_not_used_again() {
     for border in [Border::Real, Border::Fake] {
@@ -68,9 +67,9 @@
     world.warm_up().await;
     let seen = world.send(post("/orders").body(body::full("one")).unwrap()).await;
     assert_eq!(seen.status, 200);
-    // The second attempt always has a new connection; the first went back.
+    // The retry opened a new connection; the first one was returned to the pool.
     assert_eq!(world.script.state().opened, 1);
-    // So there are two for two requests at once, when the server is given two again.
+    // So two concurrent requests need no further connection.
     tokio::time::sleep(std::time::Duration::from_millis(300)).await;
     world.script.state().steps.extend([Step::Slow, Step::Slow]);
     let order = || world.send(post("/orders").body(body::full("one")).unwrap());
@@ -78,8 +77,8 @@
     assert_eq!(world.script.state().opened, 1);
 }
 
-// A connection answered 1.1 s ago, or before a pause of the process, may have
-// gone silent meanwhile; a write on it would be lost for its whole deadline.
+// A connection that was idle for longer, or across a pause of the process, may be
+// dead; a write on it would wait for its whole deadline.
 #[tokio::test]
 async fn only_a_connection_that_answered_within_the_last_second_is_taken() {
     for (age_ms, taken) in [(0, true), (900, true), (1_100, false), (600_000, false)] {
@@ -88,7 +87,7 @@
         let addr = ([127, 0, 0, 1], 1).into();
         let conn = FakeDialer(Script::new(&[])).dial(addr).await.unwrap();
         pool.put(addr, conn);
-        // The task has taken the connection in once it answers.
+        // Once the task replies, it has processed `put`.
         assert!(pool.take(([127, 0, 0, 1], 2).into()).await.is_none());
         clock.jump(age_ms);
         assert_eq!(pool.take(addr).await.is_some(), taken, "after {age_ms} ms");
--- a/crates/azuregate/tests/outcomes/script.rs
+++ b/crates/azuregate/tests/outcomes/script.rs
@@ -1,66 +1,67 @@
-//! What a backend server does with each request, in order.
+//! The scripted behaviour of a backend server, request by request.
 
 use std::{
     collections::VecDeque,
     sync::{Arc, Mutex, MutexGuard},
 };
 
-/// What happens to one request.
+/// The behaviour for one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Step {
-    /// It is answered.
+    /// Responds.
     Ok,
-    /// It is answered after 30 ms.
+    /// Responds after 30 ms.
     Slow,
-    /// It is refused as not run.
+    /// Refuses the request without running it.
     Refused,
-    /// The connection breaks in the request's head.
+    /// Closes the connection in the middle of the request head.
     CutInHead,
-    /// The connection breaks in the request's body.
+    /// Closes the connection in the middle of the request body.
     CutInBody,
-    /// It runs, and the connection breaks before the answer.
+    /// Runs the request and closes the connection before the response.
     CutBeforeAnswer,
-    /// It runs, and the connection breaks in the answer.
+    /// Runs the request and closes the connection in the middle of the response.
     CutInAnswer,
-    /// It runs, and the answer stalls in the middle.
+    /// Runs the request and stalls in the middle of the response.
     StallInAnswer,
-    /// It runs, and no answer comes.
+    /// Runs the request and never responds.
     Silent,
-    /// It runs, and something that is not HTTP comes back.
+    /// Runs the request and responds with bytes that are not HTTP.
     Garbage,
-    /// It is answered, and the server says that it is leaving.
+    /// Responds with `Connection: close`.
     Close,
-    /// It is answered before its body was read.
+    /// Responds before it has read the request body.
     Early,
 }
 
-/// One backend server's script; shared with the test.
+/// The script of a backend server; shared with the test.
 #[derive(Clone, Default)]
 pub(crate) struct Script(Arc<Mutex<State>>);
 
 #[derive(Default)]
 pub(crate) struct State {
     pub(crate) steps: VecDeque<Step>,
-    /// No connection can be opened.
+    /// Refuses connections.
     pub(crate) down: bool,
-    /// Requests that were begun on a connection.
+    /// Number of requests received.
     pub(crate) tried: usize,
-    /// Requests that ran.
+    /// Number of requests that ran.
     pub(crate) ran: usize,
-    /// Connections that were opened.
+    /// Number of connections opened.
     pub(crate) opened: usize,
-    /// Connections that the other end closed while a request was silent.
+    /// Number of requests whose connection the client closed before the response
+    /// ended.
     pub(crate) cancelled: usize,
-    /// Length of the answer to a request that is answered, in bytes.
+    /// Length of response bodies, in bytes.
     pub(crate) answer_bytes: usize,
-    /// What happens once, while the fake makes its answer.
+    /// Called once, before the fake adapter's next response.
     pub(crate) in_answer: Option<Box<dyn FnOnce() + Send>>,
-    /// What happens while a connection is opened by the fake.
+    /// Called whenever the fake adapter opens a connection.
     pub(crate) in_dial: Option<Box<dyn Fn() + Send>>,
 }
 
 impl Script {
-    /// These steps, and then [`Step::Ok`] for ever.
+    /// Creates a script of these steps, followed by [`Step::Ok`] indefinitely.
     pub(crate) fn new(steps: &[Step]) -> Script {
         let script = Script::default();
         script.state().steps.extend(steps);
@@ -72,7 +73,7 @@
         self.0.lock().unwrap()
     }
 
-    /// Takes the step of a request that begins.
+    /// Returns the step for the next request.
     pub(crate) fn begin(&self) -> Step {
         let mut state = self.state();
         state.tried += 1;
--- a/crates/azuregate/tests/outcomes/server.rs
+++ b/crates/azuregate/tests/outcomes/server.rs
@@ -1,4 +1,4 @@
-//! A backend server that does to its sockets what its script says.
+//! A scripted backend server on a TCP socket.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -10,7 +10,7 @@
 
 use crate::script::{Script, Step};
 
-/// Serves `script` on a port of its own.
+/// Starts a server for `script` on a free port.
 pub(crate) async fn start(script: Script) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -1,4 +1,4 @@
-//! A gateway with one backend server, and callers that it is called by directly.
+//! A gateway with one backend server, called directly by the tests.
 
 use std::{
     net::SocketAddr,
@@ -34,14 +34,14 @@
 
 use crate::{fake_dialer::FakeDialer, fake_platform::FakePlatform, script::Script, server};
 
-/// Which side of the border to backend servers is tested.
+/// The backend adapter that the gateway uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Border {
     Real,
     Fake,
 }
 
-/// The clocks of the system, which a test can set forward.
+/// The system clocks, which a test can advance.
 #[derive(Debug, Default)]
 pub(crate) struct JumpClock {
     system: SystemClock,
@@ -49,7 +49,7 @@
 }
 
 impl JumpClock {
-    /// As if the process had been paused for so long.
+    /// Advances the clocks, as if the process had been paused.
     pub(crate) fn jump(&self, ms: u64) {
         self.ahead_ms.fetch_add(ms, Ordering::SeqCst);
     }
@@ -80,14 +80,14 @@
     snapshots: Snapshots,
 }
 
-/// What the caller saw.
+/// The response as the client received it.
 #[derive(Debug)]
 pub(crate) struct Seen {
     pub(crate) status: u16,
     pub(crate) outcome: String,
     pub(crate) retry_after: String,
     pub(crate) code: String,
-    /// The whole body, unless it was cut.
+    /// The body, or `None` if it was truncated.
     pub(crate) body: Option<Vec<u8>>,
 }
 
@@ -97,7 +97,7 @@
         World::start_with(border, script, platform, "entry-1").await
     }
 
-    /// An instance of its own, which may share its platform with others.
+    /// Starts an instance that may share its platform with others.
     pub(crate) async fn start_with(
         border: Border,
         script: Script,
@@ -108,7 +108,7 @@
         World::build(border, script, platform, name, addr).await
     }
 
-    /// An instance whose backend server is at `addr`.
+    /// Starts an instance whose backend server is at `addr`.
     pub(crate) async fn start_at(border: Border, addr: SocketAddr) -> World {
         World::build(border, Script::new(&[]), FakePlatform::default(), "entry-1", addr).await
     }
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Deletes old claims as this instance or another one does.
+    /// Returns the claim cleaner of an instance.
     pub(crate) fn cleaner(&self, instance: &str) -> Cleaner {
         Cleaner {
             instance: InstanceId::new(instance),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The home of keys here, as a caller learns it.
+    /// Returns this instance's home token.
     pub(crate) fn home(&self) -> HomeToken {
         HomeToken {
             instance: InstanceId::new("entry-1"),
@@ -201,11 +201,11 @@
         see(self.gateway.handle(request, self.addr).await).await
     }
 
-    /// Sends a request on a connection that was used a moment before.
+    /// Sends a request that leaves a connection in the pool.
     pub(crate) async fn warm_up(&self) {
         let steps = std::mem::take(&mut self.script.state().steps);
         self.send(get("/warm").body(body::empty()).unwrap()).await;
-        // The pool is a task of its own.
+        // Let the pool's task process the returned connection.
         time::sleep(Duration::from_millis(5)).await;
         let mut state = self.script.state();
         state.steps = steps;
@@ -213,7 +213,7 @@
     }
 }
 
-/// Reads an answer as a caller does.
+/// Reads a whole response.
 pub(crate) async fn see(response: Response<Body>) -> Seen {
     let (head, body) = response.into_parts();
     let header = |name: &str| {
@@ -238,7 +238,7 @@
     get(path).method(Method::POST)
 }
 
-/// An order with a key and, for the other form, the home of the key.
+/// Returns an order with an idempotency key and, optionally, the key's home.
 pub(crate) fn order(key: &str, home: Option<&HomeToken>) -> Request<Body> {
     let mut builder = post("/orders").header("idempotency-key", key);
     if let Some(home) = home {
@@ -247,7 +247,7 @@
     builder.body(body::full("one starter")).unwrap()
 }
 
-/// Waits until something holds; gives up after some seconds.
+/// Waits until `holds` returns true; panics after about 5 s.
 pub(crate) async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..500 {
         if holds() {
