--- a/crates/azuregate-core/src/snapshot/readiness.rs
+++ b/crates/azuregate-core/src/snapshot/readiness.rs
@@ -1,26 +1,27 @@
-//! Why an instance serves or does not.
+//! Whether an instance may serve requests, and why.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Why an instance serves or does not.
+/// Whether an instance may serve requests, and why.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Readiness {
-    /// It has started and knows of no configuration.
+    /// It has started and has no configuration yet.
     #[default]
     Starting,
     /// It was paused and may have missed changes.
-    Woken,
-    /// It has what the platform holds.
+    #[serde(rename = "woken")]
+    Resumed,
+    /// Its configuration was confirmed by the platform.
     Platform,
-    /// The platform is down; it has the highest versions of so many peers.
+    /// The platform is down; its configuration matches that of this many peers.
     Peers(usize),
 }
 
 impl Readiness {
-    /// Whether an instance may serve.
+    /// Returns whether the instance may serve requests.
     pub fn is_ready(self) -> bool {
         matches!(self, Readiness::Platform | Readiness::Peers(_))
     }
@@ -30,7 +31,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Readiness::Starting => f.write_str("no configuration in force yet"),
-            Readiness::Woken => f.write_str("paused before, and not confirmed since"),
+            Readiness::Resumed => f.write_str("paused before, and not confirmed since"),
             Readiness::Platform => f.write_str("confirmed by the platform"),
             Readiness::Peers(count) => write!(f, "confirmed by {count} peers, platform down"),
         }
--- a/crates/azuregate-lab/examples/claims.rs
+++ b/crates/azuregate-lab/examples/claims.rs
@@ -18,7 +18,7 @@
 };
 
 use azuregate_core::{
-    claim::{KeptAnswer, KeptBody, Settled},
+    claim::{Settled, StoredBody, StoredResponse},
     entries::Entries,
     home::{Config, HomeTable},
     time::Millis,
@@ -180,7 +180,7 @@
 
 /// What a home takes for each key, by the resident memory of this process.
 fn home_memory() -> Result<(), ClientError> {
-    let config = Config { limit_bytes: usize::MAX, ..Config::default() };
+    let config = Config { max_answer_bytes: usize::MAX, ..Config::default() };
     // Kept to the end, or the next table would live in what this one gave back.
     let mut tables = Vec::new();
     for keys in [25_000, 50_000, 100_000] {
@@ -208,8 +208,8 @@
         return Settled::NotKept;
     }
     let headers = vec![("content-type".to_owned(), "application/json".to_owned())];
-    let body = KeptBody::Inline(vec![0; answer_bytes]);
-    Settled::Answer(KeptAnswer { status: 200, headers, body })
+    let body = StoredBody::Inline(vec![0; answer_bytes]);
+    Settled::Answer(StoredResponse { status: 200, headers, body })
 }
 
 fn resident_bytes() -> Result<usize, ClientError> {
--- a/crates/azuregate/src/gateway/entries_cache.rs
+++ b/crates/azuregate/src/gateway/entries_cache.rs
@@ -48,7 +48,7 @@
         caller: SocketAddr,
     ) -> Result<Bytes, Error> {
         let salt = caller.ip().to_string();
-        let key = (service.clone(), entries::variant(&salt));
+        let key = (service.clone(), entries::ranking_variant(&salt));
         let now_ms = context.clock.now().0;
         if let Some(cached) = self.lookup(snapshot, &key, now_ms) {
             return Ok(cached);
--- a/crates/azuregate/src/gateway/error_response.rs
+++ b/crates/azuregate/src/gateway/error_response.rs
@@ -10,10 +10,10 @@
 
 /// Builds the response for an error.
 pub(crate) fn from_error(error: &Error) -> Response<Body> {
-    let answer = error.kind().answer();
+    let response = error.kind().response();
     let text = format!("{error}\n");
     let mut builder = Response::builder()
-        .status(answer.status)
+        .status(response.status)
         .header(header::CONTENT_TYPE, "text/plain; charset=utf-8")
         .header(OUTCOME, error.outcome().as_str());
     if let Some(after_s) = error.retry_after_s() {
@@ -21,7 +21,7 @@
     }
     builder.body(body::full(text)).unwrap_or_else(|_| {
         let mut response = Response::new(body::empty());
-        *response.status_mut() = StatusCode::from_u16(ErrorKind::Internal.answer().status)
+        *response.status_mut() = StatusCode::from_u16(ErrorKind::Internal.response().status)
             .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
         response
     })
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -69,7 +69,11 @@
             let Some(retry_payload) = failed.payload.filter(|_| may_retry) else {
                 // Even if the last attempt did not run, an earlier one may have.
                 let error = failed.error;
-                return Err(if may_have_run { error.with_earlier_unknown() } else { error });
+                return Err(if may_have_run {
+                    error.with_unknown_earlier_attempt()
+                } else {
+                    error
+                });
             };
             payload = retry_payload;
             attempt += 1;
@@ -94,7 +98,7 @@
         // A refusal costs a backend server little. Only retries of attempts that
         // may have run are charged to the budget.
         at_backend
-            && match kind.answer().retry {
+            && match kind.response().retry {
                 Retry::Always => true,
                 Retry::IfIdempotent => self.attributes.idempotent && self.retries.try_take(),
                 Retry::Never => false,
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -182,7 +182,7 @@
         let keyed = key.is_some();
         // The claim has not been read, so an earlier request with this key may
         // have run.
-        let refuse = |e: Error| if keyed { e.with_earlier_unknown() } else { e };
+        let refuse = |e: Error| if keyed { e.with_unknown_earlier_attempt() } else { e };
         if !snapshot.ready {
             let error = Error::new(ErrorKind::NotReady, "no configuration in force yet");
             return Err(refuse(error));
--- a/crates/azuregate/src/gateway/payload.rs
+++ b/crates/azuregate/src/gateway/payload.rs
@@ -71,7 +71,7 @@
     /// Returns the hash of the whole request, given the hash of its head.
     pub(crate) fn fingerprint(&self, head_hash: u64) -> u64 {
         let digest = match self {
-            Payload::Buffered(bytes) => BodyDigest::Whole(bytes),
+            Payload::Buffered(bytes) => BodyDigest::Full(bytes),
             Payload::Streaming(body) => BodyDigest::Length(body.size_hint().exact()),
         };
         claim::fingerprint(head_hash, digest)
--- a/crates/azuregate/src/gateway/retries.rs
+++ b/crates/azuregate/src/gateway/retries.rs
@@ -5,13 +5,13 @@
     sync::{Arc, Mutex, PoisonError},
 };
 
-use azuregate_core::{late::UsualTime, names::ServiceName, retry::RetryBudget};
+use azuregate_core::{latency::LatencyEstimator, names::ServiceName, retry::RetryBudget};
 
 /// Retry budget and response times of one service; cheap to clone.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceRetries {
     budget: Arc<RetryBudget>,
-    response_time: Arc<Mutex<UsualTime>>,
+    response_time: Arc<Mutex<LatencyEstimator>>,
 }
 
 impl ServiceRetries {
@@ -22,7 +22,7 @@
 
     /// Withdraws one retry from the budget; returns whether there was one.
     pub(crate) fn try_take(&self) -> bool {
-        self.budget.try_take()
+        self.budget.try_withdraw()
     }
 
     /// Records the time to the response head, in milliseconds.
@@ -33,7 +33,7 @@
     /// Returns the time in milliseconds after which a response head is late, or
     /// `None` before the first response.
     pub(crate) fn late_after_ms(&self) -> Option<u64> {
-        self.response_time.lock().unwrap_or_else(PoisonError::into_inner).late_after_ms()
+        self.response_time.lock().unwrap_or_else(PoisonError::into_inner).late_threshold_ms()
     }
 }
 
