--- a/crates/azuregate/tests/outcomes/border.rs
+++ b/crates/azuregate/tests/outcomes/adapter.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     script::{Script, Step},
-    world::{Border, Seen, World, get, order, post},
+    world::{Adapter, ClientResponse, World, get, order, post},
 };
 
 /// The request to send.
@@ -38,7 +38,7 @@
     Step::Close,
 ];
 
-async fn send(world: &World, sent: Sent) -> Seen {
+async fn send(world: &World, sent: Sent) -> ClientResponse {
     let request = match sent {
         Sent::Get => get("/list").body(body::empty()).unwrap(),
         Sent::Post => post("/orders").body(body::full("one starter")).unwrap(),
@@ -53,7 +53,7 @@
     world.send(request).await
 }
 
-fn row(table: &mut String, step: &str, sent: Sent, seen: &Seen, script: &Script) {
+fn row(table: &mut String, step: &str, sent: Sent, seen: &ClientResponse, script: &Script) {
     let state = script.state();
     let body = if seen.body.is_some() { "whole" } else { "cut" };
     let sent = format!("{sent:?}");
@@ -66,9 +66,9 @@
 }
 
 #[tokio::test]
-async fn the_request_id_comes_back_with_answers_and_refusals() {
+async fn responses_and_errors_carry_the_request_id() {
     for step in [Step::Ok, Step::CutBeforeAnswer] {
-        let world = World::start(Border::Fake, Script::new(&[step])).await;
+        let world = World::start(Adapter::Fake, Script::new(&[step])).await;
         let request = post("/orders").header("azuregate-request-id", "r7");
         let request = request.body(body::full("one")).unwrap();
         let answer = world.gateway.handle(request, world.addr).await;
@@ -78,14 +78,14 @@
 
 /// Sends each request under each fault, keyed requests twice, and returns the
 /// results.
-async fn table(border: Border) -> String {
+async fn table(adapter: Adapter) -> String {
     let mut table = String::new();
     for step in FIRST {
         for sent in SENT {
             if matches!((step, sent), (Step::CutInBody, Sent::Get)) {
                 continue;
             }
-            let world = World::start(border, Script::new(&[step])).await;
+            let world = World::start(adapter, Script::new(&[step])).await;
             let seen = send(&world, sent).await;
             row(&mut table, &format!("{step:?}"), sent, &seen, &world.script);
             if !matches!(sent, Sent::Get | Sent::Post) {
@@ -97,7 +97,7 @@
     for sent in SENT {
         let script = Script::new(&[]);
         script.state().down = true;
-        let world = World::start(border, script).await;
+        let world = World::start(adapter, script).await;
         let seen = send(&world, sent).await;
         row(&mut table, "Down", sent, &seen, &world.script);
     }
@@ -106,10 +106,10 @@
 
 #[tokio::test]
 async fn the_real_adapter_keeps_the_contract() {
-    insta::assert_snapshot!("contract", table(Border::Real).await);
+    insta::assert_snapshot!("contract", table(Adapter::Real).await);
 }
 
 #[tokio::test]
 async fn the_fake_keeps_the_contract() {
-    insta::assert_snapshot!("contract", table(Border::Fake).await);
+    insta::assert_snapshot!("contract", table(Adapter::Fake).await);
 }
--- a/crates/azuregate/tests/outcomes/attempts.rs
+++ b/crates/azuregate/tests/outcomes/attempts.rs
@@ -4,13 +4,13 @@
 
 use crate::{
     script::{Script, Step},
-    world::{Border, World, get, post},
+    world::{Adapter, World, get, post},
 };
 
 // One attempt runs and loses its response, the others are refused. The request may
 // have run, whatever the last attempt reports.
 #[tokio::test]
-async fn an_attempt_that_may_have_run_outweighs_later_refusals() {
+async fn an_attempt_that_may_have_run_makes_the_outcome_unknown() {
     use Step::{CutBeforeAnswer, Refused};
     let table: [(&[Step], &str, usize); 4] = [
         (&[CutBeforeAnswer, Refused, Refused], "unknown", 1),
@@ -19,7 +19,7 @@
         (&[Refused, Refused, Refused], "not-run", 0),
     ];
     for (steps, outcome, ran) in table {
-        let world = World::start(Border::Real, Script::new(steps)).await;
+        let world = World::start(Adapter::Real, Script::new(steps)).await;
         // Fill the retry budget, so that it does not limit the attempts.
         for _ in 0..20 {
             world.warm_up().await;
@@ -30,9 +30,9 @@
 }
 
 #[tokio::test]
-async fn an_order_refused_by_all_is_not_run() {
+async fn a_request_refused_by_every_attempt_has_not_run() {
     let steps = [Step::Refused; 3];
-    let world = World::start(Border::Real, Script::new(&steps)).await;
+    let world = World::start(Adapter::Real, Script::new(&steps)).await;
     let seen = world.send(post("/orders").body(body::full("one")).unwrap()).await;
     assert_eq!((seen.outcome.as_str(), world.script.state().ran), ("not-run", 0));
 }
--- a/crates/azuregate/tests/outcomes/bodies.rs
+++ b/crates/azuregate/tests/outcomes/bodies.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     script::{Script, Step},
-    world::{Border, World, eventually, get, order, post},
+    world::{Adapter, World, eventually, get, order, post},
 };
 
 const FRAME_BYTES: usize = 64 << 10;
@@ -47,8 +47,8 @@
 }
 
 #[tokio::test]
-async fn an_upload_of_50_mb_arrives_whole() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn a_50_mb_upload_arrives_complete() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     let taken = Arc::default();
     let seen = world.send(put(UPLOAD_FRAMES * FRAME_BYTES, upload(UPLOAD_FRAMES, &taken))).await;
     assert_eq!((seen.status, world.script.state().ran), (200, 1));
@@ -59,9 +59,9 @@
 // more of the body than fits the socket buffers. When the client disconnects, the
 // connection to the backend server must close.
 #[tokio::test]
-async fn an_upload_is_not_held_in_memory_while_the_backend_server_reads_nothing() {
+async fn uploads_are_subject_to_backpressure() {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let world = World::start_at(Border::Real, listener.local_addr().unwrap()).await;
+    let world = World::start_at(Adapter::Real, listener.local_addr().unwrap()).await;
     let taken = Arc::default();
     let request = put(UPLOAD_FRAMES * FRAME_BYTES, upload(UPLOAD_FRAMES, &taken));
     let sending = tokio::spawn(async move { world.send(request).await });
@@ -85,8 +85,8 @@
 // The client's connection breaks in the body. A small body was never sent to a
 // backend server; a large one was sent in part.
 #[tokio::test]
-async fn a_body_that_ends_early_is_told_apart_by_what_had_left() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn an_incomplete_body_is_reported_by_whether_it_was_sent() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     let taken = Arc::default();
     let small = cut_after(body::full(vec![0; 1_000]), 1);
     let seen = world.send(put(3_000, small)).await;
@@ -124,11 +124,11 @@
 // A refused write with a buffered body is retried; a streamed upload cannot be, and
 // its client is told when to retry.
 #[tokio::test]
-async fn a_refused_write_goes_elsewhere_if_its_body_is_at_hand() {
-    let world = World::start(Border::Real, Script::new(&[Step::Refused])).await;
+async fn a_refused_write_is_retried_if_its_body_is_buffered() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::Refused])).await;
     let seen = world.send(put(64 << 10, body::full(vec![0; 64 << 10]))).await;
     assert_eq!((seen.status, world.script.state().tried), (200, 2));
-    let world = World::start(Border::Real, Script::new(&[Step::Refused])).await;
+    let world = World::start(Adapter::Real, Script::new(&[Step::Refused])).await;
     let seen = world.send(put(4 * FRAME_BYTES, upload(4, &Arc::default()))).await;
     assert_eq!((seen.code.as_str(), seen.outcome.as_str()), ("backend-refused", "not-run"));
     assert_eq!((seen.retry_after.as_str(), world.script.state().ran), ("1", 0));
@@ -137,9 +137,9 @@
 // When the client disconnects, the connection to the backend server must close: it is
 // the only cancellation that the server sees.
 #[tokio::test]
-async fn a_caller_that_leaves_cancels_the_work() {
-    for border in [Border::Real, Border::Fake] {
-        let world = World::start(border, Script::new(&[Step::Silent])).await;
+async fn a_client_disconnect_cancels_the_request() {
+    for adapter in [Adapter::Real, Adapter::Fake] {
+        let world = World::start(adapter, Script::new(&[Step::Silent])).await;
         let request = get("/list").header("azuregate-timeout-ms", "20000");
         let request = request.body(body::empty()).unwrap();
         let leaving = time::timeout(Duration::from_millis(50), world.send(request)).await;
@@ -152,8 +152,8 @@
 // The client disconnects while the response streams. A reused connection would
 // deliver the rest of that response to the next request.
 #[tokio::test]
-async fn a_caller_that_leaves_in_the_answer_cancels_the_rest() {
-    let world = World::start(Border::Real, Script::new(&[Step::StallInAnswer])).await;
+async fn a_client_disconnect_cancels_the_response() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::StallInAnswer])).await;
     let request = get("/list").body(body::empty()).unwrap();
     let answer = world.gateway.handle(request, world.addr).await;
     drop(answer);
@@ -167,9 +167,9 @@
 // A keyed request must continue after its client disconnects, so that a retry finds
 // the stored response.
 #[tokio::test]
-async fn an_order_runs_on_when_its_caller_leaves() {
+async fn a_keyed_request_continues_after_its_client_disconnects() {
     for home in [false, true] {
-        let world = World::start(Border::Real, Script::new(&[Step::Slow])).await;
+        let world = World::start(Adapter::Real, Script::new(&[Step::Slow])).await;
         let home = home.then(|| world.home());
         let first = world.send(order("k", home.as_ref()));
         assert!(time::timeout(Duration::from_millis(10), first).await.is_err());
--- a/crates/azuregate/tests/outcomes/claims.rs
+++ b/crates/azuregate/tests/outcomes/claims.rs
@@ -8,7 +8,7 @@
 use crate::{
     fake_platform::{FakePlatform, Fault},
     script::{Script, Step},
-    world::{Border, Seen, World, eventually, order, post},
+    world::{Adapter, ClientResponse, World, eventually, order, post},
 };
 
 /// Faults of the platform and the backend server during the first attempt, and the
@@ -115,24 +115,24 @@
     },
 ];
 
-fn told(seen: &Seen) -> (u16, &str, &str) {
+fn status_outcome_code(seen: &ClientResponse) -> (u16, &str, &str) {
     (seen.status, &seen.outcome, &seen.code)
 }
 
 // Whatever the platform loses, a request and its retry run at most once in total, and
 // a request reported as "not-run" did not run.
 #[tokio::test]
-async fn an_order_runs_at_most_once_whatever_the_platform_loses() {
+async fn a_request_runs_at_most_once_under_platform_faults() {
     for case in CASES {
-        let world = World::start(Border::Real, Script::new(case.steps)).await;
+        let world = World::start(Adapter::Real, Script::new(case.steps)).await;
         world.platform.state().faults.extend(case.faults);
         let first = world.send(order("k", None)).await;
         let ran = world.script.state().ran;
-        assert_eq!(told(&first), case.first, "{}", case.name);
+        assert_eq!(status_outcome_code(&first), case.first, "{}", case.name);
         assert!(first.outcome != "not-run" || ran == 0, "{}", case.name);
         time::sleep(Duration::from_millis(1_200)).await;
         let then = world.send(order("k", None)).await;
-        assert_eq!(told(&then), case.then, "{}", case.name);
+        assert_eq!(status_outcome_code(&then), case.then, "{}", case.name);
         assert_eq!(world.script.state().ran, case.ran, "{}", case.name);
     }
 }
@@ -140,12 +140,12 @@
 // While the platform is down, requests are refused immediately and nothing runs. The
 // key remains usable afterwards.
 #[tokio::test]
-async fn a_platform_that_is_down_lets_no_order_run() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn no_keyed_request_runs_while_the_platform_is_down() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     world.platform.state().down = true;
     for _ in 0..3 {
         let seen = world.send(order("k", None)).await;
-        assert_eq!(told(&seen), (503, "unknown", "claim-not-made"));
+        assert_eq!(status_outcome_code(&seen), (503, "unknown", "claim-not-made"));
         assert_eq!(seen.retry_after, "1");
     }
     assert_eq!(world.script.state().ran, 0);
@@ -155,17 +155,21 @@
 
 // Concurrent requests with the same key on two instances.
 #[tokio::test]
-async fn the_same_key_at_once_on_two_instances_runs_once() {
+async fn concurrent_requests_with_one_key_on_two_instances_run_once() {
     let platform = FakePlatform::default();
     let script = Script::new(&[Step::Slow]);
-    let start = |name| World::start_with(Border::Real, script.clone(), platform.clone(), name);
+    let start = |name| World::start_with(Adapter::Real, script.clone(), platform.clone(), name);
     let worlds = [start("entry-1").await, start("entry-2").await];
     let sends = (0..20).map(|i| worlds[i % 2].send(order("k", None)));
     let seen = futures_util::future::join_all(sends).await;
     assert_eq!(script.state().ran, 1);
     assert_eq!(seen.iter().filter(|seen| seen.status == 200).count(), 1);
     let others = seen.iter().filter(|seen| seen.status != 200);
-    assert!(others.into_iter().all(|seen| told(seen) == (409, "unknown", "claim-in-progress")));
+    assert!(
+        others
+            .into_iter()
+            .all(|seen| status_outcome_code(seen) == (409, "unknown", "claim-in-progress"))
+    );
     for world in &worlds {
         assert_eq!(world.send(order("k", None)).await.status, 200);
     }
@@ -175,10 +179,10 @@
 // The owner is killed after it claimed the key, so nobody knows whether the request
 // ran.
 #[tokio::test]
-async fn a_claim_whose_owner_is_gone_is_never_run_again() {
+async fn an_orphaned_claim_is_never_run_again() {
     let platform = FakePlatform::default();
     let script = Script::new(&[Step::Silent]);
-    let start = |name| World::start_with(Border::Real, script.clone(), platform.clone(), name);
+    let start = |name| World::start_with(Adapter::Real, script.clone(), platform.clone(), name);
     let owner = start("entry-1").await;
     let killed = owner.send(order("k", None));
     assert!(time::timeout(Duration::from_millis(30), killed).await.is_err());
@@ -188,24 +192,24 @@
     time::sleep(Duration::from_millis(2)).await;
     for (name, code) in [("entry-1", "claim-orphaned"), ("entry-2", "claim-in-progress")] {
         let seen = start(name).await.send(order("k", None)).await;
-        assert_eq!(told(&seen), (409, "unknown", code), "{name}");
+        assert_eq!(status_outcome_code(&seen), (409, "unknown", code), "{name}");
     }
     let later = start("entry-2").await;
-    later.clock.jump(60_000);
+    later.clock.advance(60_000);
     let seen = later.send(order("k", None)).await;
-    assert_eq!(told(&seen), (409, "unknown", "claim-orphaned"));
+    assert_eq!(status_outcome_code(&seen), (409, "unknown", "claim-orphaned"));
     assert_eq!(script.state().ran, 1);
 }
 
 #[tokio::test]
-async fn a_key_names_one_request() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn a_key_identifies_one_request() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     world.send(order("k", None)).await;
     let others = [("/orders", "two starters"), ("/holds", "one starter")];
     for (path, body) in others {
         let other = post(path).header("idempotency-key", "k").body(body::full(body)).unwrap();
         let seen = world.send(other).await;
-        assert_eq!(told(&seen), (422, "not-run", "claim-mismatch"), "{path} {body}");
+        assert_eq!(status_outcome_code(&seen), (422, "not-run", "claim-mismatch"), "{path} {body}");
     }
     assert_eq!(world.script.state().ran, 1);
 }
@@ -213,10 +217,10 @@
 // A small response is stored in the row, a larger one as an object. One that is too
 // large is streamed only, and a retry learns that the request ran.
 #[tokio::test]
-async fn answers_are_kept_by_size() {
+async fn responses_are_stored_by_size() {
     let cases = [(5, 0, 200, "-"), (100_000, 1, 200, "-"), (2 << 20, 0, 409, "answer-not-kept")];
     for (answer_bytes, objects, status, code) in cases {
-        let world = World::start(Border::Real, Script::new(&[])).await;
+        let world = World::start(Adapter::Real, Script::new(&[])).await;
         world.script.state().answer_bytes = answer_bytes;
         let first = world.send(order("k", None)).await;
         assert_eq!(first.body.as_ref().map(Vec::len), Some(answer_bytes));
@@ -231,14 +235,14 @@
 // The instance is paused while it opens a connection. After the deadline, nothing may
 // be sent.
 #[tokio::test]
-async fn an_owner_that_wakes_past_its_deadline_sends_nothing() {
+async fn nothing_is_sent_after_a_pause_past_the_deadline() {
     for home in [false, true] {
-        let world = World::start(Border::Fake, Script::new(&[])).await;
+        let world = World::start(Adapter::Fake, Script::new(&[])).await;
         let clock = std::sync::Arc::clone(&world.clock);
-        world.script.state().in_dial = Some(Box::new(move || clock.jump(60_000)));
+        world.script.state().in_dial = Some(Box::new(move || clock.advance(60_000)));
         let home = home.then(|| world.home());
         let seen = world.send(order("k", home.as_ref())).await;
-        assert_eq!(told(&seen), (504, "not-run", "deadline-before-send"));
+        assert_eq!(status_outcome_code(&seen), (504, "not-run", "deadline-before-send"));
         assert_eq!(world.script.state().tried, 0);
     }
 }
@@ -249,9 +253,9 @@
 async fn only_claims_past_their_retention_are_deleted() {
     let hour_ms = 3_600_000;
     for (age_ms, left) in [(0, 1), (23 * hour_ms, 1), (25 * hour_ms, 0)] {
-        let world = World::start(Border::Fake, Script::new(&[])).await;
+        let world = World::start(Adapter::Fake, Script::new(&[])).await;
         world.send(order("k", None)).await;
-        world.clock.jump(age_ms);
+        world.clock.advance(age_ms);
         for instance in ["entry-1", "entry-2"] {
             world.cleaner(instance).look().await;
         }
@@ -263,12 +267,12 @@
 // instance may have deleted them and a key may have been claimed again, at the same
 // version.
 #[tokio::test]
-async fn a_cleaner_that_was_paused_deletes_nothing() {
-    let world = World::start(Border::Fake, Script::new(&[])).await;
+async fn a_paused_cleaner_deletes_nothing() {
+    let world = World::start(Adapter::Fake, Script::new(&[])).await;
     world.send(order("k", None)).await;
-    world.clock.jump(25 * 3_600_000);
+    world.clock.advance(25 * 3_600_000);
     let clock = std::sync::Arc::clone(&world.clock);
-    world.platform.state().in_read = Some(Box::new(move || clock.jump(60_000)));
+    world.platform.state().in_read = Some(Box::new(move || clock.advance(60_000)));
     for instance in ["entry-1", "entry-2"] {
         let cleaner = world.cleaner(instance);
         cleaner.look().await;
@@ -282,10 +286,10 @@
 // An owner is paused for more than the retention before it settles its claim. The key
 // may have been claimed again, at the same version.
 #[tokio::test]
-async fn an_owner_that_wakes_after_a_day_leaves_the_key_alone() {
-    let world = World::start(Border::Fake, Script::new(&[])).await;
+async fn an_owner_paused_for_a_day_does_not_settle_its_claim() {
+    let world = World::start(Adapter::Fake, Script::new(&[])).await;
     let clock = std::sync::Arc::clone(&world.clock);
-    world.script.state().in_answer = Some(Box::new(move || clock.jump(25 * 3_600_000)));
+    world.script.state().in_answer = Some(Box::new(move || clock.advance(25 * 3_600_000)));
     world.send(order("k", None)).await;
     let state = world.platform.state();
     assert_eq!((state.rows["svc/k"].version, state.writes), (1, 1));
@@ -293,8 +297,8 @@
 
 // One response that the platform never accepts must not block the storing of others.
 #[tokio::test]
-async fn an_answer_that_is_never_taken_holds_up_no_other() {
-    let world = World::start(Border::Fake, Script::new(&[])).await;
+async fn an_unstorable_response_does_not_block_others() {
+    let world = World::start(Adapter::Fake, Script::new(&[])).await;
     world.platform.state().refuses_updates_of = Some("stuck".to_owned());
     assert_eq!(world.send(order("stuck", None)).await.status, 200);
     world.platform.state().faults.extend([Fault::Ok, Fault::Refused]);
@@ -306,8 +310,8 @@
 // The memory for responses that wait for the platform is bounded; beyond it, only the
 // outcome is stored.
 #[tokio::test]
-async fn answers_that_wait_for_the_platform_are_bounded() {
-    let world = World::start(Border::Fake, Script::new(&[])).await;
+async fn responses_waiting_for_the_platform_are_bounded() {
+    let world = World::start(Adapter::Fake, Script::new(&[])).await;
     world.script.state().answer_bytes = 1 << 20;
     world.platform.state().refuses_updates_of = Some("large".to_owned());
     for index in 0..20 {
@@ -326,12 +330,12 @@
 
 // If the row stayed although nothing ran, the retry could never run.
 #[tokio::test]
-async fn a_claim_is_given_up_when_nothing_ran() {
+async fn a_claim_is_deleted_if_nothing_ran() {
     let script = Script::new(&[]);
     script.state().down = true;
-    let world = World::start(Border::Real, script).await;
+    let world = World::start(Adapter::Real, script).await;
     let seen = world.send(order("k", None)).await;
-    assert_eq!(told(&seen), (503, "not-run", "connect-failed"));
+    assert_eq!(status_outcome_code(&seen), (503, "not-run", "connect-failed"));
     let platform = world.platform.clone();
     eventually("the claim is gone", || platform.state().rows.is_empty()).await;
 }
--- a/crates/azuregate/tests/outcomes/answers.rs
+++ b/crates/azuregate/tests/outcomes/error_kinds.rs
@@ -5,7 +5,7 @@
 use azuregate_core::error::{Error, ErrorKind, Outcome, Retry};
 
 #[test]
-fn each_kind_has_one_answer() {
+fn responses_by_error_kind() {
     let mut table = String::new();
     for kind in ErrorKind::ALL {
         let answer = kind.response();
@@ -18,18 +18,18 @@
 }
 
 #[test]
-fn what_may_have_run_is_never_called_not_run_nor_always_tried_again() {
+fn unknown_outcomes_are_never_always_retried() {
     for kind in ErrorKind::ALL {
         let answer = kind.response();
-        let told_unknown = answer.outcome == Outcome::Unknown;
-        assert!(!(told_unknown && answer.retry == Retry::Always), "{kind}");
+        let is_unknown = answer.outcome == Outcome::Unknown;
+        assert!(!(is_unknown && answer.retry == Retry::Always), "{kind}");
     }
 }
 
 // A retry of a request that ran is refused before its claim is read. If the outcome
 // were "not-run", the client would send the request again under another key.
 #[test]
-fn a_refusal_before_the_claim_was_read_is_unknown() {
+fn refusal_before_reading_the_claim_is_unknown() {
     let error = Error::new(ErrorKind::ClaimNotMade, "down");
     assert_eq!(error.outcome(), Outcome::NotRun);
     let error = error.with_unknown_earlier_attempt();
--- a/crates/azuregate/tests/outcomes/fake_dialer.rs
+++ b/crates/azuregate/tests/outcomes/fake_dialer.rs
@@ -53,7 +53,12 @@
         request.into_body().collect().await.map_err(|_| lost())?;
         if step == Step::Refused {
             self.idle = true;
-            return Ok(answered("503", "backend-outcome", "not-run", body::full("busy")));
+            return Ok(response_with_header(
+                "503",
+                "backend-outcome",
+                "not-run",
+                body::full("busy"),
+            ));
         }
         self.script.ran();
         let whole = body::full(self.script.answer());
@@ -68,9 +73,9 @@
             }
             Step::Silent => future::pending::<()>().await,
             Step::Slow => time::sleep(Duration::from_millis(30)).await,
-            Step::CutInAnswer => return Ok(Response::new(part(false))),
-            Step::StallInAnswer => return Ok(Response::new(part(true))),
-            Step::Close => return Ok(answered("200", "connection", "close", whole)),
+            Step::CutInAnswer => return Ok(Response::new(partial_body(false))),
+            Step::StallInAnswer => return Ok(Response::new(partial_body(true))),
+            Step::Close => return Ok(response_with_header("200", "connection", "close", whole)),
             _ => {}
         }
         self.idle = true;
@@ -88,11 +93,11 @@
     }
 }
 
-fn answered(status: &str, name: &str, value: &str, body: Body) -> Response<Body> {
+fn response_with_header(status: &str, name: &str, value: &str, body: Body) -> Response<Body> {
     Response::builder().status(status).header(name, value).body(body).unwrap()
 }
 
-fn part(stalls: bool) -> Body {
+fn partial_body(stalls: bool) -> Body {
     let first = stream::once(async { Ok(Frame::data(Bytes::from_static(b"part"))) });
     let rest = stream::once(async move {
         if stalls {
--- a/crates/azuregate/tests/outcomes/fake_platform.rs
+++ b/crates/azuregate/tests/outcomes/fake_platform.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use tokio::time;
 
-use crate::world::JumpClock;
+use crate::world::OffsetClock;
 
 /// The fault injected into a write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
@@ -48,7 +48,7 @@
     pub(crate) rows: BTreeMap<String, Row>,
     pub(crate) objects: BTreeMap<String, Bytes>,
     pub(crate) writes: usize,
-    pub(crate) clock: Option<Arc<JumpClock>>,
+    pub(crate) clock: Option<Arc<OffsetClock>>,
 }
 
 impl FakePlatform {
@@ -85,7 +85,7 @@
         match fault {
             Fault::AnswerLost => return Err(lost),
             Fault::Slow(ms) => time::sleep(Duration::from_millis(ms)).await,
-            Fault::Paused(ms) => self.state().clock.as_ref().unwrap().jump(ms),
+            Fault::Paused(ms) => self.state().clock.as_ref().unwrap().advance(ms),
             _ => {}
         }
         Ok(done)
--- a/crates/azuregate/tests/outcomes/home.rs
+++ b/crates/azuregate/tests/outcomes/home.rs
@@ -7,13 +7,13 @@
 
 use crate::{
     script::{Script, Step},
-    world::{Border, World, order},
+    world::{Adapter, World, order},
 };
 
 // At their home, keyed requests and their retries need no platform.
 #[tokio::test]
-async fn an_order_at_its_home_needs_no_platform() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn a_keyed_request_at_its_home_needs_no_platform() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     world.platform.state().down = true;
     let home = world.home();
     for _ in 0..3 {
@@ -24,8 +24,8 @@
 }
 
 #[tokio::test]
-async fn the_same_key_at_once_at_its_home_runs_once() {
-    let world = World::start(Border::Real, Script::new(&[Step::Slow])).await;
+async fn concurrent_requests_with_one_key_at_its_home_run_once() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::Slow])).await;
     let home = world.home();
     let sends = (0..20).map(|_| world.send(order("k", Some(&home))));
     let seen = futures_util::future::join_all(sends).await;
@@ -34,8 +34,8 @@
 }
 
 #[tokio::test]
-async fn a_home_that_is_gone_runs_nothing() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn an_invalid_home_runs_nothing() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     let mine = world.home();
     let before = StartNumber(mine.start.0 - 1);
     let old = mine.issued_at_ms - Millis(601_000);
@@ -59,8 +59,8 @@
 // Instances that disagree about the home of a key must not forward a request in a
 // loop.
 #[tokio::test]
-async fn a_request_is_passed_on_once_at_the_most() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn a_request_is_forwarded_to_a_home_at_most_once() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     let mut home = world.home();
     home.instance = InstanceId::new("entry-2");
     let mut request = order("k", Some(&home));
@@ -71,8 +71,8 @@
 // A response that is too large to store is streamed, and a retry learns that the
 // request ran.
 #[tokio::test]
-async fn an_answer_too_large_to_keep_streams_to_its_caller() {
-    let world = World::start(Border::Real, Script::new(&[])).await;
+async fn a_response_too_large_to_store_is_streamed() {
+    let world = World::start(Adapter::Real, Script::new(&[])).await;
     world.script.state().answer_bytes = 2 << 20;
     let home = world.home();
     let first = world.send(order("k", Some(&home))).await;
--- a/crates/azuregate/tests/outcomes/main.rs
+++ b/crates/azuregate/tests/outcomes/main.rs
@@ -3,11 +3,11 @@
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
-mod answers;
+mod adapter;
 mod attempts;
 mod bodies;
-mod border;
 mod claims;
+mod error_kinds;
 mod fake_dialer;
 mod fake_platform;
 mod home;
--- a/crates/azuregate/tests/outcomes/pool.rs
+++ b/crates/azuregate/tests/outcomes/pool.rs
@@ -10,14 +10,14 @@
 use crate::{
     fake_dialer::FakeDialer,
     script::{Script, Step},
-    world::{Border, JumpClock, World, get, post},
+    world::{Adapter, OffsetClock, World, get, post},
 };
 
 // A pooled connection is dead while new ones work. A read on it must be retried on a
 // new connection instead of waiting for its deadline.
 #[tokio::test]
-async fn a_read_on_a_silent_connection_is_tried_again_on_a_new_one() {
-    let world = World::start(Border::Real, Script::new(&[Step::Silent])).await;
+async fn a_read_on_a_dead_connection_is_retried_on_a_new_one() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::Silent])).await;
     world.warm_up().await;
     let seen = world.send(get("/list").body(body::empty()).unwrap()).await;
     assert_eq!((seen.status, seen.body.as_deref()), (200, Some(&b"xxxxx"[..])));
@@ -27,8 +27,8 @@
 
 // A write may have run, so it must not be retried.
 #[tokio::test]
-async fn a_write_on_a_silent_connection_is_never_tried_again() {
-    let world = World::start(Border::Real, Script::new(&[Step::Silent])).await;
+async fn a_write_on_a_dead_connection_is_not_retried() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::Silent])).await;
     world.warm_up().await;
     let seen = world.send(post("/orders").body(body::full("one")).unwrap()).await;
     assert_eq!((seen.code.as_str(), seen.outcome.as_str()), ("deadline-after-send", "unknown"));
@@ -38,9 +38,9 @@
 // The server responds before it has read the request body. If the connection were
 // reused, it would take the rest of the body for the next request.
 #[tokio::test]
-async fn a_connection_answered_before_its_request_was_sent_is_not_used_again() {
-    for border in [Border::Real, Border::Fake] {
-        let world = World::start(border, Script::new(&[Step::Early])).await;
+async fn a_connection_with_an_early_response_is_not_reused() {
+    for adapter in [Adapter::Real, Adapter::Fake] {
+        let world = World::start(adapter, Script::new(&[Step::Early])).await;
         let large = futures_util::stream::unfold(0, |sent| async move {
             if sent == 8 {
                 return None;
@@ -56,14 +56,14 @@
         assert_eq!(seen.body.as_deref(), Some(&b"early"[..]));
         tokio::time::sleep(std::time::Duration::from_millis(150)).await;
         let seen = world.send(get("/list").body(body::empty()).unwrap()).await;
-        assert_eq!(seen.body.as_deref(), Some(&b"xxxxx"[..]), "{border:?}");
-        assert_eq!(world.script.state().opened, 2, "{border:?}");
+        assert_eq!(seen.body.as_deref(), Some(&b"xxxxx"[..]), "{adapter:?}");
+        assert_eq!(world.script.state().opened, 2, "{adapter:?}");
     }
 }
 
 #[tokio::test]
-async fn a_connection_is_used_again_after_a_refusal() {
-    let world = World::start(Border::Real, Script::new(&[Step::Refused])).await;
+async fn a_connection_is_reused_after_a_refusal() {
+    let world = World::start(Adapter::Real, Script::new(&[Step::Refused])).await;
     world.warm_up().await;
     let seen = world.send(post("/orders").body(body::full("one")).unwrap()).await;
     assert_eq!(seen.status, 200);
@@ -80,16 +80,16 @@
 // A connection that was idle for longer, or across a pause of the process, may be
 // dead; a write on it would wait for its whole deadline.
 #[tokio::test]
-async fn only_a_connection_that_answered_within_the_last_second_is_taken() {
+async fn only_recently_used_connections_are_reused() {
     for (age_ms, taken) in [(0, true), (900, true), (1_100, false), (600_000, false)] {
-        let clock = Arc::new(JumpClock::default());
+        let clock = Arc::new(OffsetClock::default());
         let pool = Pool::start(clock.clone());
         let addr = ([127, 0, 0, 1], 1).into();
         let conn = FakeDialer(Script::new(&[])).dial(addr).await.unwrap();
         pool.put(addr, conn);
         // Once the task replies, it has processed `put`.
         assert!(pool.take(([127, 0, 0, 1], 2).into()).await.is_none());
-        clock.jump(age_ms);
+        clock.advance(age_ms);
         assert_eq!(pool.take(addr).await.is_some(), taken, "after {age_ms} ms");
     }
 }
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -36,21 +36,21 @@
 
 /// The backend adapter that the gateway uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Border {
+pub(crate) enum Adapter {
     Real,
     Fake,
 }
 
 /// The system clocks, which a test can advance.
 #[derive(Debug, Default)]
-pub(crate) struct JumpClock {
+pub(crate) struct OffsetClock {
     system: SystemClock,
     ahead_ms: AtomicU64,
 }
 
-impl JumpClock {
+impl OffsetClock {
     /// Advances the clocks, as if the process had been paused.
-    pub(crate) fn jump(&self, ms: u64) {
+    pub(crate) fn advance(&self, ms: u64) {
         self.ahead_ms.fetch_add(ms, Ordering::SeqCst);
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-impl Clock for JumpClock {
+impl Clock for OffsetClock {
     fn now(&self) -> Millis {
         self.system.now() + self.ahead()
     }
@@ -75,14 +75,14 @@
     pub(crate) script: Script,
     pub(crate) platform: FakePlatform,
     pub(crate) start: StartNumber,
-    pub(crate) clock: Arc<JumpClock>,
+    pub(crate) clock: Arc<OffsetClock>,
     pub(crate) addr: SocketAddr,
     snapshots: Snapshots,
 }
 
 /// The response as the client received it.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ClientResponse {
     pub(crate) status: u16,
     pub(crate) outcome: String,
     pub(crate) retry_after: String,
@@ -92,40 +92,40 @@
 }
 
 impl World {
-    pub(crate) async fn start(border: Border, script: Script) -> World {
+    pub(crate) async fn start(adapter: Adapter, script: Script) -> World {
         let platform = FakePlatform::default();
-        World::start_with(border, script, platform, "entry-1").await
+        World::start_with(adapter, script, platform, "entry-1").await
     }
 
     /// Starts an instance that may share its platform with others.
     pub(crate) async fn start_with(
-        border: Border,
+        adapter: Adapter,
         script: Script,
         platform: FakePlatform,
         name: &str,
     ) -> World {
         let addr = server::start(script.clone()).await;
-        World::build(border, script, platform, name, addr).await
+        World::build(adapter, script, platform, name, addr).await
     }
 
     /// Starts an instance whose backend server is at `addr`.
-    pub(crate) async fn start_at(border: Border, addr: SocketAddr) -> World {
-        World::build(border, Script::new(&[]), FakePlatform::default(), "entry-1", addr).await
+    pub(crate) async fn start_at(adapter: Adapter, addr: SocketAddr) -> World {
+        World::build(adapter, Script::new(&[]), FakePlatform::default(), "entry-1", addr).await
     }
 
     async fn build(
-        border: Border,
+        adapter: Adapter,
         script: Script,
         platform: FakePlatform,
         name: &str,
         addr: SocketAddr,
     ) -> World {
-        let jump_clock = Arc::new(JumpClock::default());
-        platform.state().clock.get_or_insert_with(|| Arc::clone(&jump_clock));
-        let clock: SharedClock = jump_clock.clone();
-        let dialer: SharedDialer = match border {
-            Border::Real => Arc::new(HttpDialer { ip: [127, 0, 0, 1].into() }),
-            Border::Fake => Arc::new(FakeDialer(script.clone())),
+        let offset_clock = Arc::new(OffsetClock::default());
+        platform.state().clock.get_or_insert_with(|| Arc::clone(&offset_clock));
+        let clock: SharedClock = offset_clock.clone();
+        let dialer: SharedDialer = match adapter {
+            Adapter::Real => Arc::new(HttpDialer { ip: [127, 0, 0, 1].into() }),
+            Adapter::Fake => Arc::new(FakeDialer(script.clone())),
         };
         let topology = json!({
             "regions": [{ "name": "r", "zones": ["r-a"] }],
@@ -171,7 +171,7 @@
             script,
             platform,
             start,
-            clock: jump_clock,
+            clock: offset_clock,
             addr,
             snapshots,
         }
@@ -197,8 +197,8 @@
         }
     }
 
-    pub(crate) async fn send(&self, request: Request<Body>) -> Seen {
-        see(self.gateway.handle(request, self.addr).await).await
+    pub(crate) async fn send(&self, request: Request<Body>) -> ClientResponse {
+        read_response(self.gateway.handle(request, self.addr).await).await
     }
 
     /// Sends a request that leaves a connection in the pool.
@@ -214,7 +214,7 @@
 }
 
 /// Reads a whole response.
-pub(crate) async fn see(response: Response<Body>) -> Seen {
+pub(crate) async fn read_response(response: Response<Body>) -> ClientResponse {
     let (head, body) = response.into_parts();
     let header = |name: &str| {
         let value = head.headers.get(name).map(|value| value.to_str().unwrap().to_owned());
@@ -227,7 +227,7 @@
         "-" => "-".to_owned(),
         _ => text.split(':').next().unwrap().to_owned(),
     };
-    Seen { status: head.status.as_u16(), outcome, retry_after, code, body }
+    ClientResponse { status: head.status.as_u16(), outcome, retry_after, code, body }
 }
 
 pub(crate) fn get(path: &str) -> hyper::http::request::Builder {
