--- a/crates/azuregate/tests/dispatch/net.rs
+++ b/crates/azuregate/tests/dispatch/net.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Host {
     /// Responds to every request.
-    Answers,
+    Responds,
     /// Refuses requests like a dispatcher whose queue is full.
     NotRun,
     /// Responds like a dispatcher that cannot tell whether the request ran.
@@ -33,7 +33,7 @@
     /// Accepts a request and closes the connection.
     Cut,
     /// Closes the connection in the middle of the response body.
-    CutsAnswers,
+    CutsResponses,
 }
 
 /// A simulated network; cheap to clone.
@@ -91,10 +91,10 @@
             state.hosts[&self.addr]
         };
         match host {
-            Host::Answers => Ok(answer(200, None)),
+            Host::Responds => Ok(answer(200, None)),
             Host::NotRun => Ok(answer(503, Some("not-run"))),
             Host::Unknown => Ok(answer(504, Some("unknown"))),
-            Host::CutsAnswers => {
+            Host::CutsResponses => {
                 let cut = stream::iter([Err::<Frame<Bytes>, _>(body::BodyError::from("cut"))]);
                 Ok(Response::new(StreamBody::new(cut).boxed_unsync()))
             }
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -53,7 +53,7 @@
     /// `entry-1` in zone `r-a`, with `entry-2` and the server in `r-b`.
     pub(crate) async fn start(peer_host: Host) -> World {
         let net = Net::default();
-        net.set(server(), Host::Answers);
+        net.set(server(), Host::Responds);
         net.set(peer(), peer_host);
         let clock: SharedClock = Arc::new(SystemClock::new());
         let topology = json!({
@@ -85,7 +85,7 @@
             clock: Arc::clone(&clock),
             dialer: Arc::new(net.clone()),
             pool: Pool::start(Arc::clone(&clock)),
-            claims: Claims::new(Arc::new(Down), clock, snapshots, &instance, start),
+            claims: Claims::new(Arc::new(UnavailablePlatform), clock, snapshots, &instance, start),
             selectors,
             recorder: Recorder::start(Arc::new(NullSink)),
         });
@@ -97,12 +97,12 @@
     }
 
     /// Reports the other instance as away.
-    pub(crate) fn peer_is_away(&self) {
+    pub(crate) fn report_peer_away(&self) {
         self.config.change(Change::Away([InstanceId::new("entry-2")].into()));
     }
 
     /// Delivers a load update of the dispatcher for the server's group.
-    pub(crate) fn frame(&self, free: u32) {
+    pub(crate) fn deliver_load(&self, free: u32) {
         let load = GroupLoad { free, slots: 3, service_ms: 20, ..GroupLoad::default() };
         let service = ServiceName::new("svc");
         let group = GroupId { zone: ZoneName::new("r-b"), part: 0 };
@@ -143,14 +143,14 @@
 }
 
 /// A platform that is down; no test here may depend on it.
-struct Down;
+struct UnavailablePlatform;
 
 fn down<T>() -> Result<T> {
     Err(PlatformError::new(Effect::None, "down"))
 }
 
 #[async_trait]
-impl Platform for Down {
+impl Platform for UnavailablePlatform {
     async fn read(&self, _table: Table, _key: &str) -> Result<Option<Row>> {
         down()
     }
