--- a/crates/azuregate/src/serve/state.rs
+++ b/crates/azuregate/src/serve/state.rs
@@ -1,4 +1,4 @@
-//! What an entry instance believes, and what its tasks share.
+//! The state shared by all tasks of an entry instance.
 
 use std::{
     cell::{Cell, RefCell},
@@ -15,62 +15,66 @@
 use azuregate_platform::settings::{Bounds, Settings};
 use tokio::sync::{Notify, watch};
 
-use super::{encoded::EncodedCache, metrics::Metrics, phase::Phase, pool::Pool, tables::Tables};
+use super::{
+    encoding::EncodedChangesCache, metrics::Metrics, pool::ConnectionPool,
+    shutdown_phase::ShutdownPhase, tables::Tables,
+};
 use crate::{stop::Stop, timer::Timer};
 
-/// The share of the retry budget that is used. Backend servers count when a
-/// request arrives and instances when it is sent, so the windows differ a little.
-const RETRY_SHARE: f64 = 0.85;
-/// Heartbeats of an instance that stay out for this long end its being named to
-/// clients: four of them, which packet loss alone hardly takes.
-const SILENCE_MS: u64 = 2_000;
+/// The share of the retry budget that is used. Instances count requests when they send
+/// them and backend servers when they receive them, so their windows differ slightly.
+const RETRY_BUDGET_SHARE: f64 = 0.85;
+/// An instance without a heartbeat for this long is removed from lookups. Four heartbeats
+/// are rarely all lost in the network.
+const HEARTBEAT_TIMEOUT_MS: u64 = 2_000;
 
-/// What an entry instance believes.
+/// The state of an entry instance.
 pub(super) struct State {
     pub(super) settings: Settings,
     pub(super) start: StartNumber,
     pub(super) stop: Stop,
-    /// How far a planned stop has come.
-    pub(super) phase: watch::Receiver<Phase>,
+    pub(super) phase: watch::Receiver<ShutdownPhase>,
     pub(super) timer: Timer,
     pub(super) balancer: RefCell<Balancer>,
     pub(super) members: RefCell<Members>,
-    pub(super) pool: Pool,
+    pub(super) pool: ConnectionPool,
     pub(super) metrics: Metrics,
-    /// Copies of the store's tables.
     pub(super) tables: RefCell<Tables>,
-    /// Changes as they were passed on last.
-    pub(super) encoded: RefCell<EncodedCache>,
-    /// Wakes what passes changes on.
-    pub(super) changed: watch::Sender<()>,
-    /// How old the last sign of the store is, by the own watch and by sources.
+    pub(super) encoded_cache: RefCell<EncodedChangesCache>,
+    /// Notified after each change of the tables or of their freshness.
+    pub(super) tables_changed: watch::Sender<()>,
+    /// The freshness of the tables, from this instance's own watch and from its sources.
     pub(super) contact: RefCell<FreshnessTracker>,
     /// Whether this instance watches the store itself.
     pub(super) is_watching: watch::Sender<bool>,
-    /// Whether it does so because others need it.
-    pub(super) watches_for_others: Cell<bool>,
-    /// Instances that follow this one.
+    /// Whether it does so on behalf of other instances.
+    pub(super) is_designated_watcher: Cell<bool>,
+    /// The number of instances that follow this one.
     pub(super) followers: Cell<usize>,
-    /// Backend servers whose rows are missing, but may come back.
-    pub(super) lapsed: RefCell<MissingBackends>,
-    /// Since when the store has been there without a break, by any way; `None`
-    /// while it is not.
-    pub(super) has_store_since_ms: Cell<Option<u64>>,
-    /// Wakes the watches when another instance has seen more.
-    pub(super) behind: Notify,
-    /// Wakes the watch of members when an unknown instance was heard.
+    /// Backend servers whose rows expired during a store outage and may return.
+    pub(super) missing_backends: RefCell<MissingBackends>,
+    /// When contact with the store was last established, directly or through other
+    /// instances; `None` while there is no contact.
+    pub(super) store_reachable_since_ms: Cell<Option<u64>>,
+    /// Notified when another instance has newer table versions.
+    pub(super) lag_detected: Notify,
+    /// Notified when heartbeats of an unregistered instance are received.
     pub(super) unknown_member: Notify,
-    /// Open connections of clients.
+    /// The number of open client connections.
     pub(super) connections: Cell<usize>,
     config: RefCell<Option<Arc<Config>>>,
     bounds: RefCell<Bounds>,
-    retries: RefCell<HashMap<ServiceName, RetryBudget>>,
-    splits: RefCell<HashMap<String, WeightedRoundRobin>>,
-    origin: Instant,
+    retry_budgets: RefCell<HashMap<ServiceName, RetryBudget>>,
+    traffic_splits: RefCell<HashMap<String, WeightedRoundRobin>>,
+    started_at: Instant,
 }
 
 impl State {
-    pub(super) fn new(settings: Settings, stop: Stop, phase: watch::Receiver<Phase>) -> State {
+    pub(super) fn new(
+        settings: Settings,
+        stop: Stop,
+        phase: watch::Receiver<ShutdownPhase>,
+    ) -> State {
         let balancer = Balancer::new(balance::Settings {
             instance: settings.instance.clone(),
             zone: settings.zone.clone(),
@@ -78,7 +82,8 @@
             cold_rate_factor: settings.bounds.cold_rate_factor,
             cold_rate_slack: settings.bounds.cold_rate_slack,
         });
-        let members = Members::new(settings.instance.clone(), settings.zones.clone(), SILENCE_MS);
+        let members =
+            Members::new(settings.instance.clone(), settings.zones.clone(), HEARTBEAT_TIMEOUT_MS);
         let epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         State {
             start: StartNumber(u64::try_from(epoch.as_millis()).unwrap_or(u64::MAX)),
@@ -87,45 +92,45 @@
             timer: Timer::start(),
             balancer: RefCell::new(balancer),
             members: RefCell::new(members),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             metrics: Metrics::default(),
             tables: RefCell::default(),
-            encoded: RefCell::default(),
-            changed: watch::Sender::new(()),
+            encoded_cache: RefCell::default(),
+            tables_changed: watch::Sender::new(()),
             contact: RefCell::new(FreshnessTracker::new(settings.bounds.propagation_ms)),
             is_watching: watch::Sender::new(true),
-            watches_for_others: Cell::new(false),
+            is_designated_watcher: Cell::new(false),
             followers: Cell::new(0),
-            lapsed: RefCell::default(),
-            has_store_since_ms: Cell::new(None),
-            behind: Notify::new(),
+            missing_backends: RefCell::default(),
+            store_reachable_since_ms: Cell::new(None),
+            lag_detected: Notify::new(),
             unknown_member: Notify::new(),
             connections: Cell::new(0),
             config: RefCell::new(None),
             bounds: RefCell::new(settings.bounds.clone()),
-            retries: RefCell::default(),
-            splits: RefCell::default(),
-            origin: Instant::now(),
+            retry_budgets: RefCell::default(),
+            traffic_splits: RefCell::default(),
+            started_at: Instant::now(),
             settings,
         }
     }
 
-    /// Monotonic time since the start.
+    /// Returns the monotonic time since the start.
     pub(super) fn now_ms(&self) -> u64 {
-        u64::try_from(self.origin.elapsed().as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The configuration in force, `None` before the first one.
+    /// Returns the current configuration, or `None` until the first one is loaded.
     pub(super) fn config(&self) -> Option<Arc<Config>> {
         self.config.borrow().clone()
     }
 
-    /// What the operator expects of the whole deployment.
+    /// Returns the bounds that apply to the whole deployment.
     pub(super) fn bounds(&self) -> Bounds {
         self.bounds.borrow().clone()
     }
 
-    /// Takes in new bounds; returns whether they differ.
+    /// Replaces the bounds and returns whether they changed.
     pub(super) fn set_bounds(&self, bounds: Bounds) -> bool {
         if *self.bounds.borrow() == bounds {
             return false;
@@ -135,30 +140,31 @@
         balancer.set_cold_limits(&self.members.borrow());
         self.contact.borrow_mut().set_propagation_limit_ms(bounds.propagation_ms);
         *self.bounds.borrow_mut() = bounds;
-        // They are made anew with the new share, and start empty, which allows less.
-        self.retries.borrow_mut().clear();
+        // Budgets are recreated with the new ratio. They start empty, which allows fewer
+        // retries rather than more.
+        self.retry_budgets.borrow_mut().clear();
         true
     }
 
-    /// Whether the table of backend servers was read since the start.
+    /// Returns whether the table of backend servers has been loaded.
     pub(super) fn has_backends(&self) -> bool {
         self.tables.borrow().get(Table::Backends).is_loaded()
     }
 
-    /// Notes when the store is lost and when it is back.
-    pub(super) fn check_contact(&self) {
+    /// Records whether contact with the store was lost or re-established.
+    pub(super) fn update_store_contact(&self) {
         let now_ms = self.now_ms();
         let is_fresh = self.contact.borrow().is_fresh(now_ms);
-        match (self.has_store_since_ms.get(), is_fresh) {
+        match (self.store_reachable_since_ms.get(), is_fresh) {
             (None, true) => {
-                self.lapsed.borrow_mut().mark_store_reachable(now_ms);
-                self.has_store_since_ms.set(Some(now_ms));
-                log::info!("contact with the store");
+                self.missing_backends.borrow_mut().mark_store_reachable(now_ms);
+                self.store_reachable_since_ms.set(Some(now_ms));
+                log::info!("store contact established");
             }
             (Some(since_ms), false) => {
-                self.lapsed.borrow_mut().mark_store_unreachable();
-                self.has_store_since_ms.set(None);
-                log::warn!(had_ms = now_ms.saturating_sub(since_ms); "no contact with the store");
+                self.missing_backends.borrow_mut().mark_store_unreachable();
+                self.store_reachable_since_ms.set(None);
+                log::warn!(had_ms = now_ms.saturating_sub(since_ms); "store contact lost");
             }
             (None, false) | (Some(_), true) => {}
         }
@@ -166,14 +172,13 @@
         self.members.borrow_mut().set_local_can_watch(can_watch);
     }
 
-    /// Whether requests can be served.
+    /// Returns whether the instance can serve requests.
     pub(super) fn is_ready(&self) -> bool {
         self.config.borrow().is_some() && self.has_backends() && !self.stop.is_stopping()
     }
 
-    /// Takes in a configuration, unless a newer one is in force. The store may
-    /// answer from a copy that is behind, and what was in force must not come
-    /// back.
+    /// Applies a configuration, unless the current one is the same version or newer: a
+    /// lagging replica of the store may return an outdated configuration.
     pub(super) fn set_config(&self, config: Config) {
         let version = config.version();
         let previous = self.config.borrow().as_ref().map(|config| config.version());
@@ -185,54 +190,61 @@
         let mut balancer = self.balancer.borrow_mut();
         balancer.set_config(config);
         balancer.set_cold_limits(&self.members.borrow());
-        log::info!(version = version, previous:? = previous; "configuration in force");
+        log::info!(version = version, previous:? = previous; "configuration applied");
     }
 
-    /// Forgets backend servers whose rows are gone for good.
-    pub(super) fn remove_lapsed(&self, another_had_store: bool) {
-        let gone = self.lapsed.borrow_mut().take_expired(another_had_store, self.now_ms());
-        for id in gone {
+    /// Removes backend servers whose expired rows did not return.
+    pub(super) fn remove_expired_backends(&self, another_had_store: bool) {
+        let expired =
+            self.missing_backends.borrow_mut().take_expired(another_had_store, self.now_ms());
+        for id in expired {
             if self.balancer.borrow_mut().remove(id.as_str()) {
-                log::info!(backend:% = id, another_had_store = another_had_store; "backend server gone since the store was away");
+                log::info!(backend:% = id, another_had_store = another_had_store; "backend server removed after store outage");
             }
         }
     }
 
-    /// The service of the next request on a route, and its index.
+    /// Selects the service for the next request on a route, by the route's traffic split.
     pub(super) fn next_service(&self, route: &balance::Route) -> ServiceName {
         let destinations = &route.destinations;
         if let [only] = destinations.as_slice() {
             return only.service.clone();
         }
-        let mut splits = self.splits.borrow_mut();
-        let split = splits.entry(route.name.clone()).or_default();
+        let mut traffic_splits = self.traffic_splits.borrow_mut();
+        let split = traffic_splits.entry(route.name.clone()).or_default();
         destinations[split.next(destinations)].service.clone()
     }
 
-    /// Counts a request of a client for `service`.
-    pub(super) fn count_request(&self, service: &ServiceName) {
+    /// Records a client request in the retry budget of `service`.
+    pub(super) fn record_request(&self, service: &ServiceName) {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.record_request(now_ms));
+        self.with_retry_budget(service, |budget| budget.record_request(now_ms));
     }
 
-    /// Takes a retry from the budget of `service`, if there is room.
-    pub(super) fn take_retry(&self, service: &ServiceName) -> bool {
+    /// Takes a retry from the budget of `service` and returns whether one was available.
+    pub(super) fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now_ms = self.now_ms();
-        self.with_retries(service, |budget| budget.try_acquire(now_ms))
+        self.with_retry_budget(service, |budget| budget.try_acquire(now_ms))
     }
 
-    fn with_retries<T>(&self, service: &ServiceName, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
+    fn with_retry_budget<T>(
+        &self,
+        service: &ServiceName,
+        f: impl FnOnce(&mut RetryBudget) -> T,
+    ) -> T {
         let bounds = self.bounds.borrow();
-        let mut retries = self.retries.borrow_mut();
-        if !retries.contains_key(service) {
-            let budget =
-                RetryBudget::new(bounds.retry_budget_ratio * RETRY_SHARE, bounds.retry_window_ms);
-            retries.insert(service.clone(), budget);
+        let mut retry_budgets = self.retry_budgets.borrow_mut();
+        if !retry_budgets.contains_key(service) {
+            let budget = RetryBudget::new(
+                bounds.retry_budget_ratio * RETRY_BUDGET_SHARE,
+                bounds.retry_window_ms,
+            );
+            retry_budgets.insert(service.clone(), budget);
         }
-        f(retries.get_mut(service).expect("it was just added"))
+        f(retry_budgets.get_mut(service).expect("it was just added"))
     }
 
-    /// Zones and their regions, by which lookups are answered.
+    /// Returns the region of an availability zone.
     pub(super) fn region_of(&self, zone: &str) -> Option<&str> {
         let zones: &BTreeMap<_, _> = &self.settings.zones;
         zones.get(zone).map(|region| region.as_str())
--- a/crates/azuregate/src/settings/check.rs
+++ b/crates/azuregate/src/settings/check.rs
@@ -7,41 +7,41 @@
     common::Ranged,
 };
 
-use crate::jsonc::{Problems, closest};
+use crate::jsonc::{Problems, closest_match};
 
 /// The ports that an instance opens on its IP number.
-const PORTS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
+const PORT_KEYS: [&str; 4] = ["traffic_port", "peer_port", "operators_port", "status_port"];
 
 /// Reports what does not fit together. Values of the wrong shape are passed
 /// over, since they are reported elsewhere.
-pub(super) fn relations(root: &Value<'_>, problems: &mut Problems<'_>) {
-    ports(root, problems);
-    platform(root, problems);
-    topology(root, problems);
-    zone(root, problems);
+pub(super) fn cross_checks(root: &Value<'_>, problems: &mut Problems<'_>) {
+    check_ports(root, problems);
+    check_platform(root, problems);
+    check_topology(root, problems);
+    check_zone(root, problems);
 }
 
 /// The second listener on a port would fail, and the instance not start.
-fn ports(root: &Value<'_>, problems: &mut Problems<'_>) {
-    let mut taken: BTreeMap<&str, &str> = BTreeMap::new();
-    for key in PORTS {
+fn check_ports(root: &Value<'_>, problems: &mut Problems<'_>) {
+    let mut seen: BTreeMap<&str, &str> = BTreeMap::new();
+    for key in PORT_KEYS {
         let Some(port) = number(root, &[key]) else { continue };
-        if let Some(by) = taken.get(port.value) {
-            let message = format!("clashes with {by}: both are {}", port.value);
+        if let Some(previous) = seen.get(port.value) {
+            let message = format!("clashes with {previous}: both are {}", port.value);
             problems.add(port.range.start, key, message);
         } else {
-            taken.insert(port.value, key);
+            seen.insert(port.value, key);
         }
     }
 }
 
 /// An instance that takes itself for the platform waits for a configuration
 /// for ever.
-fn platform(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_platform(root: &Value<'_>, problems: &mut Problems<'_>) {
     let (Some(ip), Some(addr)) = (text(root, &["ip"]), text(root, &["platform", "addr"])) else {
         return;
     };
-    for key in PORTS {
+    for key in PORT_KEYS {
         let Some(port) = number(root, &[key]) else { continue };
         let own: Option<SocketAddr> = format!("{}:{}", ip.value, port.value).parse().ok();
         if own.is_some() && own == addr.value.parse().ok() {
@@ -55,21 +55,21 @@
 }
 
 /// A zone's region must be plain, since distance and failing over follow it.
-fn topology(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_topology(root: &Value<'_>, problems: &mut Problems<'_>) {
     let mut regions = BTreeMap::new();
     let mut zones = BTreeMap::new();
     for (index, region) in elements(root, &["topology", "regions"]).iter().enumerate() {
         let path = format!("topology.regions[{index}]");
         if let Some(name) = text(region, &["name"]) {
-            report_repeat(&mut regions, name, &format!("{path}.name"), problems);
+            report_duplicate(&mut regions, name, &format!("{path}.name"), problems);
         }
         for zone in elements(region, &["zones"]).iter().filter_map(Value::as_string_lit) {
-            report_repeat(&mut zones, zone, &format!("{path}.zones"), problems);
+            report_duplicate(&mut zones, zone, &format!("{path}.zones"), problems);
         }
     }
 }
 
-fn report_repeat<'a>(
+fn report_duplicate<'a>(
     seen: &mut BTreeMap<&'a str, usize>,
     name: &'a StringLit<'_>,
     path: &str,
@@ -85,7 +85,7 @@
     seen.insert(&name.value, offset);
 }
 
-fn zone(root: &Value<'_>, problems: &mut Problems<'_>) {
+fn check_zone(root: &Value<'_>, problems: &mut Problems<'_>) {
     let Some(zone) = text(root, &["zone"]) else { return };
     let regions = elements(root, &["topology", "regions"]);
     let zones: Vec<&str> = regions
@@ -96,7 +96,7 @@
     if zones.is_empty() || zones.contains(&&*zone.value) {
         return;
     }
-    let hint = closest(&zone.value, zones.into_iter())
+    let hint = closest_match(&zone.value, zones.into_iter())
         .map_or_else(String::new, |name| format!("; did you mean {name:?}?"));
     problems.add(
         zone.range().start,
--- a/crates/azuregate/tests/serve/main.rs
+++ b/crates/azuregate/tests/serve/main.rs
@@ -1,17 +1,16 @@
-//! An entry instance on the users' platform, against stand-ins for the store and
-//! the backend servers.
+//! Tests of entry instances against a fake store and fake backend servers.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
-mod answers;
 mod at_most_once;
+mod backends;
 mod clients;
+mod cluster;
 mod configuration;
 mod links;
 mod lookups;
 mod relay;
 mod reload;
-mod servers;
+mod responses;
+mod shutdown;
 mod slow_links;
-mod stops;
-mod world;
