--- a/crates/azuregate/src/gateway/answer.rs
+++ b/crates/azuregate/src/gateway/error_response.rs
@@ -1,19 +1,19 @@
-//! Answers that azuregate makes itself.
+//! HTTP responses for errors.
 
 use azuregate_core::error::{Error, ErrorKind};
 use hyper::{Response, StatusCode, header};
 
 use crate::body::{self, Body};
 
-/// Tells what the caller may conclude about its request.
+/// Header that states whether the request may have run.
 pub(crate) const OUTCOME: &str = "azuregate-outcome";
 
-/// The answer for an error, from the table of answers.
-pub(crate) fn error(error: &Error) -> Response<Body> {
-    let row = error.kind().response();
+/// Builds the response for an error.
+pub(crate) fn from_error(error: &Error) -> Response<Body> {
+    let response = error.kind().response();
     let text = format!("{error}\n");
     let mut builder = Response::builder()
-        .status(row.status)
+        .status(response.status)
         .header(header::CONTENT_TYPE, "text/plain; charset=utf-8")
         .header(OUTCOME, error.outcome().as_str());
     if let Some(after_s) = error.retry_after_s() {
--- a/crates/azuregate/src/gateway/forward.rs
+++ b/crates/azuregate/src/gateway/forward.rs
@@ -1,4 +1,4 @@
-//! Sends a request to a backend server, and again elsewhere where that is safe.
+//! Forwards a request to a backend server and retries it where that is safe.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,45 +12,45 @@
 use crate::{
     backend::BackendConn,
     body::Body,
-    gateway::{Attributes, Parts, payload::Payload, retries::Retries},
-    selector::{Handed, Lease, Selector, Want},
+    gateway::{Attributes, GatewayContext, payload::Payload, retries::ServiceRetries},
+    selector::{IncomingHandOver, Lease, Selector, SlotRequest},
 };
 
-/// How often a request is tried at the most.
-const ATTEMPTS: usize = 3;
+/// Maximum number of attempts for a request.
+const MAX_ATTEMPTS: usize = 3;
 
-/// One request on its way to a backend server.
+/// Forwards one request.
 ///
-/// It owns what it needs, since a request with an idempotency key goes on when
-/// its caller has left.
-pub(crate) struct Forward {
-    pub(crate) parts: Arc<Parts>,
+/// Owns its state, because a request with an idempotency key continues after its
+/// client disconnects.
+pub(crate) struct Forwarder {
+    pub(crate) context: Arc<GatewayContext>,
     pub(crate) selector: Selector,
-    pub(crate) retries: Retries,
+    pub(crate) retries: ServiceRetries,
     pub(crate) attributes: Attributes,
-    /// On the monotonic clock.
+    /// Deadline on the monotonic clock.
     pub(crate) deadline_ms: u64,
     pub(crate) queue_ms: u64,
-    /// Who handed the request over, if it is here on its second hop.
-    pub(crate) handed: Option<Handed>,
+    /// Set if another instance handed the request over.
+    pub(crate) incoming_hand_over: Option<IncomingHandOver>,
 }
 
-/// A failed attempt, with the body if it can be sent again.
-struct Failed {
+/// A failed attempt, with the body if it can be resent.
+struct FailedAttempt {
     error: Error,
     payload: Option<Payload>,
-    /// Whether the retry was paid for already.
-    paid: bool,
+    /// Whether the retry has already been charged to the budget.
+    retry_charged: bool,
 }
 
-/// A connection for one attempt.
-pub(crate) struct Link {
+/// The connection of one attempt.
+pub(crate) struct AttemptConn {
     pub(crate) conn: Box<dyn BackendConn>,
     pub(crate) pooled: bool,
 }
 
-impl Forward {
-    /// Runs the request, trying again where the table of answers allows it.
+impl Forwarder {
+    /// Forwards the request, retrying where the error kind allows it.
     pub(crate) async fn run(
         &self,
         head: &request::Parts,
@@ -66,9 +66,8 @@
             };
             may_have_run |= failed.error.outcome() == Outcome::Unknown;
             let may_retry = self.may_retry(&failed, attempt);
-            let Some(again) = failed.payload.filter(|_| may_retry) else {
-                // The last attempt may be refused as not run where an earlier one
-                // ran and lost its answer; the caller asks about the request.
+            let Some(retry_payload) = failed.payload.filter(|_| may_retry) else {
+                // Even if the last attempt did not run, an earlier one may have.
                 let error = failed.error;
                 return Err(if may_have_run {
                     error.with_unknown_earlier_attempt()
@@ -76,16 +75,16 @@
                     error
                 });
             };
-            payload = again;
+            payload = retry_payload;
             attempt += 1;
         }
     }
 
-    fn may_retry(&self, failed: &Failed, attempt: usize) -> bool {
-        if failed.payload.is_none() || attempt >= ATTEMPTS || self.remaining_ms() == 0 {
+    fn may_retry(&self, failed: &FailedAttempt, attempt: usize) -> bool {
+        if failed.payload.is_none() || attempt >= MAX_ATTEMPTS || self.remaining_ms() == 0 {
             return false;
         }
-        if failed.paid {
+        if failed.retry_charged {
             return true;
         }
         let kind = failed.error.kind();
@@ -96,8 +95,8 @@
                 | ErrorKind::BackendRefused
                 | ErrorKind::ConnectFailed
         );
-        // A refusal costs a backend server next to nothing. What may have run
-        // costs it a whole request, so only those draw on the budget.
+        // A refusal costs a backend server little. Only retries of attempts that
+        // may have run are charged to the budget.
         at_backend
             && match kind.response().retry {
                 Retry::Always => true,
@@ -107,14 +106,20 @@
     }
 
     pub(crate) fn remaining_ms(&self) -> u64 {
-        self.deadline_ms.saturating_sub(self.parts.clock.now().0)
+        self.deadline_ms.saturating_sub(self.context.clock.now().0)
     }
 
-    fn want(&self, up_bytes: u64) -> Want {
-        let left_ms = self.remaining_ms();
-        let wait_ms = self.queue_ms.min(left_ms);
+    fn slot_request(&self, body_bytes: u64) -> SlotRequest {
+        let remaining_ms = self.remaining_ms();
+        let max_wait_ms = self.queue_ms.min(remaining_ms);
         let idempotent = self.attributes.idempotent;
-        Want { wait_ms, left_ms, up_bytes, idempotent, handed: self.handed.clone() }
+        SlotRequest {
+            max_wait_ms,
+            remaining_ms,
+            body_bytes,
+            idempotent,
+            incoming_hand_over: self.incoming_hand_over.clone(),
+        }
     }
 
     async fn attempt(
@@ -122,78 +127,95 @@
         head: &request::Parts,
         payload: Payload,
         attempt: usize,
-    ) -> Result<Response<Body>, Failed> {
-        let (lease, link) = match self.reach(attempt, payload.up_bytes()).await {
-            Ok(reached) => reached,
-            Err(error) => return Err(Failed { error, payload: Some(payload), paid: false }),
+    ) -> Result<Response<Body>, FailedAttempt> {
+        let (lease, attempt_conn) = match self
+            .acquire_connection(attempt, payload.body_bytes())
+            .await
+        {
+            Ok(acquired) => acquired,
+            Err(error) => {
+                return Err(FailedAttempt { error, payload: Some(payload), retry_charged: false });
+            }
         };
-        let (body, again) = payload.send();
-        let late_ms = self.late_after_ms(&lease, &link, again.is_some());
+        let (body, retry_payload) = payload.into_body();
+        let abandon_after_ms =
+            self.abandon_after_ms(&lease, &attempt_conn, retry_payload.is_some());
         let request = self.outgoing(&lease, head, body);
-        self.send(lease, link, request, late_ms).await.map_err(|(error, paid)| Failed {
-            error,
-            payload: again,
-            paid,
-        })
+        self.send(lease, attempt_conn, request, abandon_after_ms).await.map_err(
+            |(error, retry_charged)| FailedAttempt { error, payload: retry_payload, retry_charged },
+        )
     }
 
-    /// Takes a slot of a backend server and a connection to it.
-    async fn reach(&self, attempt: usize, up_bytes: u64) -> Result<(Lease, Link), Error> {
+    /// Acquires a slot of a backend server and a connection to it.
+    async fn acquire_connection(
+        &self,
+        attempt: usize,
+        body_bytes: u64,
+    ) -> Result<(Lease, AttemptConn), Error> {
         self.check_deadline()?;
-        let mut lease = self.selector.acquire(self.want(up_bytes)).await?;
-        let link = self.connect(&mut lease, attempt).await?;
+        let mut lease = self.selector.acquire(self.slot_request(body_bytes)).await?;
+        let attempt_conn = self.connect(&mut lease, attempt).await?;
         self.check_deadline()?;
-        Ok((lease, link))
+        Ok((lease, attempt_conn))
     }
 
-    /// Compares the clock before each effect and after each wait.
+    /// Fails once the deadline has passed.
     ///
-    /// The failure: the process is paused while it waits, for minutes as well,
-    /// and sends on waking a request that its caller has long given up. Nothing
-    /// is sent past the deadline, so a caller that waits that long knows.
+    /// Checked after each wait: otherwise a process that was paused would, on
+    /// resuming, send a request that its client has already given up.
     fn check_deadline(&self) -> Result<(), Error> {
         if self.remaining_ms() == 0 {
-            return Err(Error::new(ErrorKind::DeadlineBeforeSend, "no time left to send"));
+            return Err(Error::new(
+                ErrorKind::DeadlineBeforeSend,
+                "deadline reached before the request was sent",
+            ));
         }
         Ok(())
     }
 
-    /// A pooled connection for the first attempt, a new one for the others: what
-    /// made one connection to a server useless may have hit all of them.
-    async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<Link, Error> {
+    /// Takes a pooled connection for the first attempt. Retries open a new one,
+    /// because the failure may affect all pooled connections to the server.
+    async fn connect(&self, lease: &mut Lease, attempt: usize) -> Result<AttemptConn, Error> {
         if attempt == 1
-            && let Some(pooled) = self.parts.pool.take(lease.addr).await
+            && let Some(pooled) = self.context.pool.take(lease.addr).await
         {
-            return Ok(Link { conn: pooled.conn, pooled: true });
+            return Ok(AttemptConn { conn: pooled.conn, pooled: true });
         }
         let remaining = Duration::from_millis(self.remaining_ms());
-        match time::timeout(remaining, self.parts.dialer.dial(lease.addr)).await {
-            Ok(Ok(conn)) => Ok(Link { conn, pooled: false }),
+        match time::timeout(remaining, self.context.dialer.dial(lease.addr)).await {
+            Ok(Ok(conn)) => Ok(AttemptConn { conn, pooled: false }),
             Ok(Err(e)) => {
-                lease.set_ending(Completion::Failed);
+                lease.set_completion(Completion::Failed);
                 let detail = format!("cannot connect to {} at {}: {e}", lease.backend, lease.addr);
                 Err(Error::new(ErrorKind::ConnectFailed, detail))
             }
             Err(_) => {
-                lease.set_ending(Completion::Failed);
-                let detail = format!("no connection to {} in time", lease.backend);
+                lease.set_completion(Completion::Failed);
+                let detail = format!("connecting to {} exceeded the deadline", lease.backend);
                 Err(Error::new(ErrorKind::DeadlineBeforeSend, detail))
             }
         }
     }
 
-    /// When this attempt is given up for another one; `None` for never.
+    /// Returns the time after which this attempt is abandoned and retried on a new
+    /// connection, or `None` if it waits for the deadline.
     ///
-    /// The failure: something between the two ends lost track of a connection, it
-    /// is silent for good, and a read on it would wait for its whole deadline
-    /// while new connections work. Only an idempotent request may be sent twice,
-    /// and only on a pooled connection is silence the likely cause.
-    /// A dispatcher is left out: a request may well wait in its queue.
-    fn late_after_ms(&self, lease: &Lease, link: &Link, repeatable: bool) -> Option<u64> {
-        let elsewhere = lease.handed_to.is_some();
-        if elsewhere || !link.pooled || !repeatable || !self.attributes.idempotent {
+    /// A middlebox may silently drop the state of a pooled connection; without this
+    /// timeout, a request on it would wait for its whole deadline. Only idempotent
+    /// requests are resent. Hand-overs are excluded, because they may wait in the
+    /// dispatcher's queue.
+    fn abandon_after_ms(
+        &self,
+        lease: &Lease,
+        attempt_conn: &AttemptConn,
+        repeatable: bool,
+    ) -> Option<u64> {
+        let elsewhere = lease.outgoing_hand_over.is_some();
+        if elsewhere || !attempt_conn.pooled || !repeatable || !self.attributes.idempotent {
             return None;
         }
-        self.retries.late_after_ms().filter(|late_ms| *late_ms < self.remaining_ms())
+        self.retries
+            .late_after_ms()
+            .filter(|abandon_after_ms| *abandon_after_ms < self.remaining_ms())
     }
 }
--- a/crates/azuregate/src/gateway/lease_body.rs
+++ b/crates/azuregate/src/gateway/lease_body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer, which gives back the slot and the connection.
+//! A response body that releases its slot and connection when it ends.
 
 use std::{
     pin::Pin,
@@ -18,19 +18,18 @@
     selector::Lease,
 };
 
-/// Streams an answer to the caller.
+/// Streams a response to the client.
 ///
-/// The connection goes back to the pool only when the answer was read to its
-/// end. One that was dropped on the way has unread bytes of this answer, which
-/// the next request on it would take for its own.
+/// The connection returns to the pool only after the whole response was read;
+/// otherwise the next request on it would read the rest of this response.
 pub(crate) struct LeaseBody {
     inner: Body,
-    held: Option<Held>,
+    held: Option<HeldResources>,
 }
 
-/// What an answer holds until its end.
-pub(crate) struct Held {
-    /// Names the request in the log.
+/// The resources held until the response ends.
+pub(crate) struct HeldResources {
+    /// Identifies the request in logs.
     pub(crate) request_id: String,
     pub(crate) lease: Lease,
     pub(crate) conn: Box<dyn BackendConn>,
@@ -40,7 +39,7 @@
 }
 
 impl LeaseBody {
-    pub(crate) fn new(inner: Body, held: Held) -> LeaseBody {
+    pub(crate) fn new(inner: Body, held: HeldResources) -> LeaseBody {
         let mut body = LeaseBody { inner, held: Some(held) };
         body.finish_if_ended();
         body
@@ -56,17 +55,17 @@
         let Some(mut held) = self.held.take() else {
             return;
         };
-        held.lease.set_ending(Completion::Responded { latency_ms: held.latency_ms });
+        held.lease.set_completion(Completion::Responded { latency_ms: held.latency_ms });
         if held.reusable {
             held.pool.put(held.lease.addr, held.conn);
         }
     }
 
-    /// Ends the answer with an error. Dropping the connection closes it.
-    fn cut(&mut self, detail: &str) -> Error {
+    /// Ends the response with an error, and closes the connection by dropping it.
+    fn abort(&mut self, detail: &str) -> Error {
         let error = Error::new(ErrorKind::AnswerCut, detail);
         if let Some(mut held) = self.held.take() {
-            held.lease.set_cut();
+            held.lease.set_truncated();
             log::info!(
                 request = held.request_id, backend:% = held.lease.backend,
                 code = error.kind().code(), detail = detail;
@@ -85,8 +84,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        // An answer cut short ends the caller's answer with an error, never with
-        // a clean end: the caller would take the part for the whole.
+        // A truncated response must end with an error: after a clean end, the
+        // client would take it for complete.
         match Pin::new(&mut self.inner).poll_frame(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(Some(Ok(frame))) => {
@@ -94,7 +93,7 @@
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(e))) => {
-                let error = self.cut(&e.to_string());
+                let error = self.abort(&e.to_string());
                 Poll::Ready(Some(Err(error.into())))
             }
             Poll::Ready(None) => {
--- a/crates/azuregate/src/gateway/mod.rs
+++ b/crates/azuregate/src/gateway/mod.rs
@@ -1,15 +1,15 @@
 /*!
-Serves callers: which entry instances to use, and requests for services.
+HTTP gateway: answers entry look-ups and forwards requests to backend servers.
 */
 
-mod answer;
-mod entry_answers;
+mod count_bytes;
+mod entries_cache;
+mod error_response;
 mod forward;
-mod handover;
+mod hand_over;
 mod headers;
-mod keyed;
+mod keyed_request;
 mod lease_body;
-mod metered;
 mod payload;
 mod request;
 mod retries;
@@ -36,83 +36,94 @@
     clock::SharedClock,
     config::{Config, Snapshots},
     metrics::{ANSWERED, Recorder, Sample},
-    selector::{Handed, Selectors},
+    selector::{IncomingHandOver, Selectors},
 };
 
-use self::{entry_answers::EntryAnswers, keyed::Keyed, payload::Payload, retries::AllRetries};
+use self::{
+    entries_cache::EntriesCache, keyed_request::KeyedRequest, payload::Payload,
+    retries::RetriesByService,
+};
 
 pub use request::Attributes;
 
-/// The path that answers which entry instances to use.
+/// Path of entry look-ups.
 const ENTRIES_PATH: &str = "/v1/entries";
 
-/// What the gateway works with.
-pub struct Parts {
+/// The state and handles that a gateway uses.
+pub struct GatewayContext {
     /// The name of this instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The configuration in force.
+    /// Publishes the configuration in force.
     pub snapshots: Snapshots,
-    /// Takes in what backend servers say of themselves.
+    /// Receives state changes that backend servers announce in responses.
     pub config: Config,
     /// The clock.
     pub clock: SharedClock,
     /// Opens connections to backend servers.
     pub dialer: SharedDialer,
-    /// Keeps idle connections to backend servers.
+    /// Idle connections to backend servers.
     pub pool: Pool,
-    /// Lets keyed requests run at most once.
+    /// Claims of idempotency keys.
     pub claims: Claims,
-    /// Choose backend servers.
+    /// Selects backend servers.
     pub selectors: Selectors,
-    /// Takes in latencies and outcomes.
+    /// Records latencies and outcomes.
     pub recorder: Recorder,
 }
 
-/// Serves callers; shared between their connections.
+/// Handles client requests; shared by all client connections.
 pub struct Gateway {
-    parts: Arc<Parts>,
-    answers: EntryAnswers,
-    retries: AllRetries,
-    /// Requests with a key, which run on when their callers leave.
-    orders: TaskTracker,
+    context: Arc<GatewayContext>,
+    entries_cache: EntriesCache,
+    retries: RetriesByService,
+    /// Requests with an idempotency key; they continue after their client
+    /// disconnects.
+    keyed_requests: TaskTracker,
 }
 
 impl Gateway {
-    /// Makes a gateway.
-    pub fn new(parts: Parts) -> Gateway {
-        let (answers, retries) = (EntryAnswers::default(), AllRetries::default());
-        Gateway { parts: Arc::new(parts), answers, retries, orders: TaskTracker::new() }
+    /// Creates a gateway.
+    pub fn new(context: GatewayContext) -> Gateway {
+        let (entries_cache, retries) = (EntriesCache::default(), RetriesByService::default());
+        Gateway {
+            context: Arc::new(context),
+            entries_cache,
+            retries,
+            keyed_requests: TaskTracker::new(),
+        }
     }
 
-    /// Waits for the requests whose callers have left, and for what the platform
-    /// is to keep of them.
+    /// Waits until all keyed requests have completed, including those whose client
+    /// disconnected, and then for [`Claims::flush`].
     pub async fn finish(&self) {
-        self.orders.close();
-        self.orders.wait().await;
-        self.parts.claims.flush().await;
+        self.keyed_requests.close();
+        self.keyed_requests.wait().await;
+        self.context.claims.flush().await;
     }
 
-    /// Answers one request of the caller at `caller`.
+    /// Handles one request from the client at address `caller`.
     pub async fn handle(&self, mut request: Request<Body>, caller: SocketAddr) -> Response<Body> {
-        let started_ms = self.parts.clock.now();
-        let snapshot = self.parts.snapshots.current();
+        let started_ms = self.context.clock.now();
+        let snapshot = self.context.snapshots.current();
         if request.uri().path() == ENTRIES_PATH && request.method() == Method::GET {
-            return self.entries(&request, &snapshot, caller).unwrap_or_else(|e| answer::error(&e));
+            return self
+                .entries(&request, &snapshot, caller)
+                .unwrap_or_else(|e| error_response::from_error(&e));
         }
-        let handed = match handover::read(request.headers_mut(), caller, &snapshot) {
-            Ok(handed) => handed,
-            Err(e) => return answer::error(&e),
+        let incoming_hand_over = match hand_over::read(request.headers_mut(), caller, &snapshot) {
+            Ok(incoming_hand_over) => incoming_hand_over,
+            Err(e) => return error_response::from_error(&e),
         };
         let attributes = match Attributes::read(&request) {
             Ok(attributes) => attributes,
-            Err(e) => return answer::error(&e),
+            Err(e) => return error_response::from_error(&e),
         };
-        let result = self.serve(request, &attributes, &snapshot, handed.clone()).await;
-        let taken_ms = self.parts.clock.now().since(started_ms).0;
+        let result = self.serve(request, &attributes, &snapshot, incoming_hand_over.clone()).await;
+        let taken_ms = self.context.clock.now().since(started_ms).0;
         let code = result.as_ref().map_or_else(|e| e.kind().code(), |_| ANSWERED);
-        self.parts.recorder.record(Sample {
+        self.context.recorder.record(Sample {
             service: attributes.service.clone(),
             tenant: attributes.tenant.clone(),
             class: attributes.class,
@@ -125,14 +136,17 @@
                 code = code, detail = e.detail(), taken_ms = taken_ms;
                 "request refused"
             );
-            answer::error(&e)
+            error_response::from_error(&e)
         });
         if let Ok(id) = HeaderValue::from_str(&attributes.request_id) {
             response.headers_mut().insert(request::REQUEST_ID, id);
         }
-        if let Some(handed) = handed {
-            let selector = self.parts.selectors.get(&attributes.service);
-            handover::set_load(response.headers_mut(), selector.load_for(&handed).await);
+        if let Some(incoming_hand_over) = incoming_hand_over {
+            let selector = self.context.selectors.get(&attributes.service);
+            hand_over::set_load(
+                response.headers_mut(),
+                selector.load_for(&incoming_hand_over).await,
+            );
         }
         response
     }
@@ -148,7 +162,7 @@
             let detail = format!("no policy names {service}");
             return Err(Error::new(ErrorKind::UnknownService, detail));
         }
-        let json = self.answers.get(&self.parts, snapshot, &service, caller)?;
+        let json = self.entries_cache.get(&self.context, snapshot, &service, caller)?;
         Response::builder()
             .header(header::CONTENT_TYPE, "application/json")
             .header(header::CACHE_CONTROL, format!("max-age={MAX_AGE_S}"))
@@ -161,13 +175,13 @@
         request: Request<Body>,
         attributes: &Attributes,
         snapshot: &Snapshot,
-        handed: Option<Handed>,
+        incoming_hand_over: Option<IncomingHandOver>,
     ) -> Result<Response<Body>, Error> {
-        // The claim of a request that was handed over was made by the instance
-        // that its caller chose.
-        let key = attributes.idempotency_key.clone().filter(|_| handed.is_none());
+        // The instance that handed a request over has already claimed its key.
+        let key = attributes.idempotency_key.clone().filter(|_| incoming_hand_over.is_none());
         let keyed = key.is_some();
-        // A request with a key is refused here before its claim was read.
+        // The claim has not been read, so an earlier request with this key may
+        // have run.
         let refuse = |e: Error| if keyed { e.with_unknown_earlier_attempt() } else { e };
         if !snapshot.ready {
             let error = Error::new(ErrorKind::NotReady, "no configuration in force yet");
@@ -178,21 +192,21 @@
             return Err(refuse(Error::new(ErrorKind::UnknownService, detail)));
         };
         let timeout_ms = attributes.timeout_ms.unwrap_or(policy.timeout_ms);
-        let forward = forward::Forward {
-            parts: Arc::clone(&self.parts),
-            selector: self.parts.selectors.get(&attributes.service),
-            retries: self.retries.of(&attributes.service),
+        let forwarder = forward::Forwarder {
+            context: Arc::clone(&self.context),
+            selector: self.context.selectors.get(&attributes.service),
+            retries: self.retries.get(&attributes.service),
             attributes: attributes.clone(),
-            deadline_ms: self.parts.clock.now().0 + timeout_ms,
+            deadline_ms: self.context.clock.now().0 + timeout_ms,
             queue_ms: policy.queue_ms,
-            handed,
+            incoming_hand_over,
         };
         let (head, body) = request.into_parts();
         let payload = Payload::read(body, timeout_ms).await.map_err(refuse)?;
         let Some(key) = key else {
-            return forward.run(&head, payload).await;
+            return forwarder.run(&head, payload).await;
         };
         let home = attributes.home.clone();
-        Keyed { forward, key, home }.run(&self.orders, head, payload).await
+        KeyedRequest { forwarder, key, home }.run(&self.keyed_requests, head, payload).await
     }
 }
--- a/crates/azuregate/src/gateway/request.rs
+++ b/crates/azuregate/src/gateway/request.rs
@@ -1,4 +1,4 @@
-//! What a request says of itself in its head.
+//! Request attributes, parsed from the request head.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,57 +12,55 @@
 
 use crate::{body::Body, metrics::RequestClass};
 
-/// Names the request, so that its repeats are recognised.
+/// Identifies the request across retries.
 pub(crate) const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// How long the caller waits, in milliseconds.
+/// The client's timeout, in milliseconds.
 pub(crate) const TIMEOUT_MS: &str = "azuregate-timeout-ms";
-/// Names the request in logs here and at the backend server.
+/// Identifies the request in logs here and on the backend server.
 pub(crate) const REQUEST_ID: &str = "azuregate-request-id";
-/// Names the instance and start that alone may run the request of the key.
+/// Home token: the only instance and start that may run the request with this key.
 pub(crate) const HOME: &str = "azuregate-home";
-/// Set by an instance that passes a request to the home of its key.
+/// Set by an instance that forwards a request to the home of its key.
 pub(crate) const HOME_HOP: &str = "azuregate-home-hop";
 
-/// Names the tenant, for the histograms.
+/// The tenant, for the histograms.
 pub(crate) const TENANT: &str = "azuregate-tenant";
 
-/// The longest name of a tenant, in bytes.
-const TENANT_LIMIT_BYTES: usize = 63;
-/// The longest idempotency key that is taken, in bytes.
-const KEY_LIMIT_BYTES: usize = 255;
-/// The longest time that a caller may ask for, in milliseconds.
-const TIMEOUT_LIMIT_MS: u64 = 3_600_000;
+const MAX_TENANT_BYTES: usize = 63;
+const MAX_KEY_BYTES: usize = 255;
+const MAX_TIMEOUT_MS: u64 = 3_600_000;
 
-/// What the request path needs to know of a request.
+/// The attributes of a request that routing, claims and metrics use.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Attributes {
     /// The service, from the Host header.
     pub service: ServiceName,
-    /// The caller's key, if it set one.
+    /// The idempotency key, if the client set one.
     pub idempotency_key: Option<String>,
-    /// The home of the key, if the caller named one.
+    /// The home of the key, if the client named one.
     pub home: Option<HomeToken>,
-    /// The caller's time limit, if it set one.
+    /// The client's timeout in milliseconds, if it set one.
     pub timeout_ms: Option<u64>,
-    /// On whose behalf the request is, if the caller says so.
+    /// The tenant, if the client named one.
     pub tenant: Option<TenantName>,
-    /// Names the request in logs.
+    /// Identifies the request in logs.
     pub request_id: String,
-    /// Hash of service, method and path; the body joins it later.
+    /// Hash of service, method and path; the body is added by
+    /// `Payload::fingerprint`.
     pub fingerprint: u64,
-    /// Which histogram it counts in.
+    /// The histogram that the request is recorded in.
     pub class: RequestClass,
-    /// Whether it may run twice: its method is idempotent, and it has no key. A
-    /// key promises at most once, whatever the method.
+    /// Whether it may run more than once: its method is idempotent and it has no
+    /// key. A request with a key runs at most once, whatever its method.
     pub idempotent: bool,
 }
 
 impl Attributes {
-    /// Reads the head of a request.
+    /// Parses the head of a request.
     ///
     /// # Errors
     ///
-    /// [`ErrorKind::BadRequest`], saying which header is wrong and why.
+    /// [`ErrorKind::BadRequest`], naming the invalid header.
     pub fn read(request: &Request<Body>) -> Result<Attributes, Error> {
         let headers = request.headers();
         let service = service_of_host(request)?;
@@ -90,90 +88,90 @@
     }
 }
 
-/// The service of a query such as `service=starter-desk`.
+/// Parses the service from a query such as `service=starter-desk`.
 pub(crate) fn service_of_query(query: &str) -> Result<ServiceName, Error> {
     let value = query.split('&').find_map(|pair| pair.strip_prefix("service="));
     let Some(value) = value.filter(|value| !value.is_empty()) else {
-        return Err(bad("the query has no service=NAME"));
+        return Err(bad_request("the query has no service=NAME"));
     };
     Ok(ServiceName::new(value))
 }
 
 fn service_of_host(request: &Request<Body>) -> Result<ServiceName, Error> {
     let host = match request.headers().get(header::HOST) {
-        Some(value) => value.to_str().map_err(|_| bad("Host is not ASCII"))?,
-        None => request.uri().host().ok_or_else(|| bad("Host is missing"))?,
+        Some(value) => value.to_str().map_err(|_| bad_request("Host is not ASCII"))?,
+        None => request.uri().host().ok_or_else(|| bad_request("Host is missing"))?,
     };
     let name = host.split(':').next().unwrap_or_default();
     if name.is_empty() {
-        return Err(bad("Host is empty"));
+        return Err(bad_request("Host is empty"));
     }
     Ok(ServiceName::new(&name.to_ascii_lowercase()))
 }
 
 fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Error> {
-    let Some(key) = text(headers, IDEMPOTENCY_KEY)? else {
+    let Some(key) = header_str(headers, IDEMPOTENCY_KEY)? else {
         return Ok(None);
     };
-    if key.is_empty() || key.len() > KEY_LIMIT_BYTES {
-        let detail = format!("Idempotency-Key must have 1 to {KEY_LIMIT_BYTES} bytes");
-        return Err(bad(detail));
+    if key.is_empty() || key.len() > MAX_KEY_BYTES {
+        let detail = format!("Idempotency-Key must have 1 to {MAX_KEY_BYTES} bytes");
+        return Err(bad_request(detail));
     }
     Ok(Some(key.to_owned()))
 }
 
 fn home(headers: &HeaderMap) -> Result<Option<HomeToken>, Error> {
-    let Some(value) = text(headers, HOME)? else {
+    let Some(value) = header_str(headers, HOME)? else {
         return Ok(None);
     };
     let parsed = value.parse();
-    parsed.map(Some).map_err(|_| bad(format!("Azuregate-Home names no home: {value:?}")))
+    parsed.map(Some).map_err(|_| bad_request(format!("Azuregate-Home names no home: {value:?}")))
 }
 
 fn timeout_ms(headers: &HeaderMap) -> Result<Option<u64>, Error> {
-    let Some(value) = text(headers, TIMEOUT_MS)? else {
+    let Some(value) = header_str(headers, TIMEOUT_MS)? else {
         return Ok(None);
     };
-    let parsed = value.parse().ok().filter(|ms| (1..=TIMEOUT_LIMIT_MS).contains(ms));
+    let parsed = value.parse().ok().filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
     let Some(ms) = parsed else {
         let detail = format!(
-            "Azuregate-Timeout-Ms must be a whole number from 1 to {TIMEOUT_LIMIT_MS}, \
+            "Azuregate-Timeout-Ms must be a whole number from 1 to {MAX_TIMEOUT_MS}, \
              not {value:?}"
         );
-        return Err(bad(detail));
+        return Err(bad_request(detail));
     };
     Ok(Some(ms))
 }
 
 fn tenant(headers: &HeaderMap) -> Result<Option<TenantName>, Error> {
-    let Some(tenant) = text(headers, TENANT)? else {
+    let Some(tenant) = header_str(headers, TENANT)? else {
         return Ok(None);
     };
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !(1..=TENANT_LIMIT_BYTES).contains(&tenant.len()) || !tenant.chars().all(is_allowed) {
+    if !(1..=MAX_TENANT_BYTES).contains(&tenant.len()) || !tenant.chars().all(is_allowed) {
         let detail = format!(
-            "Azuregate-Tenant must be 1 to {TENANT_LIMIT_BYTES} letters, digits, dots, \
+            "Azuregate-Tenant must be 1 to {MAX_TENANT_BYTES} letters, digits, dots, \
              hyphens or underscores"
         );
-        return Err(bad(detail));
+        return Err(bad_request(detail));
     }
     Ok(Some(TenantName::new(tenant)))
 }
 
 fn request_id(headers: &HeaderMap) -> Result<String, Error> {
     static NEXT: AtomicU64 = AtomicU64::new(0);
-    if let Some(id) = text(headers, REQUEST_ID)? {
+    if let Some(id) = header_str(headers, REQUEST_ID)? {
         return Ok(id.to_owned());
     }
     let sequence = NEXT.fetch_add(1, Ordering::Relaxed);
     Ok(format!("{:08x}-{sequence:x}", fastrand::u32(..)))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Error> {
+fn header_str<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Error> {
     let Some(value) = headers.get(name) else {
         return Ok(None);
     };
-    let text = value.to_str().map_err(|_| bad(format!("{name} is not ASCII")))?;
+    let text = value.to_str().map_err(|_| bad_request(format!("{name} is not ASCII")))?;
     Ok(Some(text.trim()))
 }
 
@@ -184,6 +182,6 @@
     if method.is_safe() { RequestClass::Read } else { RequestClass::Write }
 }
 
-fn bad(detail: impl Into<String>) -> Error {
+fn bad_request(detail: impl Into<String>) -> Error {
     Error::new(ErrorKind::BadRequest, detail)
 }
--- a/crates/azuregate/src/gateway/retries.rs
+++ b/crates/azuregate/src/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! What the requests of one service share about retries.
+//! Retry state shared by the requests of a service.
 
 use std::{
     collections::HashMap,
@@ -7,44 +7,45 @@
 
 use azuregate_core::{latency::LatencyEstimator, names::ServiceName, retry::RetryBudget};
 
-/// The retries of one service; cheap to clone.
+/// Retry budget and response times of one service; cheap to clone.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Retries {
+pub(crate) struct ServiceRetries {
     budget: Arc<RetryBudget>,
-    usual: Arc<Mutex<LatencyEstimator>>,
+    response_time: Arc<Mutex<LatencyEstimator>>,
 }
 
-impl Retries {
-    /// Counts one request.
+impl ServiceRetries {
+    /// Counts one new request towards the budget.
     pub(crate) fn deposit(&self) {
         self.budget.deposit();
     }
 
-    /// Takes one retry, if the budget has one.
+    /// Withdraws one retry from the budget; returns whether there was one.
     pub(crate) fn try_take(&self) -> bool {
         self.budget.try_withdraw()
     }
 
-    /// Takes in how long the head of an answer took.
+    /// Records the time to the response head, in milliseconds.
     pub(crate) fn record(&self, taken_ms: u64) {
-        self.usual.lock().unwrap_or_else(PoisonError::into_inner).record(taken_ms);
+        self.response_time.lock().unwrap_or_else(PoisonError::into_inner).record(taken_ms);
     }
 
-    /// After how many milliseconds the head of an answer is late.
+    /// Returns the time in milliseconds after which a response head is late, or
+    /// `None` before the first response.
     pub(crate) fn late_after_ms(&self) -> Option<u64> {
-        self.usual.lock().unwrap_or_else(PoisonError::into_inner).late_threshold_ms()
+        self.response_time.lock().unwrap_or_else(PoisonError::into_inner).late_threshold_ms()
     }
 }
 
-/// The retries of all services.
+/// The retry state of all services.
 #[derive(Debug, Default)]
-pub(crate) struct AllRetries {
-    services: Mutex<HashMap<ServiceName, Retries>>,
+pub(crate) struct RetriesByService {
+    services: Mutex<HashMap<ServiceName, ServiceRetries>>,
 }
 
-impl AllRetries {
-    /// The retries of one service.
-    pub(crate) fn of(&self, service: &ServiceName) -> Retries {
+impl RetriesByService {
+    /// Returns the retry state of a service.
+    pub(crate) fn get(&self, service: &ServiceName) -> ServiceRetries {
         let mut services = self.services.lock().unwrap_or_else(PoisonError::into_inner);
         services.entry(service.clone()).or_default().clone()
     }
--- a/crates/azuregate/src/gateway/send.rs
+++ b/crates/azuregate/src/gateway/send.rs
@@ -1,4 +1,4 @@
-//! One exchange with a backend server, or with a dispatcher.
+//! One attempt: the exchange with a backend server or a dispatcher.
 
 use std::time::Duration;
 
@@ -15,33 +15,33 @@
     body::{self, Body, Progress},
     config::{Change, Source},
     gateway::{
-        answer::OUTCOME,
-        forward::{Forward, Link},
-        handover, headers,
-        lease_body::{Held, LeaseBody},
-        metered,
+        count_bytes,
+        error_response::OUTCOME,
+        forward::{AttemptConn, Forwarder},
+        hand_over, headers,
+        lease_body::{HeldResources, LeaseBody},
         request::{REQUEST_ID, TIMEOUT_MS},
     },
     selector::Lease,
 };
 
-/// The largest body of a refusal that is read so that its connection stays of
-/// use, in bytes.
-const REFUSAL_LIMIT_BYTES: u64 = 4 << 10;
-/// How long such a body may take.
-const REFUSAL_WAIT: Duration = Duration::from_millis(100);
+/// Size up to which the body of a refusal is read so that its connection can be
+/// reused.
+const MAX_REFUSAL_BODY_BYTES: u64 = 4 << 10;
+const REFUSAL_BODY_TIMEOUT: Duration = Duration::from_millis(100);
 
-impl Forward {
-    /// The request as the other end gets it.
+impl Forwarder {
+    /// Builds the request to send.
     pub(crate) fn outgoing(
         &self,
         lease: &Lease,
         head: &request::Parts,
         body: Body,
     ) -> Request<Body> {
-        let mut request = Request::new(metered::up(body, lease.meter.as_ref()));
+        let mut request =
+            Request::new(count_bytes::request_body(body, lease.byte_counter.as_ref()));
         *request.method_mut() = head.method.clone();
-        // Backend servers take the path alone, with the service in Host.
+        // Backend servers expect an origin-form target, with the service in Host.
         let path = head.uri.path_and_query().map_or("/", |path| path.as_str());
         *request.uri_mut() = path.parse().unwrap_or_default();
         *request.headers_mut() = headers::without_hop_by_hop(&head.headers);
@@ -49,178 +49,196 @@
         if let Ok(id) = HeaderValue::from_str(&self.attributes.request_id) {
             headers.insert(REQUEST_ID, id);
         }
-        // The answer needs the way back: work that ends later is wasted.
+        // Leave time for the response to travel back; work that ends later is wasted.
         let left_ms = self.remaining_ms().saturating_sub(lease.delay_ms).max(1);
         headers.insert(TIMEOUT_MS, HeaderValue::from(left_ms));
-        handover::mark(headers, lease);
+        hand_over::set_header(headers, lease);
         request
     }
 
-    /// Sends a request; a failure says whether its retry was paid for.
+    /// Sends a request. The flag of a failure states whether its retry has already
+    /// been charged to the budget.
     pub(crate) async fn send(
         &self,
         mut lease: Lease,
-        mut link: Link,
+        mut attempt_conn: AttemptConn,
         request: Request<Body>,
-        late_ms: Option<u64>,
+        abandon_after_ms: Option<u64>,
     ) -> Result<Response<Body>, (Error, bool)> {
-        let sent_at_ms = self.parts.clock.now();
-        let (request, progress) = watched(request);
-        let response = match self.wait_for_head(&mut lease, &mut link, request, late_ms).await {
+        let sent_at_ms = self.context.clock.now();
+        let (request, progress) = with_progress(request);
+        let response = match self
+            .wait_for_head(&mut lease, &mut attempt_conn, request, abandon_after_ms)
+            .await
+        {
             Ok(Ok(response)) => response,
             Ok(Err(e)) => {
                 let error = send_error(&lease, &e, &progress);
-                // A caller that breaks off says nothing of the server: taken for
-                // a failure, it would lower a limit or pass over a dispatcher.
+                // A client's disconnect is not a failure of the server. Counting it
+                // would lower the server's limit or exclude a working dispatcher.
                 if error.kind() != ErrorKind::CallerLost {
-                    lease.set_ending(Completion::Failed);
+                    lease.set_completion(Completion::Failed);
                 }
                 return Err((error, false));
             }
             Err(failed) => return Err(failed),
         };
-        let latency_ms = self.parts.clock.now().since(sent_at_ms).0;
-        if lease.handed_to.is_some() {
-            let reusable = progress.is_ended() && !headers::is_last(response.headers());
-            return match handover::take_answer(&lease, response) {
-                Ok(response) => Ok(self.hand_back(lease, link, response, latency_ms, reusable)),
+        let latency_ms = self.context.clock.now().since(sent_at_ms).0;
+        if lease.outgoing_hand_over.is_some() {
+            let reusable =
+                progress.is_complete() && !headers::closes_connection(response.headers());
+            return match hand_over::read_response(&lease, response) {
+                Ok(response) => {
+                    Ok(self.streaming_response(lease, attempt_conn, response, latency_ms, reusable))
+                }
                 Err(error) => {
-                    lease.set_ending(Completion::Refused);
+                    lease.set_completion(Completion::Refused);
                     Err((error, false))
                 }
             };
         }
         self.retries.record(latency_ms);
-        let closing = self.learn(&lease, link.pooled, response.headers());
-        // An answer that came before the request was sent whole leaves the rest
-        // of the request on the connection, where the backend server may take it
-        // for the next one.
-        let reusable = !closing && progress.is_ended();
+        let closing = self.update_backend_state(&lease, attempt_conn.pooled, response.headers());
+        // If the response came before the whole request was sent, the server may
+        // take the rest of the request for the next one.
+        let reusable = !closing && progress.is_complete();
         if headers::is_refusal(response.headers()) {
-            lease.set_ending(Completion::Refused);
+            lease.set_completion(Completion::Refused);
             let error = Error::new(ErrorKind::BackendRefused, format!("{} refused", lease.backend));
             if reusable {
-                self.reuse_after_refusal(&lease, link, response.into_body()).await;
+                self.reuse_after_refusal(&lease, attempt_conn, response.into_body()).await;
             }
             return Err((error, false));
         }
-        let mut response = self.hand_back(lease, link, response, latency_ms, reusable);
-        // Only azuregate itself says what became of a request.
+        let mut response =
+            self.streaming_response(lease, attempt_conn, response, latency_ms, reusable);
+        // Only azuregate itself sets this header.
         response.headers_mut().remove(OUTCOME);
         Ok(response)
     }
 
-    /// The answer for the caller, which holds the slot and the connection to its
-    /// end.
-    fn hand_back(
+    /// Returns the response for the client; its body holds the slot and the
+    /// connection until it ends.
+    fn streaming_response(
         &self,
         lease: Lease,
-        link: Link,
+        attempt_conn: AttemptConn,
         response: Response<Body>,
         latency_ms: u64,
         reusable: bool,
     ) -> Response<Body> {
         let deadline = time::Instant::now() + Duration::from_millis(self.remaining_ms());
         let (mut head, body) = response.into_parts();
-        let body = body::with_deadline(metered::down(body, lease.meter.as_ref()), deadline);
+        let body = body::with_deadline(
+            count_bytes::response_body(body, lease.byte_counter.as_ref()),
+            deadline,
+        );
         head.headers = headers::without_hop_by_hop(&head.headers);
-        let pool = self.parts.pool.clone();
+        let pool = self.context.pool.clone();
         let request_id = self.attributes.request_id.clone();
-        let held = Held { request_id, lease, conn: link.conn, pool, latency_ms, reusable };
+        let held = HeldResources {
+            request_id,
+            lease,
+            conn: attempt_conn.conn,
+            pool,
+            latency_ms,
+            reusable,
+        };
         Response::from_parts(head, LeaseBody::new(body, held).boxed_unsync())
     }
 
     async fn wait_for_head(
         &self,
         lease: &mut Lease,
-        link: &mut Link,
+        attempt_conn: &mut AttemptConn,
         request: Request<Body>,
-        late_ms: Option<u64>,
+        abandon_after_ms: Option<u64>,
     ) -> Result<Result<Response<Body>, SendError>, (Error, bool)> {
         let deadline = time::Instant::now() + Duration::from_millis(self.remaining_ms());
-        let sending = link.conn.send(request);
+        let sending = attempt_conn.conn.send(request);
         tokio::pin!(sending);
-        if let Some(late_ms) = late_ms {
-            let late = Duration::from_millis(late_ms);
+        if let Some(abandon_after_ms) = abandon_after_ms {
+            let late = Duration::from_millis(abandon_after_ms);
             if let Ok(sent) = time::timeout(late, &mut sending).await {
                 return Ok(sent);
             }
             if self.retries.try_take() {
-                // The others in the pool may have gone silent with this one.
-                self.parts.pool.forget(lease.addr);
-                let detail = format!("no answer from {} within {late_ms} ms", lease.backend);
+                // Other pooled connections may be dead as well.
+                self.context.pool.close_idle(lease.addr);
+                let detail =
+                    format!("no response from {} within {abandon_after_ms} ms", lease.backend);
                 return Err((Error::new(ErrorKind::BackendLost, detail), true));
             }
         }
         let backend = lease.backend.clone();
         tokio::select! {
             sent = time::timeout_at(deadline, sending) => sent.map_err(|_| {
-                let detail = format!("no answer from {backend} in time");
+                let detail = format!("no response from {backend} within the deadline");
                 (Error::new(ErrorKind::DeadlineAfterSend, detail), false)
             }),
-            () = lost(lease), if self.attributes.idempotent => {
-                lease.set_ending(Completion::Failed);
-                let detail = format!("{backend} has gone silent");
+            () = dispatcher_lost(lease), if self.attributes.idempotent => {
+                lease.set_completion(Completion::Failed);
+                let detail = format!("dispatcher {backend} stopped responding");
                 Err((Error::new(ErrorKind::BackendLost, detail), false))
             }
         }
     }
 
-    async fn reuse_after_refusal(&self, lease: &Lease, link: Link, body: Body) {
-        if body.size_hint().upper().is_none_or(|length| length > REFUSAL_LIMIT_BYTES) {
+    async fn reuse_after_refusal(&self, lease: &Lease, attempt_conn: AttemptConn, body: Body) {
+        if body.size_hint().upper().is_none_or(|length| length > MAX_REFUSAL_BODY_BYTES) {
             return;
         }
-        let collected = body::collect(body, REFUSAL_LIMIT_BYTES as usize);
-        if let Ok(Ok(_)) = time::timeout(REFUSAL_WAIT, collected).await {
-            self.parts.pool.put(lease.addr, link.conn);
+        let collected = body::collect(body, MAX_REFUSAL_BODY_BYTES as usize);
+        if let Ok(Ok(_)) = time::timeout(REFUSAL_BODY_TIMEOUT, collected).await {
+            self.context.pool.put(lease.addr, attempt_conn.conn);
         }
     }
 
-    /// Takes in what the answer says of its server; returns whether it closes the
-    /// connection.
+    /// Records the load and the state that the response headers report; returns
+    /// whether the server closes the connection.
     ///
-    /// A server that refuses and closes is leaving. One that answers and closes a
-    /// connection that has carried requests before may have counted enough of
-    /// them; the next request goes on a new connection, whose first answer tells.
-    fn learn(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
-        if let Some(report) = headers::load_report(headers, self.parts.clock.now()) {
-            lease.report(report);
+    /// A server that refuses a request and closes is leaving. A server that closes
+    /// a reused connection may only limit the requests per connection; the first
+    /// response on a new connection tells the two apart.
+    fn update_backend_state(&self, lease: &Lease, pooled: bool, headers: &HeaderMap) -> bool {
+        if let Some(report) = headers::load_report(headers, self.context.clock.now()) {
+            lease.record_load(report);
         }
-        if !headers::is_last(headers) {
+        if !headers::closes_connection(headers) {
             return false;
         }
         let (backend, start) = (lease.backend.clone(), lease.start);
         if headers::is_refusal(headers) {
-            self.parts.config.change(Change::Leaving(backend, start, Source::Backend));
+            self.context.config.change(Change::Leaving(backend, start, Source::Backend));
         } else if !pooled {
-            self.parts.config.change(Change::ConnectionClosed(backend, start));
+            self.context.config.change(Change::ConnectionClosed(backend, start));
         }
-        self.parts.pool.forget(lease.addr);
+        self.context.pool.close_idle(lease.addr);
         true
     }
 }
 
-/// Waits until the dispatcher that the request was handed over to is taken for
-/// frozen.
-async fn lost(lease: &mut Lease) {
-    let Some(handed_to) = &mut lease.handed_to else {
+/// Waits until the dispatcher that the request was handed over to is considered
+/// unresponsive.
+async fn dispatcher_lost(lease: &mut Lease) {
+    let Some(outgoing_hand_over) = &mut lease.outgoing_hand_over else {
         return std::future::pending().await;
     };
-    if (&mut handed_to.lost).await.is_err() {
+    if (&mut outgoing_hand_over.lost).await.is_err() {
         std::future::pending().await
     }
 }
 
-fn watched(request: Request<Body>) -> (Request<Body>, Progress) {
+fn with_progress(request: Request<Body>) -> (Request<Body>, Progress) {
     let (head, body) = request.into_parts();
-    let (body, progress) = body::watched(body);
+    let (body, progress) = body::with_progress(body);
     (Request::from_parts(head, body), progress)
 }
 
 fn send_error(lease: &Lease, e: &SendError, progress: &Progress) -> Error {
     let kind = match e.cause {
         SendCause::NotSent => ErrorKind::ConnectFailed,
-        SendCause::Lost if progress.is_broken() => ErrorKind::CallerLost,
+        SendCause::Lost if progress.has_failed() => ErrorKind::CallerLost,
         SendCause::Lost => ErrorKind::BackendLost,
         SendCause::Invalid => ErrorKind::BackendInvalid,
     };
--- a/crates/azuregate/src/lib.rs
+++ b/crates/azuregate/src/lib.rs
@@ -37,7 +37,6 @@
 mod accept;
 pub mod backend;
 pub mod body;
-pub mod callers;
 pub mod claims;
 pub mod cli;
 pub mod clock;
@@ -60,3 +59,4 @@
 pub mod status;
 pub mod stop;
 pub mod timer;
+pub mod traffic;
--- a/crates/azuregate/src/probe.rs
+++ b/crates/azuregate/src/probe.rs
@@ -103,7 +103,7 @@
         let snapshot = changes.borrow_and_update().clone();
         let unavailable = unavailable_addrs(&snapshot);
         for &addr in unavailable.difference(&closed) {
-            pool.forget(addr);
+            pool.close_idle(addr);
         }
         closed = unavailable;
         if changes.changed().await.is_err() {
--- a/crates/azuregate/src/run/mod.rs
+++ b/crates/azuregate/src/run/mod.rs
@@ -16,8 +16,8 @@
 use tonic::transport::server::TcpIncoming;
 
 use crate::{
-    callers::Callers, dispatch::Rule, operators::OperatorsService, probe, settings::Settings,
-    status, stop::StopSignal,
+    dispatch::RoutingMode, operators::OperatorsService, probe, settings::Settings, status,
+    stop::StopSignal, traffic::TrafficServer,
 };
 
 use self::{ports::Ports, shared::Shared};
@@ -43,7 +43,7 @@
 ///
 /// Fails if a port cannot be opened.
 pub async fn run(settings: Settings, stop: StopSignal) -> Result<(), Report<RunError>> {
-    run_with_rule(settings, stop, Rule::default()).await
+    run_with_rule(settings, stop, RoutingMode::default()).await
 }
 
 /// Runs an entry instance, as [`run`] does, that selects backend servers by `rule`.
@@ -54,7 +54,7 @@
 pub async fn run_with_rule(
     settings: Settings,
     stop: StopSignal,
-    rule: Rule,
+    rule: RoutingMode,
 ) -> Result<(), Report<RunError>> {
     let stop_delay_ms = settings.stop_delay_ms;
     let ports = Ports::open(&settings).await?;
@@ -62,7 +62,7 @@
     let background = start_background(&shared, ports.peers, ports.status);
     let operators = OperatorsPort::start(shared.operators(), ports.operators);
 
-    let callers = Callers {
+    let callers = TrafficServer {
         gateway: Arc::new(shared.gateway(rule)),
         config: shared.config.clone(),
         instance: shared.settings.instance.clone(),
--- a/crates/azuregate/src/selector/mod.rs
+++ b/crates/azuregate/src/selector/mod.rs
@@ -1,10 +1,10 @@
 /*!
-Selectors: for each service one task owns the slots of its backend servers, the
-queues and what other instances say of theirs.
+Selects backend servers. For each service, one task owns the slots of its backend
+servers, the queues and the loads reported by other instances.
 */
 
+mod byte_counter;
 mod lease;
-mod meter;
 mod reply;
 mod task;
 
@@ -29,63 +29,63 @@
 use crate::{
     clock::SharedClock,
     config::Snapshots,
-    dispatch::{Exchange, Rule},
+    dispatch::{LoadExchange, RoutingMode},
     timer::Timer,
 };
 
 use self::{lease::Message, task::Task};
 
-pub use lease::{HandedTo, Lease};
-pub use meter::Meter;
+pub use byte_counter::ByteCounter;
+pub use lease::{Lease, OutgoingHandOver};
 
-/// How often the queues and the updates to other instances are looked at.
+/// Interval at which queues are checked and load updates are sent.
 const TICK_MS: u64 = 50;
 
-/// What selectors work with.
+/// The state and handles that selectors use.
 #[derive(Clone)]
-pub struct SelectorParts {
+pub struct SelectorContext {
     /// This instance.
     pub instance: InstanceId,
     /// Its availability zone.
     pub zone: ZoneName,
     /// Its start number.
     pub start: StartNumber,
-    /// How backend servers are chosen.
-    pub rule: Rule,
+    /// How backend servers are selected.
+    pub routing_mode: RoutingMode,
     /// The clock.
     pub clock: SharedClock,
-    /// The configuration in force.
+    /// Publishes the configuration in force.
     pub snapshots: Snapshots,
-    /// Loads of groups, to and from other instances.
-    pub exchange: Exchange,
-    /// When to look at the queues.
+    /// Exchanges loads of groups with other instances.
+    pub exchange: LoadExchange,
+    /// Provides the ticks.
     pub timer: Timer,
 }
 
-/// A request that wants a slot.
+/// A request for a slot.
 #[derive(Clone, Debug)]
-pub struct Want {
-    /// How long it may wait for one.
-    pub wait_ms: u64,
-    /// How long its caller waits for the answer.
-    pub left_ms: u64,
-    /// The length of its body, as far as it is known.
-    pub up_bytes: u64,
-    /// Whether it may be sent twice.
+pub struct SlotRequest {
+    /// Maximum time to wait for a slot, in milliseconds.
+    pub max_wait_ms: u64,
+    /// Time until its deadline, in milliseconds.
+    pub remaining_ms: u64,
+    /// Length of its body in bytes, as far as it is known.
+    pub body_bytes: u64,
+    /// Whether it may be sent more than once.
     pub idempotent: bool,
-    /// Who handed it over, if it is here on its second hop.
-    pub handed: Option<Handed>,
+    /// Set if another instance handed it over.
+    pub incoming_hand_over: Option<IncomingHandOver>,
 }
 
 /// A request that another instance handed over.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Handed {
-    /// The other instance.
+pub struct IncomingHandOver {
+    /// The instance that handed it over.
     pub from: InstanceId,
     /// The group that it is for.
     pub group: GroupId,
-    /// How long it may wait for a slot.
-    pub wait_ms: u64,
+    /// Maximum time to wait for a slot, in milliseconds.
+    pub max_wait_ms: u64,
 }
 
 /// A handle to a selector's task; cheap to clone.
@@ -96,105 +96,106 @@
 
 impl Selector {
     /// Starts a selector for `service`; it ends when the last handle is dropped.
-    pub fn start(service: &ServiceName, parts: &SelectorParts) -> Selector {
+    pub fn start(service: &ServiceName, context: &SelectorContext) -> Selector {
         let (sender, receiver) = mpsc::unbounded_channel();
         let config = |grouping, make_router| Config {
             service: service.clone(),
-            instance: parts.instance.clone(),
-            zone: parts.zone.clone(),
-            start: parts.start,
+            instance: context.instance.clone(),
+            zone: context.zone.clone(),
+            start: context.start,
             grouping,
             make_router,
         };
-        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &parts.rule {
-            Rule::Dispatch => {
+        let (config, steer): (Config, Option<Box<dyn Steer>>) = match &context.routing_mode {
+            RoutingMode::Dispatch => {
                 let make_router = Box::new(|| Box::new(SlotTable::default()) as _);
-                let steer = Box::new(CappedSteer::new(service, &parts.instance, &parts.zone));
+                let steer = Box::new(CappedSteer::new(service, &context.instance, &context.zone));
                 (config(Grouping::PerZone, make_router), Some(steer))
             }
-            Rule::Alone(make_router) => {
+            RoutingMode::Independent(make_router) => {
                 let make_router = Arc::clone(make_router);
                 (config(Grouping::WholeService, Box::new(move || make_router())), None)
             }
         };
-        let task = Task::new(service, parts, Dispatch::new(config), steer, sender.downgrade());
-        tokio::spawn(task.serve(receiver));
+        let task = Task::new(service, context, Dispatch::new(config), steer, sender.downgrade());
+        tokio::spawn(task.run(receiver));
         Selector { sender }
     }
 
-    /// Takes a slot, here or at the dispatcher of another group.
+    /// Acquires a slot here, or a hand-over to another dispatcher.
     ///
     /// # Errors
     ///
-    /// All mean that nothing was sent: no server may serve, the queue is full,
-    /// or the wait was or would be too long.
-    pub async fn acquire(&self, want: Want) -> Result<Lease, Error> {
-        let gone = || Error::new(ErrorKind::Stopping, "the instance is stopping");
-        let wait = Duration::from_millis(want.wait_ms);
+    /// Fails if no server is available, the queue is full, or the wait was or would
+    /// be too long. Nothing has been sent in any of these cases.
+    pub async fn acquire(&self, request: SlotRequest) -> Result<Lease, Error> {
+        let stopped = || Error::new(ErrorKind::Stopping, "the instance is stopping");
+        let wait = Duration::from_millis(request.max_wait_ms);
         let (reply, mut answer) = oneshot::channel();
         let ticket = task::next_ticket();
-        self.sender.send(Message::Acquire { ticket, want, reply }).map_err(|_| gone())?;
-        // A caller that leaves while it waits leaves the queue as well.
-        let mut place = PlaceInQueue { ticket, sender: Some(&self.sender) };
+        self.sender.send(Message::Acquire { ticket, request, reply }).map_err(|_| stopped())?;
+        // Dropping this future removes the request from the queue.
+        let mut cancel_on_drop = CancelOnDrop { ticket, sender: Some(&self.sender) };
         if let Ok(answer) = time::timeout(wait, &mut answer).await {
-            place.sender = None;
-            return answer.map_err(|_| gone())?;
+            cancel_on_drop.sender = None;
+            return answer.map_err(|_| stopped())?;
         }
-        // A slot may be on its way: the task settles which came first.
-        drop(place);
-        answer.await.map_err(|_| gone())?
+        // A slot may have been assigned meanwhile; the task replies either way.
+        drop(cancel_on_drop);
+        answer.await.map_err(|_| stopped())?
     }
 
-    /// The load of a group, for the instance that handed a request over.
-    pub async fn load_for(&self, handed: &Handed) -> Option<GroupLoad> {
+    /// Returns the load of a group, to report to the instance that handed a request
+    /// over.
+    pub async fn load_for(&self, incoming_hand_over: &IncomingHandOver) -> Option<GroupLoad> {
         let (reply, answer) = oneshot::channel();
-        let (to, group) = (handed.from.clone(), handed.group.clone());
+        let (to, group) = (incoming_hand_over.from.clone(), incoming_hand_over.group.clone());
         self.sender.send(Message::LoadFor { to, group, reply }).ok()?;
         answer.await.ok()?
     }
 }
 
-/// Gives up a place in the queue when dropped, unless the sender was taken out.
-struct PlaceInQueue<'a> {
+/// Removes a request from the queue when dropped, unless `sender` was cleared.
+struct CancelOnDrop<'a> {
     ticket: u64,
     sender: Option<&'a mpsc::UnboundedSender<Message>>,
 }
 
-impl Drop for PlaceInQueue<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(sender) = self.sender {
-            let _ = sender.send(Message::GiveUp { ticket: self.ticket });
+            let _ = sender.send(Message::CancelWaiting { ticket: self.ticket });
         }
     }
 }
 
-/// The selectors of all services, started when they are first asked for.
+/// The selectors of all services, started on first use.
 ///
-/// Looking one up takes no lock: a request must not wait for another.
+/// Look-ups are lock-free, so that requests never block each other.
 pub struct Selectors {
-    parts: SelectorParts,
+    context: SelectorContext,
     by_service: ArcSwap<HashMap<ServiceName, Selector>>,
 }
 
 impl Selectors {
-    /// Makes the collection; no selector is started yet.
-    pub fn new(parts: SelectorParts) -> Selectors {
-        Selectors { parts, by_service: ArcSwap::default() }
+    /// Creates an empty collection.
+    pub fn new(context: SelectorContext) -> Selectors {
+        Selectors { context, by_service: ArcSwap::default() }
     }
 
-    /// The selector of a service.
+    /// Returns the selector of a service, starting it if necessary.
     pub fn get(&self, service: &ServiceName) -> Selector {
         if let Some(selector) = self.by_service.load().get(service) {
             return selector.clone();
         }
-        let started = Selector::start(service, &self.parts);
+        let started = Selector::start(service, &self.context);
         self.by_service.rcu(|selectors| {
             let mut selectors = HashMap::clone(selectors);
             selectors.entry(service.clone()).or_insert_with(|| started.clone());
             selectors
         });
-        // Two requests may have started one each. The first to be entered stays;
-        // the other ends with its handle.
+        // Two requests may race to start one. The first inserted is kept; the other
+        // ends when its handle is dropped.
         self.by_service.load().get(service).cloned().unwrap_or(started)
     }
 }
--- a/crates/azuregate/tests/dispatch/world.rs
+++ b/crates/azuregate/tests/dispatch/world.rs
@@ -1,4 +1,4 @@
-//! One gateway, the other instances and one backend server on a fake network.
+//! A gateway, another instance and a backend server on a simulated network.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -9,11 +9,11 @@
     claims::Claims,
     clock::{SharedClock, SystemClock},
     config::{Change, Config, Source},
-    dispatch::{Exchange, LoadUpdate, Rule},
-    gateway::{Gateway, Parts},
+    dispatch::{LoadExchange, LoadUpdate, RoutingMode},
+    gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
     platform::{Changes, Commit, Effect, Platform, PlatformError, Result, Row, Table, Write},
-    selector::{SelectorParts, Selectors},
+    selector::{SelectorContext, Selectors},
     timer::Timer,
 };
 use azuregate_core::{
@@ -27,17 +27,17 @@
 
 use crate::net::{Host, Net};
 
-/// The backend server; it is in the other instance's availability zone.
+/// Address of the backend server, which is in the other instance's zone.
 pub(crate) fn server() -> SocketAddr {
     "127.0.0.9:1".parse().unwrap()
 }
 
-/// The other instance, which dispatches for the server's group.
+/// Address of the other instance, which dispatches for the server's group.
 pub(crate) fn peer() -> SocketAddr {
     "127.0.0.2:1".parse().unwrap()
 }
 
-/// A caller that is no instance.
+/// Address of a client, which is not an instance.
 pub(crate) fn caller() -> SocketAddr {
     "127.0.0.77:5".parse().unwrap()
 }
@@ -45,7 +45,7 @@
 pub(crate) struct World {
     pub(crate) gateway: Arc<Gateway>,
     pub(crate) net: Net,
-    exchange: Exchange,
+    exchange: LoadExchange,
     config: Config,
 }
 
@@ -53,7 +53,7 @@
     /// `entry-1` in zone `r-a`, with `entry-2` and the server in `r-b`.
     pub(crate) async fn start(peer_host: Host) -> World {
         let net = Net::default();
-        net.set(server(), Host::Answers);
+        net.set(server(), Host::Responds);
         net.set(peer(), peer_host);
         let clock: SharedClock = Arc::new(SystemClock::new());
         let topology = json!({
@@ -66,18 +66,18 @@
         snapshots.watch().wait_for(|snapshot| snapshot.ready).await.unwrap();
         let (instance, zone) = (InstanceId::new("entry-1"), ZoneName::new("r-a"));
         let start = StartNumber(clock.epoch().0);
-        let exchange = Exchange::default();
-        let selectors = Selectors::new(SelectorParts {
+        let exchange = LoadExchange::default();
+        let selectors = Selectors::new(SelectorContext {
             instance: instance.clone(),
             zone: zone.clone(),
             start,
-            rule: Rule::Dispatch,
+            routing_mode: RoutingMode::Dispatch,
             clock: Arc::clone(&clock),
             snapshots: snapshots.clone(),
             exchange: exchange.clone(),
             timer: Timer::start(),
         });
-        let gateway = Gateway::new(Parts {
+        let gateway = Gateway::new(GatewayContext {
             instance: instance.clone(),
             zone,
             snapshots: snapshots.clone(),
@@ -85,7 +85,7 @@
             clock: Arc::clone(&clock),
             dialer: Arc::new(net.clone()),
             pool: Pool::start(Arc::clone(&clock)),
-            claims: Claims::new(Arc::new(Down), clock, snapshots, &instance, start),
+            claims: Claims::new(Arc::new(UnavailablePlatform), clock, snapshots, &instance, start),
             selectors,
             recorder: Recorder::start(Arc::new(NullSink)),
         });
@@ -96,17 +96,22 @@
         self.gateway.handle(request, caller()).await
     }
 
-    /// The link to the other instance has found it away.
-    pub(crate) fn peer_is_away(&self) {
+    /// Reports the other instance as away.
+    pub(crate) fn report_peer_away(&self) {
         self.config.change(Change::Unavailable([InstanceId::new("entry-2")].into()));
     }
 
-    /// A frame of the dispatcher about the server's group.
-    pub(crate) fn frame(&self, free: u32) {
+    /// Delivers a load update of the dispatcher for the server's group.
+    pub(crate) fn deliver_load(&self, free: u32) {
         let load = GroupLoad { free, slots: 3, service_ms: 20, ..GroupLoad::default() };
         let service = ServiceName::new("svc");
         let group = GroupId { zone: ZoneName::new("r-b"), part: 0 };
-        self.exchange.heard(LoadUpdate { peer: InstanceId::new("entry-2"), service, group, load });
+        self.exchange.receive(LoadUpdate {
+            peer: InstanceId::new("entry-2"),
+            service,
+            group,
+            load,
+        });
     }
 }
 
@@ -137,15 +142,15 @@
     config.change(Change::Confirmed);
 }
 
-/// A platform that is down: nothing here may need it.
-struct Down;
+/// A platform that is down; no test here may depend on it.
+struct UnavailablePlatform;
 
 fn down<T>() -> Result<T> {
     Err(PlatformError::new(Effect::None, "down"))
 }
 
 #[async_trait]
-impl Platform for Down {
+impl Platform for UnavailablePlatform {
     async fn read(&self, _table: Table, _key: &str) -> Result<Option<Row>> {
         down()
     }
--- a/crates/azuregate/tests/outcomes/main.rs
+++ b/crates/azuregate/tests/outcomes/main.rs
@@ -1,13 +1,13 @@
-//! What becomes of a request, told from the caller's side: its answer, what the
-//! caller may conclude, how often it ran, and how often it was tried.
+//! Outcomes of requests: the response, the reported outcome, and how often the request
+//! was attempted and ran.
 
 #![allow(clippy::unwrap_used, reason = "a test that panics has failed")]
 
-mod answers;
+mod adapter;
 mod attempts;
 mod bodies;
-mod border;
 mod claims;
+mod error_kinds;
 mod fake_dialer;
 mod fake_platform;
 mod home;
--- a/crates/azuregate/tests/outcomes/world.rs
+++ b/crates/azuregate/tests/outcomes/world.rs
@@ -1,4 +1,4 @@
-//! A gateway with one backend server, and callers that it is called by directly.
+//! A gateway with one backend server, called directly by the tests.
 
 use std::{
     net::SocketAddr,
@@ -15,10 +15,10 @@
     claims::{ClaimCleaner, Claims},
     clock::{Clock, SharedClock, SystemClock},
     config::{Change, Config, Snapshots, Source},
-    dispatch::{Exchange, Rule},
-    gateway::{Gateway, Parts},
+    dispatch::{LoadExchange, RoutingMode},
+    gateway::{Gateway, GatewayContext},
     metrics::{NullSink, Recorder},
-    selector::{SelectorParts, Selectors},
+    selector::{SelectorContext, Selectors},
     timer::Timer,
 };
 use azuregate_core::{
@@ -34,23 +34,23 @@
 
 use crate::{fake_dialer::FakeDialer, fake_platform::FakePlatform, script::Script, server};
 
-/// Which side of the border to backend servers is tested.
+/// The backend adapter that the gateway uses.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Border {
+pub(crate) enum Adapter {
     Real,
     Fake,
 }
 
-/// The clocks of the system, which a test can set forward.
+/// The system clocks, which a test can advance.
 #[derive(Debug, Default)]
-pub(crate) struct JumpClock {
+pub(crate) struct OffsetClock {
     system: SystemClock,
     ahead_ms: AtomicU64,
 }
 
-impl JumpClock {
-    /// As if the process had been paused for so long.
-    pub(crate) fn jump(&self, ms: u64) {
+impl OffsetClock {
+    /// Advances the clocks, as if the process had been paused.
+    pub(crate) fn advance(&self, ms: u64) {
         self.ahead_ms.fetch_add(ms, Ordering::SeqCst);
     }
 
@@ -59,7 +59,7 @@
     }
 }
 
-impl Clock for JumpClock {
+impl Clock for OffsetClock {
     fn now(&self) -> Millis {
         self.system.now() + self.ahead()
     }
@@ -75,57 +75,57 @@
     pub(crate) script: Script,
     pub(crate) platform: FakePlatform,
     pub(crate) start: StartNumber,
-    pub(crate) clock: Arc<JumpClock>,
+    pub(crate) clock: Arc<OffsetClock>,
     pub(crate) addr: SocketAddr,
     snapshots: Snapshots,
 }
 
-/// What the caller saw.
+/// The response as the client received it.
 #[derive(Debug)]
-pub(crate) struct Seen {
+pub(crate) struct ClientResponse {
     pub(crate) status: u16,
     pub(crate) outcome: String,
     pub(crate) retry_after: String,
     pub(crate) code: String,
-    /// The whole body, unless it was cut.
+    /// The body, or `None` if it was truncated.
     pub(crate) body: Option<Vec<u8>>,
 }
 
 impl World {
-    pub(crate) async fn start(border: Border, script: Script) -> World {
+    pub(crate) async fn start(adapter: Adapter, script: Script) -> World {
         let platform = FakePlatform::default();
-        World::start_with(border, script, platform, "entry-1").await
+        World::start_with(adapter, script, platform, "entry-1").await
     }
 
-    /// An instance of its own, which may share its platform with others.
+    /// Starts an instance that may share its platform with others.
     pub(crate) async fn start_with(
-        border: Border,
+        adapter: Adapter,
         script: Script,
         platform: FakePlatform,
         name: &str,
     ) -> World {
         let addr = server::start(script.clone()).await;
-        World::build(border, script, platform, name, addr).await
+        World::build(adapter, script, platform, name, addr).await
     }
 
-    /// An instance whose backend server is at `addr`.
-    pub(crate) async fn start_at(border: Border, addr: SocketAddr) -> World {
-        World::build(border, Script::new(&[]), FakePlatform::default(), "entry-1", addr).await
+    /// Starts an instance whose backend server is at `addr`.
+    pub(crate) async fn start_at(adapter: Adapter, addr: SocketAddr) -> World {
+        World::build(adapter, Script::new(&[]), FakePlatform::default(), "entry-1", addr).await
     }
 
     async fn build(
-        border: Border,
+        adapter: Adapter,
         script: Script,
         platform: FakePlatform,
         name: &str,
         addr: SocketAddr,
     ) -> World {
-        let jump_clock = Arc::new(JumpClock::default());
-        platform.state().clock.get_or_insert_with(|| Arc::clone(&jump_clock));
-        let clock: SharedClock = jump_clock.clone();
-        let dialer: SharedDialer = match border {
-            Border::Real => Arc::new(HttpDialer { ip: [127, 0, 0, 1].into() }),
-            Border::Fake => Arc::new(FakeDialer(script.clone())),
+        let offset_clock = Arc::new(OffsetClock::default());
+        platform.state().clock.get_or_insert_with(|| Arc::clone(&offset_clock));
+        let clock: SharedClock = offset_clock.clone();
+        let dialer: SharedDialer = match adapter {
+            Adapter::Real => Arc::new(HttpDialer { ip: [127, 0, 0, 1].into() }),
+            Adapter::Fake => Arc::new(FakeDialer(script.clone())),
         };
         let topology = json!({
             "regions": [{ "name": "r", "zones": ["r-a"] }],
@@ -138,17 +138,17 @@
         watch.wait_for(|snapshot| snapshot.ready).await.unwrap();
         let instance = InstanceId::new(name);
         let start = StartNumber(clock.epoch().0 - clock.now().0);
-        let selectors = Selectors::new(SelectorParts {
+        let selectors = Selectors::new(SelectorContext {
             instance: instance.clone(),
             zone: ZoneName::new("r-a"),
             start,
-            rule: Rule::nearest(),
+            routing_mode: RoutingMode::nearest(),
             clock: Arc::clone(&clock),
             snapshots: snapshots.clone(),
-            exchange: Exchange::default(),
+            exchange: LoadExchange::default(),
             timer: Timer::start(),
         });
-        let gateway = Gateway::new(Parts {
+        let gateway = Gateway::new(GatewayContext {
             instance: instance.clone(),
             zone: ZoneName::new("r-a"),
             snapshots: snapshots.clone(),
@@ -171,13 +171,13 @@
             script,
             platform,
             start,
-            clock: jump_clock,
+            clock: offset_clock,
             addr,
             snapshots,
         }
     }
 
-    /// Deletes old claims as this instance or another one does.
+    /// Returns the claim cleaner of an instance.
     pub(crate) fn cleaner(&self, instance: &str) -> ClaimCleaner {
         ClaimCleaner {
             instance: InstanceId::new(instance),
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The home of keys here, as a caller learns it.
+    /// Returns this instance's home token.
     pub(crate) fn home(&self) -> HomeToken {
         HomeToken {
             instance: InstanceId::new("entry-1"),
@@ -197,15 +197,15 @@
         }
     }
 
-    pub(crate) async fn send(&self, request: Request<Body>) -> Seen {
-        see(self.gateway.handle(request, self.addr).await).await
+    pub(crate) async fn send(&self, request: Request<Body>) -> ClientResponse {
+        read_response(self.gateway.handle(request, self.addr).await).await
     }
 
-    /// Sends a request on a connection that was used a moment before.
+    /// Sends a request that leaves a connection in the pool.
     pub(crate) async fn warm_up(&self) {
         let steps = std::mem::take(&mut self.script.state().steps);
         self.send(get("/warm").body(body::empty()).unwrap()).await;
-        // The pool is a task of its own.
+        // Let the pool's task process the returned connection.
         time::sleep(Duration::from_millis(5)).await;
         let mut state = self.script.state();
         state.steps = steps;
@@ -213,8 +213,8 @@
     }
 }
 
-/// Reads an answer as a caller does.
-pub(crate) async fn see(response: Response<Body>) -> Seen {
+/// Reads a whole response.
+pub(crate) async fn read_response(response: Response<Body>) -> ClientResponse {
     let (head, body) = response.into_parts();
     let header = |name: &str| {
         let value = head.headers.get(name).map(|value| value.to_str().unwrap().to_owned());
@@ -227,7 +227,7 @@
         "-" => "-".to_owned(),
         _ => text.split(':').next().unwrap().to_owned(),
     };
-    Seen { status: head.status.as_u16(), outcome, retry_after, code, body }
+    ClientResponse { status: head.status.as_u16(), outcome, retry_after, code, body }
 }
 
 pub(crate) fn get(path: &str) -> hyper::http::request::Builder {
@@ -238,7 +238,7 @@
     get(path).method(Method::POST)
 }
 
-/// An order with a key and, for the other form, the home of the key.
+/// Returns an order with an idempotency key and, optionally, the key's home.
 pub(crate) fn order(key: &str, home: Option<&HomeToken>) -> Request<Body> {
     let mut builder = post("/orders").header("idempotency-key", key);
     if let Some(home) = home {
@@ -247,7 +247,7 @@
     builder.body(body::full("one starter")).unwrap()
 }
 
-/// Waits until something holds; gives up after some seconds.
+/// Waits until `holds` returns true; panics after about 5 s.
 pub(crate) async fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
     for _ in 0..500 {
         if holds() {
